--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -101,7 +101,7 @@
 	switch {
 	case errors.Is(o.Err, rate.ErrTooLarge):
 		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more than the account's whole burst", 0)
-	case errors.Is(o.Err, rate.ErrTooMany):
+	case errors.Is(o.Err, rate.ErrTooManyWaiting):
 		return refusal(http.StatusTooManyRequests, openai.CodeOverloaded, "too many requests of the account are waiting", time.Second)
 	case errors.Is(o.Err, rate.ErrOverRate):
 		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(o.RetryAfter, time.Second))
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -45,7 +45,7 @@
 			mints = append(mints, g)
 		}
 	}
-	d.limiter.SetParts(now, rate.PartsOf(mints, d.fleet.slots(), floorPart))
+	d.limiter.SetAllocations(now, rate.AllocationsOf(mints, d.fleet.slots(), floorPart))
 }
 
 func (d *rateDriver) append(ctx context.Context, r lease.Record) {
@@ -138,7 +138,7 @@
 func (d *rateDriver) leave(ctx context.Context) {
 	d.mu.Lock()
 	r := d.holder.Leave()
-	d.limiter.SetParts(d.clock.now(), nil)
+	d.limiter.SetAllocations(d.clock.now(), nil)
 	d.mu.Unlock()
 	d.append(ctx, r)
 }
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -204,8 +204,8 @@
 		go d.giveBack(ctx, r)
 	}
 	next := nextLease
-	if ready.Next > 0 {
-		next = min(next, ready.Next)
+	if ready.NextTick > 0 {
+		next = min(next, ready.NextTick)
 	}
 	return max(next-now, time.Millisecond)
 }
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -37,8 +37,8 @@
 		r := rateHeadroom * f.w.Rate * acc.Share * perCall
 		a.limiter.SetAccount(0, acc.Name, r, r*burstSeconds)
 	}
-	whole := rate.Part{Name: "all", Full: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
-	a.limiter.SetParts(0, []rate.Part{whole})
+	whole := rate.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
+	a.limiter.SetAllocations(0, []rate.Allocation{whole})
 	return a
 }
 
--- a/internal/rate/bench_test.go
+++ b/internal/rate/bench_test.go
@@ -14,7 +14,7 @@
 // benchLimiter is one instance of many with many accounts.
 func benchLimiter(accounts, peers int) *Limiter {
 	l := New(DefaultSettings("i0"))
-	l.SetParts(0, []Part{{Fraction: 1, Since: -time.Second, Until: never}})
+	l.SetAllocations(0, []Allocation{{Fraction: 1, Since: -time.Second, Until: never}})
 	for i := range accounts {
 		l.SetAccount(0, fmt.Sprintf("account-%03d", i), 1e9, 1e9)
 	}
--- a/internal/rate/collect.go
+++ b/internal/rate/collect.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		list = append(list, source{
-			peer: p.ID, local: p.Local, tokens: l.guess(a, p, now), limit: p.share(a.name) * a.bucket.burst,
+			peer: p.ID, local: p.SameDomain, tokens: l.guess(a, p, now), limit: p.share(a.name) * a.bucket.burst,
 		})
 	}
 	slices.SortStableFunc(list, func(x, y source) int {
--- a/internal/rate/exchange.go
+++ b/internal/rate/exchange.go
@@ -17,8 +17,8 @@
 type Peer struct {
 	// ID names the peer towards the caller of this package.
 	ID string
-	// Local is set for peers in this instance's failure domain.
-	Local bool
+	// SameDomain is set for peers in this instance's failure domain.
+	SameDomain bool
 	// Share is the part of all rates that the peer mints, as far as known;
 	// 0 for a peer that only passes on.
 	Share float64
--- a/internal/rate/fleet_test.go
+++ b/internal/rate/fleet_test.go
@@ -216,7 +216,7 @@
 		f.askPromise(p, ask)
 	}
 	slots := testSlots * len(f.domains())
-	p.limiter.SetParts(now, PartsOf(p.leases.Grants(now), slots, testFloor))
+	p.limiter.SetAllocations(now, AllocationsOf(p.leases.Grants(now), slots, testFloor))
 	p.limiter.SetPeers(f.peersOf(p, slots))
 }
 
@@ -235,7 +235,7 @@
 	for _, o := range f.procs {
 		if o != p {
 			peers = append(peers, Peer{
-				ID: o.addr, Local: o.domain == p.domain, Share: ShareOf(p.leases.Fold(), o.id, slots),
+				ID: o.addr, SameDomain: o.domain == p.domain, Share: ShareOf(p.leases.Fold(), o.id, slots),
 				Factors: FactorsOf(p.leases.Fold(), o.domain, len(f.domains())),
 			})
 		}
--- a/internal/rate/limiter.go
+++ b/internal/rate/limiter.go
@@ -18,8 +18,8 @@
 	ErrTooLarge = errors.New("rate: request larger than the account's burst")
 	// ErrOverRate: no tokens within the time that the request may wait.
 	ErrOverRate = errors.New("rate: account over its rate")
-	// ErrTooMany: too many requests of the account wait for tokens.
-	ErrTooMany = errors.New("rate: too many requests waiting")
+	// ErrTooManyWaiting: too many requests of the account wait for tokens.
+	ErrTooManyWaiting = errors.New("rate: too many requests waiting")
 )
 
 // maxWaiters bounds the waiting requests of one account.
@@ -57,7 +57,7 @@
 // for concurrent use.
 type Limiter struct {
 	settings Settings
-	parts    []Part
+	parts    []Allocation
 	filled   map[string]bool    // parts whose first burst was given
 	share    float64            // of the parts in force since at
 	at       time.Duration      // up to here parts are accounted for
@@ -152,7 +152,7 @@
 		return Outcome{Reservation: l.debit(a, now, cost)}
 	}
 	if len(a.waiters) >= maxWaiters {
-		return Outcome{Err: ErrTooMany, RetryAfter: l.retryAfter(a, cost)}
+		return Outcome{Err: ErrTooManyWaiting, RetryAfter: l.retryAfter(a, cost)}
 	}
 	l.lastWait++
 	w := waiter{ticket: l.lastWait, cost: cost, since: now, until: min(deadline, now+l.settings.MaxWait)}
--- a/internal/rate/limiter_test.go
+++ b/internal/rate/limiter_test.go
@@ -15,7 +15,7 @@
 // full is an instance that alone mints everything from time 0 on.
 func full(name string) *Limiter {
 	l := New(DefaultSettings(name))
-	l.SetParts(0, []Part{{Fraction: 1, Since: -time.Second, Until: time.Hour}})
+	l.SetAllocations(0, []Allocation{{Fraction: 1, Since: -time.Second, Until: time.Hour}})
 	l.SetAccount(0, "acct", 1000, 5000)
 	return l
 }
@@ -140,7 +140,7 @@
 func TestFastClockMintsNoMoreThanTheRate(t *testing.T) {
 	is := is.New(t)
 	l := full("i1")
-	l.SetParts(0, []Part{{Fraction: 1, Since: -time.Second, Until: never}})
+	l.SetAllocations(0, []Allocation{{Fraction: 1, Since: -time.Second, Until: never}})
 	const hour = 3600.0
 	sum, fast := 0.0, 1+l.settings.Drift
 	for s := 1.0; s <= hour; s++ {
@@ -160,7 +160,7 @@
 	l := New(DefaultSettings("i2"))
 	l.SetAccount(0, "acct", 1000, 5000)
 	won := 10 * time.Second
-	l.SetParts(won, []Part{{Fraction: 1, Since: won, Until: time.Hour}})
+	l.SetAllocations(won, []Allocation{{Fraction: 1, Since: won, Until: time.Hour}})
 	is.Equal(l.Share(won+l.settings.Lifetime), 0.0)
 	is.Equal(l.Share(won+2*l.settings.Lifetime), 1.0)
 }
--- a/internal/rate/parts.go
+++ b/internal/rate/parts.go
@@ -13,9 +13,9 @@
 // floorSuffix marks the floor's part of a slot.
 const floorSuffix = "#floor"
 
-// SetParts replaces the parts that this instance holds. Call it whenever a
+// SetAllocations replaces the parts that this instance holds. Call it whenever a
 // lease is renewed, won or given up.
-func (l *Limiter) SetParts(now time.Duration, parts []Part) {
+func (l *Limiter) SetAllocations(now time.Duration, parts []Allocation) {
 	l.settle(now)
 	l.parts = append(l.parts[:0], parts...)
 	l.switchShare(now)
@@ -72,7 +72,7 @@
 func (l *Limiter) freshParts(t time.Duration) float64 {
 	sum := 0.0
 	for _, p := range l.parts {
-		if p.Full && !l.filled[p.Name] && p.Since+l.settings.startDelay() <= t && t < p.Until {
+		if p.StartFull && !l.filled[p.Name] && p.Since+l.settings.startDelay() <= t && t < p.Until {
 			l.filled[p.Name] = true
 			sum += p.Fraction
 		}
@@ -80,19 +80,19 @@
 	return sum
 }
 
-// PartsOf turns mint leases into parts: each of the slots of the whole fleet
+// AllocationsOf turns mint leases into parts: each of the slots of the whole fleet
 // is 1/slots of all rates, and floor of that (0 to 1) is the slot's floor.
-func PartsOf(grants []lease.Grant, slots int, floor float64) []Part {
-	var parts []Part
+func AllocationsOf(grants []lease.Grant, slots int, floor float64) []Allocation {
+	var parts []Allocation
 	for _, g := range grants {
 		if g.Resource.Domain() == "" {
 			continue
 		}
 		slot := 1 / float64(slots)
 		name := string(g.Resource)
-		parts = append(parts, Part{Name: name, Full: g.First, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
+		parts = append(parts, Allocation{Name: name, StartFull: g.First, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
 		if g.FloorUntil > 0 {
-			parts = append(parts, Part{Name: name + floorSuffix, Full: g.First, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
+			parts = append(parts, Allocation{Name: name + floorSuffix, StartFull: g.First, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
 		}
 	}
 	return parts
--- a/internal/rate/parts_test.go
+++ b/internal/rate/parts_test.go
@@ -19,14 +19,14 @@
 			is := is.New(t)
 			l := New(DefaultSettings("a-1"))
 			l.SetAccount(0, "acc", 0.001, 1000)
-			part := Part{Name: "mint/d/0", Full: x.full, Fraction: 1, Until: time.Hour}
-			l.SetParts(0, []Part{part})
+			part := Allocation{Name: "mint/d/0", StartFull: x.full, Fraction: 1, Until: time.Hour}
+			l.SetAllocations(0, []Allocation{part})
 			begun := l.settings.startDelay()
 			o := l.Admit(begun, "acc", 900, begun)
 			is.Equal(o.Err == nil && !o.Waiting, x.full)
 
 			// The same part again, as at each renewal, gives nothing more.
-			l.SetParts(begun+time.Second, []Part{part})
+			l.SetAllocations(begun+time.Second, []Allocation{part})
 			again := l.Admit(begun+time.Second, "acc", 900, begun+time.Second)
 			is.True(again.Err != nil || again.Waiting)
 		})
--- a/internal/rate/settings.go
+++ b/internal/rate/settings.go
@@ -49,14 +49,14 @@
 	return time.Duration(float64(s.Lifetime) * (1 + 2*s.Drift))
 }
 
-// Part is a fraction of every account's rate and burst that this instance
+// Allocation is a fraction of every account's rate and burst that this instance
 // mints while it holds the lease.
-type Part struct {
+type Allocation struct {
 	// Name tells parts apart.
 	Name string
-	// Full says that nobody has held the part before: it begins with its
+	// StartFull says that nobody has held the part before: it begins with its
 	// part of every burst, else with nothing.
-	Full bool
+	StartFull bool
 	// Fraction of the account's rate and burst, above 0 and at most 1.
 	Fraction float64
 	// Since is when this process came to hold the part. Minting starts one
--- a/internal/rate/waiter.go
+++ b/internal/rate/waiter.go
@@ -23,9 +23,9 @@
 	Returns []Return
 	// Done are the decisions on requests that waited.
 	Done []Outcome
-	// Next is when to call Tick again unless something happens before; 0
+	// NextTick is when to call Tick again unless something happens before; 0
 	// when nothing waits.
-	Next time.Duration
+	NextTick time.Duration
 }
 
 // Tick decides on waiting requests and asks peers for missing tokens. Call it
@@ -42,8 +42,8 @@
 		if len(a.waiters) > 0 {
 			next := now + l.settings.AskInterval
 			next = min(next, a.waiters[0].until)
-			if r.Next == 0 || next < r.Next {
-				r.Next = next
+			if r.NextTick == 0 || next < r.NextTick {
+				r.NextTick = next
 			}
 		}
 	}
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -53,7 +53,7 @@
 
 func newLimiter(accounts int) *rate.Limiter {
 	l := rate.New(rate.DefaultSettings(incarnation))
-	l.SetParts(0, []rate.Part{{Fraction: 1, Until: time.Hour}})
+	l.SetAllocations(0, []rate.Allocation{{Fraction: 1, Until: time.Hour}})
 	for i := range accounts {
 		l.SetAccount(0, fmt.Sprintf("account-%03d", i), 1e9, 1e12)
 	}
