--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -26,7 +26,7 @@
 		}
 		m.Silent = append(m.Silent, pool.silent()...)
 	}
-	return m, g.quota.Spent()
+	return m, g.quota.ReportSpent()
 }
 
 // heldRecord is the record of the lease for orders while this instance holds it.
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	g.quota.Take(now, reports...)
+	g.quota.ApplyReports(now, reports...)
 	g.mu.Unlock()
 	pools := g.enginePools()
 	for i := range changes {
@@ -178,7 +178,7 @@
 func (g *Gateway) takePeers(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]load, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.quota.SetFleet(now, fleet, silence)
+	g.quota.SetFleetSize(now, fleet, silence)
 	g.shareReserves(fleet)
 	for _, f := range g.crashes.unreported {
 		g.peers.crashed(f)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -116,7 +116,7 @@
 		planner:       weights.New(weights.DefaultSettings()),
 		quietSince:    never,
 	}
-	g.quota.SetFleet(0, unknownFleet, quota.PeerTimeout)
+	g.quota.SetFleetSize(0, unknownFleet, quota.PeerTimeout)
 	lease := orderlease.DefaultSettings()
 	lease.Gap = s.LeaseGap
 	g.lease = &sharedLease{l: orderlease.New(g.self.Incarnation, lease).On(g.self.Instance)}
--- a/internal/quota/press_test.go
+++ b/internal/quota/press_test.go
@@ -41,7 +41,7 @@
 	for range n {
 		l := New()
 		l.SetLimits(0, map[string]Limit{"a": {Rate: rate, Burst: rate}})
-		l.SetFleet(0, n, max(PeerTimeout, 4*pace))
+		l.SetFleetSize(0, n, max(PeerTimeout, 4*pace))
 		p.instances = append(p.instances, l)
 	}
 	return p
@@ -57,14 +57,14 @@
 	for end := p.now + length; p.now < end; p.now += pressStep {
 		if p.now%p.pace == 0 {
 			for i, l := range p.instances {
-				told[i] = l.Spent()
+				told[i] = l.ReportSpent()
 			}
 		}
 		if p.now%p.pace == onTheWay {
 			for i := range p.instances {
 				for j, peer := range p.instances {
 					if i != j && told[i] != nil {
-						peer.Take(p.now, Report{Incarnation: names[i], At: p.now, Spent: told[i]})
+						peer.ApplyReports(p.now, Report{Incarnation: names[i], At: p.now, Spent: told[i]})
 					}
 				}
 			}
@@ -154,7 +154,7 @@
 	p.run(5*time.Second, 2*pressRate, largeFleet)
 	alone := p.instances[0]
 	start := p.now + 2*time.Second // no peer is heard any more
-	alone.SetFleet(start, 1, PeerTimeout)
+	alone.SetFleetSize(start, 1, PeerTimeout)
 	owed := alone.accounts["a"].balance
 	const length = 4 * time.Second
 	admitted := 0.0
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// SetFleet gives the number of instances that may be serving, this one too,
+// SetFleetSize gives the number of instances that may be serving, this one too,
 // and the silence after which one of them counts as silent.
-func (l *Limiter) SetFleet(now time.Duration, n int, silence time.Duration) {
+func (l *Limiter) SetFleetSize(now time.Duration, n int, silence time.Duration) {
 	l.settle(now)
 	l.fleet, l.silence = max(1, n), silence
 }
@@ -128,9 +128,9 @@
 	Spent map[string]float64
 }
 
-// Take takes in reports. The first of an instance after a silence only sets where
+// ApplyReports takes in reports. The first of an instance after a silence only sets where
 // counting starts: what the instance spent meanwhile came out of its own part.
-func (l *Limiter) Take(now time.Duration, reports ...Report) {
+func (l *Limiter) ApplyReports(now time.Duration, reports ...Report) {
 	l.settle(now)
 	for _, r := range reports {
 		p := l.peers[r.Incarnation]
@@ -157,9 +157,9 @@
 	}
 }
 
-// Spent is what this instance has admitted since its start, by account, for
+// ReportSpent is what this instance has admitted since its start, by account, for
 // its next message to the peers: what is admitted from now on they do not know.
-func (l *Limiter) Spent() map[string]float64 {
+func (l *Limiter) ReportSpent() map[string]float64 {
 	out := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
 		a.told = a.spent
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -36,7 +36,7 @@
 	for range n {
 		l := New()
 		l.SetLimits(0, map[string]Limit{"a": {Rate: testRate, Burst: testBurst}})
-		l.SetFleet(0, n, PeerTimeout)
+		l.SetFleetSize(0, n, PeerTimeout)
 		f.instances = append(f.instances, l)
 	}
 	return f
@@ -54,7 +54,7 @@
 	for from, l := range f.instances {
 		for to, peer := range f.instances {
 			if from != to && reach(from, to) {
-				peer.Take(f.now, Report{Incarnation: string(rune('a' + from)), At: f.now, Spent: l.Spent()})
+				peer.ApplyReports(f.now, Report{Incarnation: string(rune('a' + from)), At: f.now, Spent: l.ReportSpent()})
 			}
 		}
 	}
@@ -159,9 +159,9 @@
 	is := is.New(t)
 	l := New()
 	l.SetLimits(0, map[string]Limit{"a": {Rate: testRate, Burst: testBurst}})
-	l.SetFleet(0, 2, PeerTimeout)
-	l.Take(0, Report{Incarnation: "p", Spent: map[string]float64{"a": 0}})
-	l.Take(10*time.Second, Report{Incarnation: "p", At: 10 * time.Second, Spent: map[string]float64{"a": 50_000}})
+	l.SetFleetSize(0, 2, PeerTimeout)
+	l.ApplyReports(0, Report{Incarnation: "p", Spent: map[string]float64{"a": 0}})
+	l.ApplyReports(10*time.Second, Report{Incarnation: "p", At: 10 * time.Second, Spent: map[string]float64{"a": 50_000}})
 	_, ok := l.Admit(10*time.Second, "a", 400)
 	is.True(ok)
 }
