--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -17,7 +17,7 @@
 	now func() time.Duration
 
 	mu sync.Mutex
-	l  *targetlimit.Limits
+	l  *targetlimit.Limiter
 }
 
 func newTargetLimits(now func() time.Duration, instance string) *targetLimits {
@@ -50,11 +50,11 @@
 	}
 	reports := make([]targetlimit.Report, len(limits))
 	for i, l := range limits {
-		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, Born: l.Born}, Rate: l.Rate, Change: l.Change}
+		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, Born: l.Born}, Rate: l.Rate, Revision: l.Change}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.l.Take(t.now(), reports)
+	t.l.ApplyReports(t.now(), reports)
 }
 
 // reports are what this instance passes on.
@@ -63,7 +63,7 @@
 	defer t.mu.Unlock()
 	var out []wire.TargetLimit
 	for _, r := range t.l.Reports() {
-		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.Born, Rate: r.Rate, Change: r.Change})
+		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.Born, Rate: r.Rate, Change: r.Revision})
 	}
 	return out
 }
@@ -73,26 +73,26 @@
 func (t *targetLimits) limited() map[directory.Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.l.Limited(t.now())
+	return t.l.LimitedTargets(t.now())
 }
 
 // open says whether this instance may send a request to a target now.
 func (t *targetLimits) open(id directory.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.l.Open(t.now(), id)
+	return t.l.CanSend(t.now(), id)
 }
 
 // sent takes in that a request goes to a target.
 func (t *targetLimits) sent(id directory.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.l.Sent(t.now(), id)
+	t.l.RecordSend(t.now(), id)
 }
 
 // keep forgets the targets that are gone.
 func (t *targetLimits) keep(there func(directory.Incarnation) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.l.Keep(there)
+	t.l.Retain(there)
 }
--- a/internal/targetlimit/limits.go
+++ b/internal/targetlimit/limits.go
@@ -45,13 +45,13 @@
 	Target directory.Incarnation
 	// Rate is the requests a second that the target takes; 0 for any number.
 	Rate float64
-	// Change counts the changes of the limit.
-	Change uint64
+	// Revision counts the changes of the limit.
+	Revision uint64
 }
 
-// Limits are the limits of all targets, as one instance sees them. It is not safe for
+// Limiter are the limits of all targets, as one instance sees them. It is not safe for
 // concurrent use.
-type Limits struct {
+type Limiter struct {
 	self    string
 	fleet   []string
 	settled bool
@@ -74,14 +74,14 @@
 }
 
 // New makes the limits of an instance that starts.
-func New(now time.Duration, self string) *Limits {
-	return &Limits{self: self, began: now, fleet: []string{self}, targets: map[directory.Incarnation]*target{}}
+func New(now time.Duration, self string) *Limiter {
+	return &Limiter{self: self, began: now, fleet: []string{self}, targets: map[directory.Incarnation]*target{}}
 }
 
 // SetFleet takes the names of all instances that may be serving; found says that the
 // fleet was looked up since the start. One that leaves is not among them, and sends to
 // no limited target any more.
-func (l *Limits) SetFleet(now time.Duration, names []string, found bool) {
+func (l *Limiter) SetFleet(now time.Duration, names []string, found bool) {
 	settled := found || now-l.began > settleTime
 	if settled == l.settled && slices.Equal(names, l.fleet) {
 		return
@@ -95,7 +95,7 @@
 // Observe takes in what the answer to a request that was sent at a time states. It says
 // whether that is a change. An answer to a request from before the last change may be
 // older than that.
-func (l *Limits) Observe(now, sent time.Duration, id directory.Incarnation, rate float64) (changed bool) {
+func (l *Limiter) Observe(now, sent time.Duration, id directory.Incarnation, rate float64) (changed bool) {
 	t := l.targets[id]
 	switch {
 	case t == nil && rate == 0:
@@ -109,21 +109,21 @@
 	case sent < t.knownAt:
 		return false
 	}
-	l.change(now, t, Report{Target: id, Rate: rate, Change: t.Change + 1})
+	l.change(now, t, Report{Target: id, Rate: rate, Revision: t.Revision + 1})
 	t.observed = true
 	return true
 }
 
-// Take takes in what another instance reports. Of two changes with the same number the
+// ApplyReports takes in what another instance reports. Of two changes with the same number the
 // stricter counts.
-func (l *Limits) Take(now time.Duration, reports []Report) {
+func (l *Limiter) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
 		t := l.targets[r.Target]
 		if t == nil {
 			t = &target{at: now}
 			l.targets[r.Target] = t
 		}
-		if r.Change > t.Change || r.Change == t.Change && stricter(r.Rate, t.Rate) {
+		if r.Revision > t.Revision || r.Revision == t.Revision && stricter(r.Rate, t.Rate) {
 			l.change(now, t, r)
 			t.observed = false
 		}
@@ -133,14 +133,14 @@
 func stricter(a, b float64) bool { return a > 0 && (b == 0 || a < b) }
 
 // change puts another limit into force.
-func (l *Limits) change(now time.Duration, t *target, r Report) {
+func (l *Limiter) change(now time.Duration, t *target, r Report) {
 	t.advance(now)
 	t.Report, t.knownAt = r, now
 	l.assign(now, t)
 }
 
 // assign chooses the target's senders.
-func (l *Limits) assign(now time.Duration, t *target) {
+func (l *Limiter) assign(now time.Duration, t *target) {
 	t.advance(now)
 	sent := t.sends
 	t.senders = min(len(l.fleet), max(1, int(math.Ceil(sendersPerRequest*t.Rate))))
@@ -152,7 +152,7 @@
 
 // rank is the number of instances that come before this one in the order of a target's
 // senders.
-func (l *Limits) rank(id directory.Incarnation) int {
+func (l *Limiter) rank(id directory.Incarnation) int {
 	own, n := weight(id, l.self), 0
 	for _, name := range l.fleet {
 		w := weight(id, name)
@@ -179,9 +179,9 @@
 	t.at = now
 }
 
-// Limited lists the targets that state a limit, and whether this instance may send each
+// LimitedTargets lists the targets that state a limit, and whether this instance may send each
 // of them a request now. It is one request: the next one is to ask again.
-func (l *Limits) Limited(now time.Duration) (open map[directory.Incarnation]bool) {
+func (l *Limiter) LimitedTargets(now time.Duration) (open map[directory.Incarnation]bool) {
 	for id, t := range l.targets {
 		if t.Rate == 0 {
 			continue
@@ -194,8 +194,8 @@
 	return open
 }
 
-// Open says whether this instance may send a request to a target now.
-func (l *Limits) Open(now time.Duration, id directory.Incarnation) bool {
+// CanSend says whether this instance may send a request to a target now.
+func (l *Limiter) CanSend(now time.Duration, id directory.Incarnation) bool {
 	t := l.targets[id]
 	return t == nil || t.open(now)
 }
@@ -208,8 +208,8 @@
 	return t.sends && t.tokens >= 1
 }
 
-// Sent takes in that a request goes to a target.
-func (l *Limits) Sent(now time.Duration, id directory.Incarnation) {
+// RecordSend takes in that a request goes to a target.
+func (l *Limiter) RecordSend(now time.Duration, id directory.Incarnation) {
 	if t := l.targets[id]; t != nil && t.Rate > 0 {
 		t.advance(now)
 		t.tokens--
@@ -218,7 +218,7 @@
 
 // Reports are what this instance is to pass on: of the targets that it sends to, so that
 // instances that join learn of them, and of those whose answers it has seen.
-func (l *Limits) Reports() []Report {
+func (l *Limiter) Reports() []Report {
 	var out []Report
 	for _, t := range l.targets {
 		if t.observed || t.sends {
@@ -231,8 +231,8 @@
 	return out
 }
 
-// Keep forgets the targets that are gone.
-func (l *Limits) Keep(there func(directory.Incarnation) bool) {
+// Retain forgets the targets that are gone.
+func (l *Limiter) Retain(there func(directory.Incarnation) bool) {
 	for id := range l.targets {
 		if !there(id) {
 			delete(l.targets, id)
--- a/internal/targetlimit/limits_test.go
+++ b/internal/targetlimit/limits_test.go
@@ -17,7 +17,7 @@
 var one = directory.Incarnation{ID: "one", Born: 1}
 
 // alone is an instance that has found that it is the only one.
-func alone() *Limits {
+func alone() *Limiter {
 	l := New(0, "a")
 	l.SetFleet(0, []string{"a"}, true)
 	return l
@@ -27,13 +27,13 @@
 	is := is.New(t)
 	l := alone()
 	is.True(!l.Observe(0, 0, one, 0))
-	is.True(l.Open(0, one))
+	is.True(l.CanSend(0, one))
 	is.True(l.Observe(ms, 0, one, 2))
-	is.True(!l.Open(ms, one))
+	is.True(!l.CanSend(ms, one))
 	is.True(!l.Observe(2*ms, 0, one, 0)) // sent before the limit was known
-	is.True(!l.Open(2*ms, one))
+	is.True(!l.CanSend(2*ms, one))
 	is.True(l.Observe(time.Minute, time.Minute, one, 0))
-	is.True(l.Open(time.Minute, one))
+	is.True(l.CanSend(time.Minute, one))
 }
 
 func TestSenderHasItsPartOfTheLimit(t *testing.T) {
@@ -42,15 +42,15 @@
 	l.Observe(0, 0, one, 2)
 	sent := 0
 	for now := time.Duration(0); now < 12*time.Second; now += ms {
-		if l.Open(now, one) {
-			l.Sent(now, one)
+		if l.CanSend(now, one) {
+			l.RecordSend(now, one)
 			sent++
 		}
 	}
 	is.Equal(sent, 20) // 2 a second after the first 1.5 s, and one saved up at the most
-	is.True(l.Open(time.Hour, one))
-	l.Sent(time.Hour, one)
-	is.True(!l.Open(time.Hour, one))
+	is.True(l.CanSend(time.Hour, one))
+	l.RecordSend(time.Hour, one)
+	is.True(!l.CanSend(time.Hour, one))
 }
 
 // Guards against instances that learn of a change in another order and keep different
@@ -59,20 +59,20 @@
 	is := is.New(t)
 	a, b, c := alone(), alone(), alone()
 	a.Observe(0, 0, one, 2)
-	b.Take(0, a.Reports())
+	b.ApplyReports(0, a.Reports())
 	b.Observe(time.Second, time.Second, one, 5)
-	c.Take(0, b.Reports())
-	c.Take(0, a.Reports())
-	a.Take(0, b.Reports())
-	for _, l := range []*Limits{a, b, c} {
+	c.ApplyReports(0, b.Reports())
+	c.ApplyReports(0, a.Reports())
+	a.ApplyReports(0, b.Reports())
+	for _, l := range []*Limiter{a, b, c} {
 		is.Equal(l.targets[one].Rate, 5.0)
 	}
 	// Two changes at the same time: the stricter one.
 	a.Observe(2*time.Second, 2*time.Second, one, 0)
 	b.Observe(2*time.Second, 2*time.Second, one, 7)
 	ofA, ofB := a.Reports(), b.Reports()
-	a.Take(0, ofB)
-	b.Take(0, ofA)
+	a.ApplyReports(0, ofB)
+	b.ApplyReports(0, ofA)
 	is.Equal(a.targets[one].Rate, 7.0)
 	is.Equal(b.targets[one].Rate, 7.0)
 }
@@ -82,17 +82,17 @@
 	is := is.New(t)
 	l := alone()
 	l.Observe(0, 0, one, 2)
-	is.True(l.Open(time.Minute, one))
+	is.True(l.CanSend(time.Minute, one))
 	l.SetFleet(time.Minute, []string{"b"}, true)
-	is.True(!l.Open(2*time.Minute, one))
+	is.True(!l.CanSend(2*time.Minute, one))
 }
 
 func TestTargetThatIsGoneIsForgotten(t *testing.T) {
 	is := is.New(t)
 	l := alone()
 	l.Observe(0, 0, one, 2)
-	l.Keep(func(directory.Incarnation) bool { return false })
-	is.True(l.Open(0, one))
+	l.Retain(func(directory.Incarnation) bool { return false })
+	is.True(l.CanSend(0, one))
 	is.Equal(len(l.Reports()), 0)
 }
 
@@ -115,7 +115,7 @@
 
 // simProcess is a process of an instance.
 type simProcess struct {
-	limits  *Limits
+	limits  *Limiter
 	began   time.Duration
 	limited time.Duration   // when it first had an answer with a limit; 0 for never
 	answers []time.Duration // when requests were sent whose answers are to come
@@ -229,7 +229,7 @@
 	for _, x := range f.instances {
 		for _, y := range f.instances {
 			if x != y && !x.down && !y.down {
-				y.limits.Take(f.now, x.limits.Reports())
+				y.limits.ApplyReports(f.now, x.limits.Reports())
 			}
 		}
 	}
@@ -248,8 +248,8 @@
 		}
 		x.answers = x.answers[1:]
 	}
-	if f.rng.Float64() < chance && x.limits.Open(f.now, one) {
-		x.limits.Sent(f.now, one)
+	if f.rng.Float64() < chance && x.limits.CanSend(f.now, one) {
+		x.limits.RecordSend(f.now, one)
 		x.answers = append(x.answers, f.now)
 		f.arrivals = append(f.arrivals, simArrival{at: f.now, from: x.simProcess})
 	}
