--- a/internal/entry/enginecrash.go
+++ b/internal/entry/enginecrash.go
@@ -94,7 +94,7 @@
 // fingerprint names what the request asks for.
 func (e *engineCall) fingerprint() poison.Fingerprint {
 	if !e.printed {
-		e.printed, e.print = true, poison.Print(e.account.Name, e.r.URL.Path, e.body)
+		e.printed, e.print = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
 	}
 	return e.print
 }
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -38,7 +38,7 @@
 func newPoisonDriver(c clock, node *peer.Node) *poisonDriver {
 	d := &poisonDriver{
 		clock: c, node: node,
-		registry: poison.New(poison.Config{Self: node.Self().Incarnation, AskBound: permitWait}),
+		registry: poison.New(poison.Config{Self: node.Self().Incarnation, AskTimeout: permitWait}),
 		waiting:  make(map[string]chan poison.Decision),
 		crashes:  make(map[poison.CrashID][]string),
 		address:  make(map[string]string),
@@ -125,14 +125,14 @@
 func (d *poisonDriver) quiet() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.registry.Suspects() == 0
+	return d.registry.SuspectCount() == 0
 }
 
 // running registers a request that was sent while all was quiet.
 func (d *poisonDriver) running(id string, fp poison.Fingerprint, pool, target string, targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.registry.Running(id, fp, pool, target, targets)
+	d.registry.RegisterRunning(id, fp, pool, target, targets)
 }
 
 // started tells that an admitted request goes to a target.
@@ -162,7 +162,7 @@
 	lost := d.crashes[crash]
 	delete(d.crashes, crash)
 	logline.Info("target_crashed", "target", crash.Target, "incarnation", crash.Incarnation, "requests", len(lost))
-	d.registry.Crashed(d.clock.now(), crash.Target, crash.Incarnation, lost)
+	d.registry.TargetCrashed(d.clock.now(), crash.Target, crash.Incarnation, lost)
 	d.work()
 }
 
@@ -229,7 +229,7 @@
 	defer d.mu.Unlock()
 	stats := d.registry.Stats()
 	return poisonView{
-		Suspects: d.registry.Suspects(), Crashes: stats.Crashes,
+		Suspects: d.registry.SuspectCount(), Crashes: stats.Crashes,
 		Quarantined: stats.Quarantined, Isolated: stats.Isolated, Cleared: stats.Cleared,
 	}
 }
--- a/internal/poison/config.go
+++ b/internal/poison/config.go
@@ -19,8 +19,8 @@
 	// PermitTTL is how long a permit lives without a hold message; holds
 	// are sent at a third of it.
 	PermitTTL time.Duration
-	// AskBound is the longest wait for a permit.
-	AskBound time.Duration
+	// AskTimeout is the longest wait for a permit.
+	AskTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -30,7 +30,7 @@
 	setDefault(&c.MaxSuspects, 8192)
 	setDefault(&c.HoldBound, 300*time.Millisecond)
 	setDefault(&c.PermitTTL, 3*time.Second)
-	setDefault(&c.AskBound, 5*time.Second)
+	setDefault(&c.AskTimeout, 5*time.Second)
 	return c
 }
 
--- a/internal/poison/crash.go
+++ b/internal/poison/crash.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Crashed tells that a target incarnation was lost: another incarnation
+// TargetCrashed tells that a target incarnation was lost: another incarnation
 // answers, or it reset connections and is unreachable. lost are the requests
 // whose connections broke with it; one that goes to the next incarnation
 // already is not among them, or it would be blamed for a crash before it.
@@ -15,7 +15,7 @@
 // Each lost request gets a Decision, Retry or Quarantined, once the peers know
 // of the crash or HoldBound has passed. Answering before that would let the
 // caller send a poison request again to an instance that knows nothing.
-func (r *Registry) Crashed(now time.Duration, target, incarnation string, lost []string) {
+func (r *Registry) TargetCrashed(now time.Duration, target, incarnation string, lost []string) {
 	r.stats.Crashes++
 	var requests []*request
 	var fps []Fingerprint
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -14,9 +14,9 @@
 // request again without streaming sends the same request.
 var ignoredFields = []string{"stream", "stream_options", "user", "metadata"}
 
-// Print computes the fingerprint of a request. JSON bodies that differ only
+// FingerprintOf computes the fingerprint of a request. JSON bodies that differ only
 // in field order, white space or the ignored fields give the same one.
-func Print(account, path string, body []byte) Fingerprint {
+func FingerprintOf(account, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	var n [8]byte
 	for _, part := range [][]byte{[]byte(account), []byte(path), canonical(body)} {
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -199,7 +199,7 @@
 				o.target, o.lost = "", false
 			}
 		}
-		r.Crashed(f.now, target, fmt.Sprint(c.incarnation), lost)
+		r.TargetCrashed(f.now, target, fmt.Sprint(c.incarnation), lost)
 	case c.poison:
 		f.losses[c.fp]++
 		f.crash(c.target)
--- a/internal/poison/home.go
+++ b/internal/poison/home.go
@@ -60,7 +60,7 @@
 	if !ok || len(h.queue) >= maxQueue {
 		return
 	}
-	a := ask{from: from, request: b.Request, fp: fp, targets: b.Targets, at: now, until: now + h.cfg.AskBound}
+	a := ask{from: from, request: b.Request, fp: fp, targets: b.Targets, at: now, until: now + h.cfg.AskTimeout}
 	i := slices.IndexFunc(h.queue, func(o ask) bool { return o.from == from && o.request == b.Request })
 	if i >= 0 {
 		h.queue[i] = a
--- a/internal/poison/registry.go
+++ b/internal/poison/registry.go
@@ -114,8 +114,8 @@
 // Stats returns the counts.
 func (r *Registry) Stats() Stats { return r.stats }
 
-// Suspects is how many fingerprints are remembered.
-func (r *Registry) Suspects() int { return len(r.ledger.suspects) }
+// SuspectCount is how many fingerprints are remembered.
+func (r *Registry) SuspectCount() int { return len(r.ledger.suspects) }
 
 // SetPeers gives the live peers: those that learn of crashes and, with this
 // instance, share the pools' suspects out among themselves.
@@ -141,7 +141,7 @@
 // Admit asks whether a request may be dispatched to its pool; targets are
 // those it could run on, the best first. After Run, call Started.
 func (r *Registry) Admit(now time.Duration, id string, fp Fingerprint, pool string, targets []string) Verdict {
-	q := &request{id: id, fp: fp, pool: pool, targets: targets, askBy: now + r.cfg.AskBound}
+	q := &request{id: id, fp: fp, pool: pool, targets: targets, askBy: now + r.cfg.AskTimeout}
 	switch {
 	case r.ledger.quarantined(now, fp):
 		r.stats.Quarantined++
@@ -169,10 +169,10 @@
 	}
 }
 
-// Running registers a request that went to its target while nothing was
+// RegisterRunning registers a request that went to its target while nothing was
 // suspected, so that Admit was left out: the fingerprint of a long prompt costs
 // more than all the rest of a request's way. Call it before Crashed names it.
-func (r *Registry) Running(id string, fp Fingerprint, pool, target string, targets []string) {
+func (r *Registry) RegisterRunning(id string, fp Fingerprint, pool, target string, targets []string) {
 	r.requests[id] = &request{id: id, fp: fp, pool: pool, targets: targets, target: target}
 }
 
--- a/internal/poison/registry_test.go
+++ b/internal/poison/registry_test.go
@@ -15,7 +15,7 @@
 	r := New(cfg)
 	r.Admit(0, "r1", print(0), "pool", nil)
 	r.Started("r1", "t1")
-	r.Crashed(0, "t1", "i1", []string{"r1"})
+	r.TargetCrashed(0, "t1", "i1", []string{"r1"})
 	r.Ready()
 	return r
 }
@@ -69,11 +69,11 @@
 	r := suspected(Config{Self: "a"})
 	is.Equal(r.Admit(0, "r1", print(0), "pool", []string{"t2"}), Wait)
 	is.Equal(r.Ready().Decisions, []Decision{{Request: "r1", Verdict: Isolate, Target: "t2"}})
-	r.Crashed(0, "t1", "i1", nil)
+	r.TargetCrashed(0, "t1", "i1", nil)
 	other := print(1)
 	r.Receive(0, "b", wire.PoisonNotice{Crashes: []wire.PoisonCrash{{Target: "t1", Incarnation: "i1", Fingerprints: [][]byte{other[:]}}}})
 	is.Equal(r.Admit(time.Second, "r2", other, "pool", []string{"t2"}), Wait)
-	r.Crashed(2*time.Second, "t2", "i1", []string{"r1"})
+	r.TargetCrashed(2*time.Second, "t2", "i1", []string{"r1"})
 	for _, d := range r.Ready().Decisions {
 		is.True(d.Request != "r2") // the crashed target was given out
 	}
@@ -89,7 +89,7 @@
 	r := suspected(Config{Self: "a"})
 	fp := print(0)
 	r.Receive(0, "b", wire.PoisonAsk{Request: "x", Fingerprint: fp[:], Targets: []string{"t2"}})
-	r.Crashed(0, "t2", "i1", nil)
+	r.TargetCrashed(0, "t2", "i1", nil)
 	is.Equal(r.Admit(0, "r2", fp, "pool", nil), Quarantined)
 }
 
@@ -148,7 +148,7 @@
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
 		a.requests[id] = &request{id: id, fp: print(0), target: "t"}
-		a.Crashed(0, "t", fmt.Sprint(i), []string{id})
+		a.TargetCrashed(0, "t", fmt.Sprint(i), []string{id})
 	}
 	for range 2 {
 		b.Receive(5*time.Second, "a", a.State(time.Second))
@@ -178,11 +178,11 @@
 // request never is.
 func TestPrint(t *testing.T) {
 	is := is.New(t)
-	fp := Print("a", "/v1/x", []byte(`{"prompt":"p","n":1,"stream":true}`))
-	is.Equal(Print("a", "/v1/x", []byte(`{ "n":1, "prompt":"p" }`)), fp)
-	is.True(Print("b", "/v1/x", []byte(`{"prompt":"p","n":1}`)) != fp)
-	is.True(Print("a", "/v1/x", []byte(`{"prompt":"p","n":2}`)) != fp)
-	is.True(Print("a", "/v1/x", []byte(`not json`)) != Print("a", "/v1/x", []byte(`not json!`)))
+	fp := FingerprintOf("a", "/v1/x", []byte(`{"prompt":"p","n":1,"stream":true}`))
+	is.Equal(FingerprintOf("a", "/v1/x", []byte(`{ "n":1, "prompt":"p" }`)), fp)
+	is.True(FingerprintOf("b", "/v1/x", []byte(`{"prompt":"p","n":1}`)) != fp)
+	is.True(FingerprintOf("a", "/v1/x", []byte(`{"prompt":"p","n":2}`)) != fp)
+	is.True(FingerprintOf("a", "/v1/x", []byte(`not json`)) != FingerprintOf("a", "/v1/x", []byte(`not json!`)))
 }
 
 // The home of the pool's suspects can't be reached. The suspect is refused
@@ -190,7 +190,7 @@
 // permit, nor wait for ever.
 func TestSuspectIsRefusedWithoutItsHome(t *testing.T) {
 	is := is.New(t)
-	r := suspected(Config{Self: "a", AskBound: 5 * time.Second})
+	r := suspected(Config{Self: "a", AskTimeout: 5 * time.Second})
 	r.SetPeers(0, []string{"b", "c", "d"})
 	pool := "pool"
 	for homeOf(pool, "a", r.peers) == "a" {
--- a/internal/poison/running_test.go
+++ b/internal/poison/running_test.go
@@ -13,9 +13,9 @@
 func TestCrashOfUnadmittedRequestCounts(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{Self: "a"})
-	fp := Print("acc", "/p", []byte(`{"x":1}`))
-	r.Running("1", fp, "pool", "t1", []string{"t2"})
-	r.Crashed(time.Second, "t1", "t1-1", []string{"1"})
+	fp := FingerprintOf("acc", "/p", []byte(`{"x":1}`))
+	r.RegisterRunning("1", fp, "pool", "t1", []string{"t2"})
+	r.TargetCrashed(time.Second, "t1", "t1-1", []string{"1"})
 	r.Tick(2 * time.Second)
 	is.Equal(r.Ready().Decisions, []Decision{{Request: "1", Verdict: Retry}})
 
@@ -23,7 +23,7 @@
 	r.Tick(10 * time.Second)
 	is.Equal(r.Ready().Decisions, []Decision{{Request: "1", Verdict: Isolate, Target: "t2"}})
 	r.Started("1", "t2")
-	r.Crashed(11*time.Second, "t2", "t2-1", []string{"1"})
+	r.TargetCrashed(11*time.Second, "t2", "t2-1", []string{"1"})
 	r.Tick(12 * time.Second)
 	is.Equal(r.Ready().Decisions, []Decision{{Request: "1", Verdict: Quarantined}})
 }
