--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -43,9 +43,9 @@
 	}
 	for _, p := range d.peers {
 		list = append(list, rate.Peer{
-			ID:    p.Address,
+			ID:         p.Address,
 			SameDomain: p.Domain == d.node.Self().Domain,
-			Share: max(rate.ShareOf(d.holder.Fold(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
+			Share:      max(rate.ShareOf(d.holder.Fold(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
 
 			Factors: factors[p.Domain],
 		})
