--- /dev/null
+++ b/internal/targetlimit/limiter.go
@@ -0,0 +1,250 @@
+// Package targetlimit keeps the total request rate of all instances to a target
+// within the limit, in requests per second, that the target advertises in its
+// answers.
+//
+// Instances learn of each other's requests a few hundred milliseconds late,
+// which is too late for a target that takes one or two requests per second. The
+// right to send to a limited target is therefore assigned in advance: by
+// rendezvous hashing over the fleet all instances choose the same few senders,
+// and each sender gets an equal share of the limit. The other instances use
+// other targets. The higher the limit, the more senders a target has.
+//
+// Two instances with different views of the fleet choose different senders for a
+// while. A new sender therefore starts with no tokens and waits until the sender
+// that it replaces has learned of the change.
+//
+// Instances pass a limit on together with a revision number, which increases
+// with each change, so that all instances, including those that join later,
+// converge on the latest change.
+//
+// The package does no I/O and reads no clock.
+package targetlimit
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/mastictray/mastictray/internal/directory"
+)
+
+const (
+	// sendersPerUnitRate is the number of senders of a target for each request per
+	// second of its limit. After an idle period each sender may send one request
+	// at once, so this also bounds the burst that the target receives.
+	sendersPerUnitRate = 1.5
+	// takeoverDelay is how long a new sender waits before it accrues tokens. By
+	// then the sender that it replaces has learned of the change.
+	takeoverDelay = 1500 * time.Millisecond
+	// discoveryTimeout is how long after its start an instance that has not looked
+	// up the fleet yet sends nothing to limited targets.
+	discoveryTimeout = 7 * time.Second
+)
+
+// Report is the latest known limit of a target.
+type Report struct {
+	Target directory.Incarnation
+	// Rate is the limit in requests per second; 0 means unlimited.
+	Rate float64
+	// Revision is incremented by each change of the limit.
+	Revision uint64
+}
+
+// Limiter holds the limits of all targets as one instance knows them. It is not
+// safe for concurrent use.
+type Limiter struct {
+	self            string
+	members         []string
+	membershipKnown bool
+	startedAt       time.Duration
+	targets         map[directory.Incarnation]*target
+}
+
+type target struct {
+	Report
+	// changedAt is when this instance learned of the current limit.
+	changedAt time.Duration
+	// observed is true if an answer to a request of this instance stated the
+	// current limit.
+	observed bool
+	// senderCount is the number of instances that may send to the target; isSender
+	// is true if this instance is one of them.
+	senderCount int
+	isSender    bool
+	// tokens is the number of requests that may be sent now, at most one.
+	tokens    float64
+	updatedAt time.Duration
+}
+
+// New returns a Limiter for the instance self, which starts at now.
+func New(now time.Duration, self string) *Limiter {
+	return &Limiter{self: self, startedAt: now, members: []string{self}, targets: map[directory.Incarnation]*target{}}
+}
+
+// SetFleet sets the names of all instances that may be serving. discovered is
+// true once the fleet has been looked up since the start. An instance that is
+// leaving is not listed and stops sending to limited targets.
+func (l *Limiter) SetFleet(now time.Duration, names []string, discovered bool) {
+	known := discovered || now-l.startedAt > discoveryTimeout
+	if known == l.membershipKnown && slices.Equal(names, l.members) {
+		return
+	}
+	l.members, l.membershipKnown = slices.Clone(names), known
+	for _, t := range l.targets {
+		l.assignSenders(now, t)
+	}
+}
+
+// Observe records the limit that a target stated in its answer to a request sent
+// at the given time, and reports whether the limit changed. The answer to a
+// request sent before the latest change is ignored, since it may be older than
+// that change.
+func (l *Limiter) Observe(now, sentAt time.Duration, id directory.Incarnation, rate float64) (changed bool) {
+	t := l.targets[id]
+	switch {
+	case t == nil && rate == 0:
+		return false
+	case t == nil:
+		t = &target{Report: Report{Target: id}, updatedAt: now}
+		l.targets[id] = t
+	case t.Rate == rate:
+		t.observed = true
+		return false
+	case sentAt < t.changedAt:
+		return false
+	}
+	l.setLimit(now, t, Report{Target: id, Rate: rate, Revision: t.Revision + 1})
+	t.observed = true
+	return true
+}
+
+// ApplyReports merges the reports of another instance. Of two changes with the
+// same revision the stricter limit wins.
+func (l *Limiter) ApplyReports(now time.Duration, reports []Report) {
+	for _, r := range reports {
+		t := l.targets[r.Target]
+		if t == nil {
+			t = &target{updatedAt: now}
+			l.targets[r.Target] = t
+		}
+		if r.Revision > t.Revision || r.Revision == t.Revision && stricter(r.Rate, t.Rate) {
+			l.setLimit(now, t, r)
+			t.observed = false
+		}
+	}
+}
+
+func stricter(a, b float64) bool { return a > 0 && (b == 0 || a < b) }
+
+// setLimit replaces the limit of a target.
+func (l *Limiter) setLimit(now time.Duration, t *target, r Report) {
+	t.advance(now)
+	t.Report, t.changedAt = r, now
+	l.assignSenders(now, t)
+}
+
+// assignSenders determines the target's senders.
+func (l *Limiter) assignSenders(now time.Duration, t *target) {
+	t.advance(now)
+	wasSender := t.isSender
+	t.senderCount = min(len(l.members), max(1, int(math.Ceil(sendersPerUnitRate*t.Rate))))
+	t.isSender = l.membershipKnown && slices.Contains(l.members, l.self) && l.rank(t.Target) < t.senderCount
+	if t.isSender && !wasSender {
+		t.tokens, t.updatedAt = 0, now+takeoverDelay
+	}
+}
+
+// rank returns how many instances precede this one in the rendezvous order of a
+// target.
+func (l *Limiter) rank(id directory.Incarnation) int {
+	own, n := rendezvousWeight(id, l.self), 0
+	for _, name := range l.members {
+		w := rendezvousWeight(id, name)
+		if w > own || w == own && name < l.self {
+			n++
+		}
+	}
+	return n
+}
+
+func rendezvousWeight(id directory.Incarnation, name string) uint64 {
+	return xxhash.Sum64String(id.ID + "/" + name)
+}
+
+// advance accrues this sender's share of the limit up to now, capped at one
+// request.
+func (t *target) advance(now time.Duration) {
+	if now <= t.updatedAt {
+		return
+	}
+	if t.isSender {
+		t.tokens = min(1, t.tokens+t.Rate/float64(t.senderCount)*(now-t.updatedAt).Seconds())
+	}
+	t.updatedAt = now
+}
+
+// LimitedTargets returns the targets that have a limit and, for each of them,
+// whether this instance may send it a request now. The result covers a single
+// request; call it again for the next one.
+func (l *Limiter) LimitedTargets(now time.Duration) (sendable map[directory.Incarnation]bool) {
+	for id, t := range l.targets {
+		if t.Rate == 0 {
+			continue
+		}
+		if sendable == nil {
+			sendable = map[directory.Incarnation]bool{}
+		}
+		sendable[id] = t.canSend(now)
+	}
+	return sendable
+}
+
+// CanSend reports whether this instance may send a request to a target now.
+func (l *Limiter) CanSend(now time.Duration, id directory.Incarnation) bool {
+	t := l.targets[id]
+	return t == nil || t.canSend(now)
+}
+
+func (t *target) canSend(now time.Duration) bool {
+	if t.Rate == 0 {
+		return true
+	}
+	t.advance(now)
+	return t.isSender && t.tokens >= 1
+}
+
+// RecordSend records that a request is being sent to a target.
+func (l *Limiter) RecordSend(now time.Duration, id directory.Incarnation) {
+	if t := l.targets[id]; t != nil && t.Rate > 0 {
+		t.advance(now)
+		t.tokens--
+	}
+}
+
+// Reports returns the limits to pass on to other instances: those of the targets
+// that this instance sends to, so that joining instances learn of them, and
+// those that it has observed itself.
+func (l *Limiter) Reports() []Report {
+	var out []Report
+	for _, t := range l.targets {
+		if t.observed || t.isSender {
+			out = append(out, t.Report)
+		}
+	}
+	slices.SortFunc(out, func(a, b Report) int {
+		return cmp.Or(cmp.Compare(a.Target.ID, b.Target.ID), cmp.Compare(a.Target.Born, b.Target.Born))
+	})
+	return out
+}
+
+// Retain drops all targets for which exists returns false.
+func (l *Limiter) Retain(exists func(directory.Incarnation) bool) {
+	for id := range l.targets {
+		if !exists(id) {
+			delete(l.targets, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/targetlimit/limiter_test.go
@@ -0,0 +1,312 @@
+package targetlimit
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/mastictray/mastictray/internal/directory"
+)
+
+const ms = time.Millisecond
+
+var testTarget = directory.Incarnation{ID: "one", Born: 1}
+
+// newSingleInstance returns a limiter that knows that it is the only instance.
+func newSingleInstance() *Limiter {
+	l := New(0, "a")
+	l.SetFleet(0, []string{"a"}, true)
+	return l
+}
+
+func TestLimitHoldsUntilTargetStatesAnother(t *testing.T) {
+	is := is.New(t)
+	l := newSingleInstance()
+	is.True(!l.Observe(0, 0, testTarget, 0))
+	is.True(l.CanSend(0, testTarget))
+	is.True(l.Observe(ms, 0, testTarget, 2))
+	is.True(!l.CanSend(ms, testTarget))
+	is.True(!l.Observe(2*ms, 0, testTarget, 0)) // sent before the limit was known
+	is.True(!l.CanSend(2*ms, testTarget))
+	is.True(l.Observe(time.Minute, time.Minute, testTarget, 0))
+	is.True(l.CanSend(time.Minute, testTarget))
+}
+
+func TestSenderKeepsItsShareOfTheLimit(t *testing.T) {
+	is := is.New(t)
+	l := newSingleInstance()
+	l.Observe(0, 0, testTarget, 2)
+	sent := 0
+	for now := time.Duration(0); now < 12*time.Second; now += ms {
+		if l.CanSend(now, testTarget) {
+			l.RecordSend(now, testTarget)
+			sent++
+		}
+	}
+	is.Equal(sent, 20) // 2 per second after the first 1.5 s, with at most one request saved up
+	is.True(l.CanSend(time.Hour, testTarget))
+	l.RecordSend(time.Hour, testTarget)
+	is.True(!l.CanSend(time.Hour, testTarget))
+}
+
+// Guards against instances that receive changes in different orders and end up
+// with different limits for good.
+func TestLastChangeCountsAtAllInstances(t *testing.T) {
+	is := is.New(t)
+	a, b, c := newSingleInstance(), newSingleInstance(), newSingleInstance()
+	a.Observe(0, 0, testTarget, 2)
+	b.ApplyReports(0, a.Reports())
+	b.Observe(time.Second, time.Second, testTarget, 5)
+	c.ApplyReports(0, b.Reports())
+	c.ApplyReports(0, a.Reports())
+	a.ApplyReports(0, b.Reports())
+	for _, l := range []*Limiter{a, b, c} {
+		is.Equal(l.targets[testTarget].Rate, 5.0)
+	}
+	// Two concurrent changes: the stricter limit wins.
+	a.Observe(2*time.Second, 2*time.Second, testTarget, 0)
+	b.Observe(2*time.Second, 2*time.Second, testTarget, 7)
+	reportsA, reportsB := a.Reports(), b.Reports()
+	a.ApplyReports(0, reportsB)
+	b.ApplyReports(0, reportsA)
+	is.Equal(a.targets[testTarget].Rate, 7.0)
+	is.Equal(b.targets[testTarget].Rate, 7.0)
+}
+
+// Guards against a leaving sender that keeps sending next to its replacement.
+func TestLeavingInstanceSendsNothing(t *testing.T) {
+	is := is.New(t)
+	l := newSingleInstance()
+	l.Observe(0, 0, testTarget, 2)
+	is.True(l.CanSend(time.Minute, testTarget))
+	l.SetFleet(time.Minute, []string{"b"}, true)
+	is.True(!l.CanSend(2*time.Minute, testTarget))
+}
+
+func TestTargetThatIsGoneIsForgotten(t *testing.T) {
+	is := is.New(t)
+	l := newSingleInstance()
+	l.Observe(0, 0, testTarget, 2)
+	l.Retain(func(directory.Incarnation) bool { return false })
+	is.True(l.CanSend(0, testTarget))
+	is.Equal(len(l.Reports()), 0)
+}
+
+const (
+	simStep = 5 * ms
+	// simReportInterval is the time between two reports of an instance;
+	// simMembershipDelay bounds how late an instance learns of a change of the
+	// fleet.
+	simReportInterval  = 325 * ms
+	simMembershipDelay = time.Second
+	simResponseTime    = 20 * ms
+	// simWindow, simFactor and simSlack bound the requests that a target gets from
+	// processes that have known its limit for at least simLimitNotice. The bound
+	// holds from simSettleTime after the limit was first stated and after the
+	// start of the sending process.
+	simWindow      = 4 * time.Second
+	simFactor      = 1.5
+	simSlack       = 5
+	simLimitNotice = 500 * ms
+	simSettleTime  = 3 * time.Second
+)
+
+// simProcess is one incarnation of an instance.
+type simProcess struct {
+	limiter        *Limiter
+	startedAt      time.Duration
+	limitedAt      time.Duration   // when the first answer with a limit arrived; 0 if none has
+	pendingAnswers []time.Duration // send times of the requests that are not answered yet
+}
+
+// simInstance sends to the target whenever it has a request and is allowed to.
+type simInstance struct {
+	*simProcess
+	name string
+	down bool
+	// views are the membership views that it has yet to receive.
+	views []simView
+}
+
+type simView struct {
+	at    time.Duration
+	names []string
+}
+
+type simArrival struct {
+	at   time.Duration
+	from *simProcess
+}
+
+// simFleet is a set of instances that share one target.
+type simFleet struct {
+	now       time.Duration
+	rng       *rand.Rand
+	instances []*simInstance
+	rate      float64 // limit that the target states; 0 for none
+	demand    float64 // requests per second over all instances
+	statedAt  time.Duration
+	arrivals  []simArrival
+}
+
+func newSimFleet(n int, demand float64) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(uint64(n), 7)), demand: demand}
+	f.join(n)
+	for _, x := range f.instances {
+		x.limiter.SetFleet(0, f.names(), true)
+	}
+	return f
+}
+
+// setTargetLimit makes the target state a limit from now on.
+func (f *simFleet) setTargetLimit(rate float64) { f.rate, f.statedAt = rate, f.now }
+
+func (f *simFleet) names() []string {
+	var out []string
+	for _, x := range f.instances {
+		if !x.down {
+			out = append(out, x.name)
+		}
+	}
+	return out
+}
+
+// join adds instances; the others learn of them after a delay.
+func (f *simFleet) join(n int) {
+	for range n {
+		x := &simInstance{name: fmt.Sprintf("n%03d", len(f.instances))}
+		f.instances = append(f.instances, x)
+		f.start(x)
+	}
+	f.publishMembership()
+}
+
+func (f *simFleet) start(x *simInstance) {
+	x.simProcess = &simProcess{limiter: New(f.now, x.name), startedAt: f.now}
+}
+
+func (f *simFleet) leave(names []string) {
+	for _, x := range f.instances {
+		x.down = x.down || slices.Contains(names, x.name)
+	}
+	f.publishMembership()
+}
+
+// restart replaces processes by new ones without any state.
+func (f *simFleet) restart(names []string) {
+	for _, x := range f.instances {
+		if slices.Contains(names, x.name) {
+			f.start(x)
+		}
+	}
+	f.publishMembership()
+}
+
+func (f *simFleet) publishMembership() {
+	names := f.names()
+	for _, x := range f.instances {
+		x.views = append(x.views, simView{at: f.now + time.Duration(f.rng.Int64N(int64(simMembershipDelay))), names: names})
+	}
+}
+
+func (f *simFleet) run(d time.Duration) {
+	for end := f.now + d; f.now < end; f.now += simStep {
+		if f.now%simReportInterval < simStep {
+			f.exchangeReports()
+		}
+		up := len(f.names())
+		for _, x := range f.instances {
+			if !x.down {
+				f.step(x, f.demand*simStep.Seconds()/float64(up))
+			}
+		}
+	}
+}
+
+func (f *simFleet) exchangeReports() {
+	for _, x := range f.instances {
+		for _, y := range f.instances {
+			if x != y && !x.down && !y.down {
+				y.limiter.ApplyReports(f.now, x.limiter.Reports())
+			}
+		}
+	}
+}
+
+// step delivers what is due to an instance and sends a request if it has one and
+// is allowed to.
+func (f *simFleet) step(x *simInstance, probability float64) {
+	for len(x.views) > 0 && x.views[0].at <= f.now {
+		x.limiter.SetFleet(f.now, x.views[0].names, true)
+		x.views = x.views[1:]
+	}
+	for len(x.pendingAnswers) > 0 && x.pendingAnswers[0]+simResponseTime <= f.now {
+		x.limiter.Observe(f.now, x.pendingAnswers[0], testTarget, f.rate)
+		if f.rate > 0 && x.limitedAt == 0 {
+			x.limitedAt = f.now
+		}
+		x.pendingAnswers = x.pendingAnswers[1:]
+	}
+	if f.rng.Float64() < probability && x.limiter.CanSend(f.now, testTarget) {
+		x.limiter.RecordSend(f.now, testTarget)
+		x.pendingAnswers = append(x.pendingAnswers, f.now)
+		f.arrivals = append(f.arrivals, simArrival{at: f.now, from: x.simProcess})
+	}
+}
+
+// maxInWindow returns the most requests that the target received within
+// simWindow from processes to which the bound applies.
+func (f *simFleet) maxInWindow() int {
+	most := 0
+	for i, last := range f.arrivals {
+		if last.at < f.statedAt+simSettleTime {
+			continue
+		}
+		n := 0
+		for _, a := range f.arrivals[:i+1] {
+			p := a.from
+			// The bound does not apply to a process that has just started.
+			stable := p.startedAt == 0 || p.startedAt+simSettleTime <= a.at
+			if last.at-a.at < simWindow && p.limitedAt > 0 && p.limitedAt+simLimitNotice <= last.at && stable {
+				n++
+			}
+		}
+		most = max(most, n)
+	}
+	return most
+}
+
+// Guards against a fleet that together exceeds a target's limit, including while
+// instances start, join and leave, and against one that leaves the target idle.
+func TestFleetKeepsTheLimit(t *testing.T) {
+	for _, n := range []int{1, 6, 61} {
+		for _, rate := range []float64{0.4, 1.8, 7, 40} {
+			t.Run(fmt.Sprintf("%d instances, %v a second", n, rate), func(t *testing.T) {
+				is := is.New(t)
+				allowed := int(simFactor*rate*simWindow.Seconds()) + simSlack
+				f := newSimFleet(n, 4+1.5*rate)
+				f.run(5 * time.Second)
+				f.setTargetLimit(rate)
+				f.run(10 * time.Second)
+				arrivalsBefore := len(f.arrivals)
+				f.demand = 10*rate + 5*float64(n) // every instance has several requests per second
+				f.run(20 * time.Second)
+				is.True(float64(len(f.arrivals)-arrivalsBefore) >= 0.7*rate*20) // the target is not left idle
+				f.join(max(1, n/2))
+				f.run(3 * time.Second)
+				f.restart(f.names()[:max(1, n/2)])
+				f.run(3 * time.Second)
+				f.leave(f.names()[:n/3])
+				f.run(3 * time.Second)
+				f.restart(f.names())
+				f.run(10 * time.Second)
+				t.Logf("most in a window %d, allowed %d", f.maxInWindow(), allowed)
+				is.True(f.maxInWindow() <= allowed)
+			})
+		}
+	}
+}
