--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,24 +1,25 @@
-// Package quota keeps client accounts within their rate and burst over a
-// whole fleet by telling the other instances what was spent.
+// Package quota keeps client accounts within their rate and burst over the whole
+// fleet by exchanging usage counts between instances.
 //
-// Each instance counts what it admits and sends the counts to its peers every
-// few hundred milliseconds. An instance that hears all others holds the whole
-// bucket of an account and takes off it what the others spent. An instance
-// that hears only some of the fleet holds their part of the bucket: the parts
-// of two halves that cannot talk add up to the whole, and each half goes on
-// serving.
+// Each instance counts the tokens that it admits and reports the counts to its
+// peers every few hundred milliseconds. An instance that hears from all others
+// uses the whole bucket of an account and deducts what the others report as
+// spent. An instance that hears from only some of the fleet uses their fraction
+// of the bucket: the fractions of two halves of a partitioned fleet add up to
+// the whole, and each half keeps serving.
 //
-// What is spent between two messages is seen late. If every instance admitted
-// against all that it sees in the bucket, callers that were told to come back
-// when it fills would be admitted on each of them. So between two messages an
-// instance admits no more than twice its share of what is left, after the
-// account's recent spending here and elsewhere, and one request beyond; while
-// the account has not been short, a larger multiple, since requests come
-// unevenly. The debt that is left is paid before anything else is admitted.
-// Leases of parts (package rate) admit no such debt but need the log every few
-// seconds; counts need it never.
+// Spending between two reports is seen late. If each instance admitted against
+// the whole balance that it sees, callers that were told to come back when the
+// bucket refills would be admitted by all instances at once. Between two reports
+// an instance therefore admits at most twice its share of the remaining tokens,
+// in proportion to the account's recent spending here and elsewhere, plus one
+// request; while the account is not depleted the multiple is larger, since
+// requests arrive unevenly. Overspending leaves a negative balance, which is
+// refilled before anything else is admitted. Leases of mint slots (package rate)
+// allow no overspending but need the log every few seconds; usage counts never
+// need it.
 //
-// The package is pure.
+// The package does no I/O and reads no clock.
 package quota
 
 import (
@@ -26,266 +27,274 @@
 	"time"
 )
 
-// Limit is an account's rate and burst over the whole fleet.
+// Limit is the rate and burst of an account over the whole fleet.
 type Limit struct {
-	// Rate is tokens a second; 0 for no limit.
+	// Rate is in tokens per second; 0 means unlimited.
 	Rate  float64
 	Burst float64
 }
 
-// PeerTimeout is the silence, unless SetFleet gives another, after which a
-// peer's part of the buckets is left
-// to it: four intervals of the exchange, so that one lost message does not
-// shrink the bucket.
+// PeerTimeout is the default time without a report after which a peer counts as
+// silent and its fraction of the buckets is left to it. It is four report
+// intervals, so that a single lost report does not shrink the bucket.
 const PeerTimeout = time.Second
 
-// Limiter decides on the requests of one instance. It is not safe for
-// concurrent use.
+// Limiter decides on the requests of one instance. It is not safe for concurrent
+// use.
 type Limiter struct {
 	limits   map[string]Limit
 	accounts map[string]*account
 	peers    map[string]*peer
-	// fleet is the number of instances that may be serving, this one too.
-	fleet int
-	// silence is the time after which a peer counts as silent.
-	silence time.Duration
+	// fleetSize is the number of instances that may be serving, including this
+	// one.
+	fleetSize int
+	// peerTimeout is the time without a report after which a peer counts as
+	// silent.
+	peerTimeout time.Duration
 }
 
 type account struct {
-	balance float64
-	at      time.Duration
-	// spent counts all that this instance has admitted, told what its last
-	// message says of that.
-	spent, told float64
-	// here and fleet are what was lately spent at this instance and, as far as
-	// was reported, at all of them.
-	here, fleet float64
-	// shortUntil is the end of the time in which the account counts as short.
-	shortUntil time.Duration
+	balance   float64
+	updatedAt time.Duration
+	// spent is the total that this instance has admitted; reported is the part of
+	// it that the latest report included.
+	spent, reported float64
+	// recentLocal and recentFleet are decaying sums of the tokens spent at this
+	// instance and, as far as reported, at all instances.
+	recentLocal, recentFleet float64
+	// depletedUntil is when the account stops counting as depleted.
+	depletedUntil time.Duration
 }
 
 const (
-	// recentFor is how fast recent spending fades, as the time in which it
-	// falls by 1/e: long enough for several requests of a caller, short enough
-	// to follow callers that move to other instances.
-	recentFor = 4 * time.Second
-	// evenPart is the part of an account's rate that counts as spent by all
-	// instances alike. An instance to which callers come anew has a share by
-	// it; one that gets all of the traffic keeps some eight tenths.
-	evenPart = 0.25
-	// shortFor is how long after a request found too few tokens the account
-	// counts as short: longer than its callers wait to come back.
-	shortFor = 2 * time.Second
-	// shortShares is the multiple of its share that an instance may admit while
-	// the account is short: the fleet may then admit twice what is left, and
-	// requests that come unevenly are seldom refused while there are tokens.
-	shortShares = 2.0
-	// looseShares is the multiple of its share that an instance may admit
-	// while the account is not short. Requests that come three at a time are
-	// then refused no more often than without shares (a simulation of 61
-	// instances, 300 ms between messages); with 4 one in a hundred was.
-	looseShares = 8.0
+	// recentSpendDecay is the time in which the sums of recent spending decay to
+	// 1/e: long enough to cover several requests of a caller, short enough to
+	// follow callers that move to other instances.
+	recentSpendDecay = 4 * time.Second
+	// evenSpendFraction is the fraction of an account's rate that is assumed to be
+	// spent evenly by all instances. It gives a share to an instance that the
+	// account's callers have just moved to; an instance with all of the traffic
+	// keeps about eight tenths.
+	evenSpendFraction = 0.25
+	// depletedPeriod is how long an account counts as depleted after a request
+	// found too few tokens: longer than its refused callers wait before they
+	// retry.
+	depletedPeriod = 2 * time.Second
+	// depletedShareFactor is the multiple of its share that an instance may admit
+	// while the account is depleted: the fleet may then admit twice the remaining
+	// tokens, and uneven arrivals are rarely refused while tokens are left.
+	depletedShareFactor = 2.0
+	// normalShareFactor is the multiple of its share that an instance may admit
+	// while the account is not depleted. In a simulation of 61 instances with
+	// 300 ms between reports, requests that arrive three at a time were then
+	// refused no more often than without shares; with a factor of 4 one in a
+	// hundred was refused.
+	normalShareFactor = 8.0
 )
 
 type peer struct {
-	// updated is when its last report was made.
-	updated time.Duration
-	spent   map[string]float64
+	// lastReportAt is when the peer made its latest report.
+	lastReportAt time.Duration
+	spent        map[string]float64
 }
 
-// New makes a limiter for a fleet of one without limits.
+// New returns a Limiter without limits for a fleet of one instance.
 func New() *Limiter {
-	return &Limiter{limits: map[string]Limit{}, accounts: map[string]*account{}, peers: map[string]*peer{}, fleet: 1, silence: PeerTimeout}
+	return &Limiter{limits: map[string]Limit{}, accounts: map[string]*account{}, peers: map[string]*peer{}, fleetSize: 1, peerTimeout: PeerTimeout}
 }
 
-// SetLimits takes the limits of a new configuration.
+// SetLimits replaces the limits of all accounts.
 func (l *Limiter) SetLimits(now time.Duration, limits map[string]Limit) {
-	part := l.part(now)
+	fraction := l.fleetFraction(now)
 	for name, a := range l.accounts {
-		l.advance(now, a, l.limits[name], part)
+		l.advance(now, a, l.limits[name], fraction)
 	}
 	l.limits = limits
 	for name := range limits {
-		l.account(now, name)
+		l.ensureAccount(now, name)
 	}
 }
 
-// SetFleetSize gives the number of instances that may be serving, this one too,
-// and the silence after which one of them counts as silent.
-func (l *Limiter) SetFleetSize(now time.Duration, n int, silence time.Duration) {
-	l.settle(now)
-	l.fleet, l.silence = max(1, n), silence
+// SetFleetSize sets the number of instances that may be serving, including this
+// one, and the time without a report after which a peer counts as silent.
+func (l *Limiter) SetFleetSize(now time.Duration, n int, timeout time.Duration) {
+	l.advanceAll(now)
+	l.fleetSize, l.peerTimeout = max(1, n), timeout
 }
 
-// Report is the counts of another instance.
+// Report holds the counts of another instance.
 type Report struct {
-	// Incarnation is that of the instance.
+	// Incarnation identifies the process of the instance.
 	Incarnation string
-	// At is when it counted.
+	// At is when the counts were taken.
 	At time.Duration
-	// Spent is what it has admitted since its start, by account. Counts that have
-	// not changed since its last report may be left out.
+	// Spent is the total that the instance has admitted since its start, by
+	// account. Counts that are unchanged since its previous report may be left
+	// out.
 	Spent map[string]float64
 }
 
-// ApplyReports takes in reports. The first of an instance after a silence only sets where
-// counting starts: what the instance spent meanwhile came out of its own part.
+// ApplyReports deducts what peers report as spent. The first report of a peer
+// after a silence only sets the baseline, since what the peer spent meanwhile
+// came out of its own fraction of the buckets.
 func (l *Limiter) ApplyReports(now time.Duration, reports ...Report) {
-	l.settle(now)
+	l.advanceAll(now)
 	for _, r := range reports {
 		p := l.peers[r.Incarnation]
 		if p == nil {
-			p = &peer{spent: map[string]float64{}, updated: r.At - l.silence - 1}
+			p = &peer{spent: map[string]float64{}, lastReportAt: r.At - l.peerTimeout - 1}
 			l.peers[r.Incarnation] = p
 		}
-		fresh := r.At-p.updated <= l.silence
+		continuous := r.At-p.lastReportAt <= l.peerTimeout
 		for name, total := range r.Spent {
-			if fresh {
-				l.take(now, name, total-p.spent[name])
+			if continuous {
+				l.deductRemote(now, name, total-p.spent[name])
 			}
 			p.spent[name] = total
 		}
-		p.updated = r.At
+		p.lastReportAt = r.At
 	}
 }
 
-func (l *Limiter) take(now time.Duration, name string, tokens float64) {
+func (l *Limiter) deductRemote(now time.Duration, name string, tokens float64) {
 	if tokens > 0 {
-		a := l.account(now, name)
+		a := l.ensureAccount(now, name)
 		a.balance -= tokens
-		a.fleet += tokens
+		a.recentFleet += tokens
 	}
 }
 
-// ReportSpent is what this instance has admitted since its start, by account, for
-// its next message to the peers: what is admitted from now on they do not know.
+// ReportSpent returns what this instance has admitted since its start, by
+// account, for the next report to its peers, and marks it as reported. Whatever
+// is admitted later is unknown to the peers until the next report.
 func (l *Limiter) ReportSpent() map[string]float64 {
-	out := make(map[string]float64, len(l.accounts))
+	counts := make(map[string]float64, len(l.accounts))
 	for name, a := range l.accounts {
-		a.told = a.spent
+		a.reported = a.spent
 		if a.spent > 0 {
-			out[name] = a.spent
+			counts[name] = a.spent
 		}
 	}
-	return out
+	return counts
 }
 
-// Admit spends tokens of an account. When there are not enough it spends
-// nothing and says how long they will take to come in.
+// Admit spends tokens of an account. If there are too few it spends nothing and
+// returns how long until enough have accrued.
 func (l *Limiter) Admit(now time.Duration, name string, tokens float64) (wait time.Duration, ok bool) {
 	limit := l.limits[name]
 	if limit.Rate <= 0 {
 		return 0, true
 	}
-	part := l.part(now)
-	a := l.account(now, name)
-	l.advance(now, a, limit, part)
-	need := min(tokens, part*limit.Burst)
+	fraction := l.fleetFraction(now)
+	a := l.ensureAccount(now, name)
+	l.advance(now, a, limit, fraction)
+	need := min(tokens, fraction*limit.Burst)
 	if a.balance < need {
-		a.shortUntil = now + shortFor
-		return seconds((need - a.balance) / (part * limit.Rate)), false
+		a.depletedUntil = now + depletedPeriod
+		return boundedSeconds((need - a.balance) / (fraction * limit.Rate)), false
 	}
-	if untold := a.spent - a.told; untold > 0 && untold > l.share(now, a, limit, part)*(a.balance+untold) {
-		return l.silence / silentHalves, false
+	if unreported := a.spent - a.reported; unreported > 0 && unreported > l.share(now, a, limit, fraction)*(a.balance+unreported) {
+		return l.peerTimeout / halfIntervalsPerTimeout, false
 	}
 	a.balance -= tokens
 	a.spent += tokens
-	a.here += tokens
-	a.fleet += tokens
+	a.recentLocal += tokens
+	a.recentFleet += tokens
 	return 0, true
 }
 
-// silentHalves is how many halves of the pause between two messages pass until
-// a peer counts as silent. An instance that has admitted its share has half a
-// pause left on average until it may admit more.
-const silentHalves = 8
+// halfIntervalsPerTimeout is the number of half report intervals in the peer
+// timeout. An instance that has used up its share waits half an interval on
+// average until its next report.
+const halfIntervalsPerTimeout = 8
 
-// share is the part of an account's tokens that this instance may admit before
-// its next message: its part of the recent spending, of which those of a fleet
-// add up to one, times what uneven callers need. One that hears no peer soon
-// has its part of the bucket to itself.
-func (l *Limiter) share(now time.Duration, a *account, limit Limit, part float64) float64 {
-	reporting := float64(l.reporting(now))
-	even := evenPart * part * limit.Rate * recentFor.Seconds()
-	share := (a.here + even/reporting) / (a.fleet + even)
-	if now < a.shortUntil {
-		return share * shortShares
+// share returns the fraction of an account's tokens that this instance may admit
+// before its next report: its fraction of the recent spending (these add up to
+// one over the fleet) times a factor that allows for uneven arrivals. An
+// instance that no longer hears its peers soon has a share of one.
+func (l *Limiter) share(now time.Duration, a *account, limit Limit, fraction float64) float64 {
+	reporting := float64(l.reportingInstances(now))
+	evenSpend := evenSpendFraction * fraction * limit.Rate * recentSpendDecay.Seconds()
+	share := (a.recentLocal + evenSpend/reporting) / (a.recentFleet + evenSpend)
+	if now < a.depletedUntil {
+		return share * depletedShareFactor
 	}
-	return share * looseShares
+	return share * normalShareFactor
 }
 
-// Refund gives back the tokens of a request that was admitted and has not run.
+// Refund returns the tokens of a request that was admitted but did not run.
 func (l *Limiter) Refund(now time.Duration, name string, tokens float64) {
 	if l.limits[name].Rate <= 0 {
 		return
 	}
-	a := l.account(now, name)
+	a := l.ensureAccount(now, name)
 	a.balance += tokens
 	a.spent -= tokens
-	a.here = max(0, a.here-tokens)
-	a.fleet = max(0, a.fleet-tokens)
+	a.recentLocal = max(0, a.recentLocal-tokens)
+	a.recentFleet = max(0, a.recentFleet-tokens)
 }
 
-// account finds the account's bucket or makes one. It starts empty, when the
-// account is first known: after a restart of the fleet full buckets would let
-// a second burst through.
-func (l *Limiter) account(now time.Duration, name string) *account {
+// ensureAccount returns the account's bucket and creates it if needed. A new
+// bucket is empty: full ones would allow a second burst after a restart of the
+// fleet.
+func (l *Limiter) ensureAccount(now time.Duration, name string) *account {
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{at: now}
+		a = &account{updatedAt: now}
 		l.accounts[name] = a
 	}
 	return a
 }
 
-// part is the part of the fleet's buckets that this instance draws from: its
-// own and those of the peers that report to it.
-func (l *Limiter) part(now time.Duration) float64 {
-	return min(1, float64(l.reporting(now))/float64(l.fleet))
+// fleetFraction returns the fraction of the fleet's buckets that this instance
+// draws from: its own and those of the peers that report to it.
+func (l *Limiter) fleetFraction(now time.Duration) float64 {
+	return min(1, float64(l.reportingInstances(now))/float64(l.fleetSize))
 }
 
-// reporting is the number of instances whose counts are known, this one too.
-func (l *Limiter) reporting(now time.Duration) int {
+// reportingInstances returns the number of instances whose counts are known,
+// including this one.
+func (l *Limiter) reportingInstances(now time.Duration) int {
 	n := 1
 	for _, p := range l.peers {
-		if now-p.updated <= l.silence {
+		if now-p.lastReportAt <= l.peerTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// settle brings all buckets to now, before the part changes, and forgets
-// peers that were silent for long.
-func (l *Limiter) settle(now time.Duration) {
-	part := l.part(now)
+// advanceAll advances all buckets to now, which is needed before the fleet
+// fraction changes, and drops peers that have been silent for long.
+func (l *Limiter) advanceAll(now time.Duration) {
+	fraction := l.fleetFraction(now)
 	for name, a := range l.accounts {
-		l.advance(now, a, l.limits[name], part)
+		l.advance(now, a, l.limits[name], fraction)
 	}
 	for id, p := range l.peers {
-		if now-p.updated > forgetAfter {
+		if now-p.lastReportAt > peerRetention {
 			delete(l.peers, id)
 		}
 	}
 }
 
-// forgetAfter is when a silent peer's counts are dropped.
-const forgetAfter = time.Minute
+// peerRetention is how long the counts of a silent peer are kept.
+const peerRetention = time.Minute
 
-func (l *Limiter) advance(now time.Duration, a *account, limit Limit, part float64) {
-	if now > a.at {
-		fade := math.Exp(-float64(now-a.at) / float64(recentFor))
-		a.here *= fade
-		a.fleet *= fade
-		a.balance += part * limit.Rate * (now - a.at).Seconds()
-		a.at = now
+func (l *Limiter) advance(now time.Duration, a *account, limit Limit, fraction float64) {
+	if now > a.updatedAt {
+		decay := math.Exp(-float64(now-a.updatedAt) / float64(recentSpendDecay))
+		a.recentLocal *= decay
+		a.recentFleet *= decay
+		a.balance += fraction * limit.Rate * (now - a.updatedAt).Seconds()
+		a.updatedAt = now
 	}
-	a.balance = min(a.balance, part*limit.Burst)
+	a.balance = min(a.balance, fraction*limit.Burst)
 }
 
-func seconds(s float64) time.Duration {
-	return time.Duration(math.Min(s, maxWaitSeconds) * float64(time.Second))
+func boundedSeconds(s float64) time.Duration {
+	return time.Duration(math.Min(s, maxRetryAfterSeconds) * float64(time.Second))
 }
 
-// maxWaitSeconds bounds the hint for a limit that is next to nothing.
-const maxWaitSeconds = 60
+// maxRetryAfterSeconds bounds the retry hint for accounts with a rate close to 0.
+const maxRetryAfterSeconds = 60
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -15,11 +15,11 @@
 const (
 	testRate  = 1000.0
 	testBurst = 1000.0
-	// exchange is the pause between two messages in these tests.
-	exchange = 250 * time.Millisecond
+	// reportInterval is the time between two reports.
+	reportInterval = 250 * time.Millisecond
 )
 
-// fleet is instances that tell each other what they spent.
+// fleet is a set of instances that report to each other what they spent.
 type fleet struct {
 	now       time.Duration
 	instances []*Limiter
@@ -42,10 +42,10 @@
 	return f
 }
 
-// step moves the time on; every instance is asked for tokens, and those that
-// reach each other exchange counts.
-func (f *fleet) step(tokens float64, reach func(from, to int) bool) {
-	f.now += exchange
+// step advances the time by one interval. Each instance gets a request, and
+// instances that can reach each other exchange reports.
+func (f *fleet) step(tokens float64, reachable func(from, to int) bool) {
+	f.now += reportInterval
 	for _, l := range f.instances {
 		if _, ok := l.Admit(f.now, "a", tokens); ok {
 			f.admitted = append(f.admitted, admission{f.now, tokens})
@@ -53,15 +53,15 @@
 	}
 	for from, l := range f.instances {
 		for to, peer := range f.instances {
-			if from != to && reach(from, to) {
+			if from != to && reachable(from, to) {
 				peer.ApplyReports(f.now, Report{Incarnation: string(rune('a' + from)), At: f.now, Spent: l.ReportSpent()})
 			}
 		}
 	}
 }
 
-// most is the most tokens admitted in any window.
-func (f *fleet) most(window time.Duration) float64 {
+// maxInWindow returns the most tokens admitted in any window.
+func (f *fleet) maxInWindow(window time.Duration) float64 {
 	most := 0.0
 	for i := range f.admitted {
 		sum := 0.0
@@ -75,45 +75,45 @@
 	return most
 }
 
-func all(int, int) bool { return true }
+func fullyConnected(int, int) bool { return true }
 
-// An account asks for far more than its rate on every instance. The callers
-// that are over the rate are refused, the rate itself is served, and what is
-// spent between two messages comes off what is admitted next.
+// An account requests far more than its rate on every instance. What exceeds the
+// rate is refused, the rate itself is served, and tokens spent between two
+// reports are deducted from what is admitted next.
 func TestFleetStaysWithinTheRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
 	for range 120 {
-		f.step(100, all)
+		f.step(100, fullyConnected)
 	}
 	const window = 8 * time.Second
 	inOneInterval := 6 * 100.0
-	is.True(f.most(window) <= testRate*window.Seconds()+testBurst+inOneInterval)
-	is.True(f.most(window) >= testRate*window.Seconds()*0.9)
+	is.True(f.maxInWindow(window) <= testRate*window.Seconds()+testBurst+inOneInterval)
+	is.True(f.maxInWindow(window) >= testRate*window.Seconds()*0.9)
 }
 
-// The fleet is cut in two halves that cannot talk. Each goes on serving its
-// part; together they stay within the rate.
+// The fleet is partitioned into two halves that cannot talk. Each keeps serving
+// its fraction, and together they stay within the rate.
 func TestHalvesThatCannotTalkShareTheRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
-	sides := func(from, to int) bool { return (from < 2) == (to < 2) }
+	sameSide := func(from, to int) bool { return (from < 2) == (to < 2) }
 	for range 20 {
-		f.step(100, all)
+		f.step(100, fullyConnected)
 	}
-	cut := len(f.admitted)
+	beforePartition := len(f.admitted)
 	for range 120 {
-		f.step(100, sides)
+		f.step(100, sameSide)
 	}
-	f.admitted = f.admitted[cut:]
+	f.admitted = f.admitted[beforePartition:]
 	const window = 8 * time.Second
-	is.True(f.most(window) <= testRate*window.Seconds()+testBurst+6*100)
-	is.True(f.most(window) >= testRate*window.Seconds()*0.8)
+	is.True(f.maxInWindow(window) <= testRate*window.Seconds()+testBurst+6*100)
+	is.True(f.maxInWindow(window) >= testRate*window.Seconds()*0.8)
 }
 
-// Links fail and heal at any time, one way or both. Whatever the order, no
-// window holds more than the rate, the burst and what can be spent unseen
-// while a silent peer still counts as heard.
+// Links fail and heal at any time, in one or both directions. No window holds
+// more than the rate, the burst and what may be spent unseen until a peer that
+// fell silent counts as silent.
 func TestRateHoldsUnderAnyCuts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "instances")
@@ -128,17 +128,17 @@
 			f.step(tokens, func(from, to int) bool { return !down[[2]int{from, to}] })
 		}
 		const window = 8 * time.Second
-		// Each loss of a link goes unseen for PeerTimeout, in which its two
-		// ends may each spend from the whole bucket.
+		// A link failure goes unnoticed for PeerTimeout, during which both ends may
+		// spend from the whole bucket.
 		unseen := float64(n) * (testBurst + testRate*PeerTimeout.Seconds())
-		if got := f.most(window); got > testRate*window.Seconds()+testBurst+unseen {
+		if got := f.maxInWindow(window); got > testRate*window.Seconds()+testBurst+unseen {
 			rt.Fatalf("%.0f tokens in %v", got, window)
 		}
 	})
 }
 
-// An instance restarts again and again. Each time it could admit a whole burst
-// if its bucket started full; it starts empty.
+// Guards against an instance that restarts repeatedly and admits a whole burst
+// each time because its bucket starts full.
 func TestRestartedInstanceStartsWithoutTokens(t *testing.T) {
 	is := is.New(t)
 	l := New()
@@ -152,10 +152,10 @@
 	is.True(ok)
 }
 
-// A peer is silent for a while and then heard again. What it spent meanwhile
-// came out of its own part: taken off here too, it would stop this instance
-// for seconds.
-func TestSpentInSilenceIsNotTakenTwice(t *testing.T) {
+// Guards against deducting a peer's spending twice. What a peer spent while it
+// was silent came out of its own fraction; deducted here as well, it would block
+// this instance for seconds.
+func TestSpendDuringSilenceIsNotDeducted(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.SetLimits(0, map[string]Limit{"a": {Rate: testRate, Burst: testBurst}})
@@ -166,9 +166,9 @@
 	is.True(ok)
 }
 
-// A request larger than what the bucket can ever hold is admitted once the
-// bucket is full and paid off afterwards; it would else never run.
-func TestRequestLargerThanTheBucket(t *testing.T) {
+// A request larger than the bucket is admitted once the bucket is full and
+// leaves a debt; otherwise it could never run.
+func TestRequestLargerThanTheBurst(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	l.SetLimits(0, map[string]Limit{"a": {Rate: testRate, Burst: testBurst}})
