--- a/internal/poison/config.go
+++ b/internal/poison/config.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Config bounds a Registry. Zero fields take their defaults.
+// Config holds the limits and timeouts of a Registry. Zero fields take their
+// defaults.
 type Config struct {
-	// Self is this instance's incarnation, as its peers call it.
+	// Self is the incarnation of this instance, by which its peers address it.
 	Self string
 	// SuspectTTL is how long a crash counts against a fingerprint.
 	SuspectTTL time.Duration
-	// QuarantineTTL is how long a fingerprint stays refused.
+	// QuarantineTTL is how long a quarantined fingerprint is refused.
 	QuarantineTTL time.Duration
-	// MaxCrashes and MaxSuspects bound the memory; the oldest go first.
+	// MaxCrashes and MaxSuspects bound the memory; the oldest entries are evicted
+	// first.
 	MaxCrashes  int
 	MaxSuspects int
-	// HoldBound is the longest that requests of a crashed target wait for
-	// the peers to know of the crash.
-	HoldBound time.Duration
-	// PermitTTL is how long a permit lives without a hold message; holds
-	// are sent at a third of it.
+	// AckTimeout bounds how long the requests of a crashed target are held until
+	// the peers have acknowledged the crash.
+	AckTimeout time.Duration
+	// PermitTTL is how long a permit stays valid without a hold message. Holders
+	// send one every third of it.
 	PermitTTL time.Duration
-	// AskTimeout is the longest wait for a permit.
+	// AskTimeout bounds the wait for a permit.
 	AskTimeout time.Duration
 }
 
@@ -28,7 +30,7 @@
 	setDefault(&c.QuarantineTTL, time.Hour)
 	setDefault(&c.MaxCrashes, 256)
 	setDefault(&c.MaxSuspects, 8192)
-	setDefault(&c.HoldBound, 300*time.Millisecond)
+	setDefault(&c.AckTimeout, 300*time.Millisecond)
 	setDefault(&c.PermitTTL, 3*time.Second)
 	setDefault(&c.AskTimeout, 5*time.Second)
 	return c
--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -1,7 +1,13 @@
-// Package poison recognises requests that crash each target that runs them,
-// and ends them after at most two lost targets over the whole fleet. Requests
-// that shared a crashed target by chance are tried again and cleared.
+// Package poison detects poison requests, which crash every target that runs
+// them, and quarantines them after at most two lost targets over the whole
+// fleet. Requests that happened to share a crashed target are retried and
+// cleared.
 //
-// The package is pure: Registry takes requests, crashes, peers' messages and
-// the time, and hands out messages and verdicts through Ready.
+// Requests with the same fingerprint as one that was lost in a crash are
+// suspects. For each pool one instance, the home, grants the permits to run them:
+// one at a time for each fingerprint and on each target.
+//
+// The package does no I/O and reads no clock: Registry is given requests,
+// crashes, peer messages and the time, and returns messages and decisions
+// through Ready.
 package poison
--- a/internal/poison/fingerprint.go
+++ b/internal/poison/fingerprint.go
@@ -7,15 +7,16 @@
 	"encoding/json"
 )
 
-// Fingerprint names what a request asks for, inside its client account.
+// Fingerprint identifies the content of a request within its client account.
 type Fingerprint [16]byte
 
-// ignoredFields do not change what a target computes: a caller that sends a
-// request again without streaming sends the same request.
+// ignoredFields do not affect what a target computes: a request resent without
+// streaming is the same request.
 var ignoredFields = []string{"stream", "stream_options", "user", "metadata"}
 
-// FingerprintOf computes the fingerprint of a request. JSON bodies that differ only
-// in field order, white space or the ignored fields give the same one.
+// FingerprintOf returns the fingerprint of a request. JSON bodies that differ
+// only in field order, white space or the ignored fields have the same
+// fingerprint.
 func FingerprintOf(account, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	var n [8]byte
@@ -27,7 +28,8 @@
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
-// canonical sorts the fields of a JSON object; other bodies stay as they are.
+// canonical re-encodes a JSON object with sorted fields and without the ignored
+// ones. Other bodies are returned unchanged.
 func canonical(body []byte) []byte {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
@@ -45,8 +47,8 @@
 	return out
 }
 
-// fingerprint reads one from a message.
-func fingerprint(raw []byte) (fp Fingerprint, ok bool) {
+// parseFingerprint checks and converts a fingerprint from a message.
+func parseFingerprint(raw []byte) (fp Fingerprint, ok bool) {
 	if len(raw) != len(fp) {
 		return fp, false
 	}
--- a/internal/poison/home.go
+++ b/internal/poison/home.go
@@ -9,42 +9,45 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// home serialises the suspects of a pool: one run at a time for each
-// fingerprint, so that it can't take two targets with it at once, and one
-// suspect at a time on each target, so that a crash has one culprit.
+// home serialises the suspects of a pool. It grants one permit at a time for
+// each fingerprint, so that the fingerprint cannot take down two targets at
+// once, and one permit at a time on each target, so that a crash has a single
+// suspect as its cause.
 type home struct {
 	cfg     Config
 	permits map[Fingerprint]*permit
 	queue   []ask
-	// settled is when all holds have arrived after a change of peers. A home
-	// that granted before could let a fingerprint run twice at once.
-	settled time.Duration
+	// grantsFrom is when the holds of all permits must have arrived after a change
+	// of peers. A home that grants earlier could let a fingerprint run twice at
+	// once.
+	grantsFrom time.Duration
 }
 
 type permit struct {
-	holder string
-	target string
-	until  time.Duration
+	holder    string
+	target    string
+	expiresAt time.Duration
 }
 
 type ask struct {
-	from    string
-	request string
-	fp      Fingerprint
-	targets []string
-	at      time.Duration
-	until   time.Duration
+	from      string
+	request   string
+	fp        Fingerprint
+	targets   []string
+	askedAt   time.Duration
+	expiresAt time.Duration
 }
 
-// maxQueue bounds the asks that wait.
-const maxQueue = 4096
+// maxQueuedAsks bounds the asks that wait for a permit.
+const maxQueuedAsks = 4096
 
 func newHome(cfg Config) *home {
 	return &home{cfg: cfg, permits: map[Fingerprint]*permit{}}
 }
 
-// homeOf is the instance that serves a pool's suspects: the same on all
-// instances with the same peers, by the highest hash.
+// homeOf returns the instance that grants the permits of a pool. It is chosen by
+// rendezvous hashing, so that all instances with the same peers agree.
+// spreadQuarantine uses it to choose an instance for a fingerprint.
 func homeOf(pool, self string, peers []string) string {
 	best, top := self, xxhash.Sum64String(pool+"\x00"+self)
 	for _, p := range peers {
@@ -55,12 +58,12 @@
 	return best
 }
 
-func (h *home) ask(now time.Duration, from string, b wire.PoisonAsk) {
-	fp, ok := fingerprint(b.Fingerprint)
-	if !ok || len(h.queue) >= maxQueue {
+func (h *home) enqueue(now time.Duration, from string, b wire.PoisonAsk) {
+	fp, ok := parseFingerprint(b.Fingerprint)
+	if !ok || len(h.queue) >= maxQueuedAsks {
 		return
 	}
-	a := ask{from: from, request: b.Request, fp: fp, targets: b.Targets, at: now, until: now + h.cfg.AskTimeout}
+	a := ask{from: from, request: b.Request, fp: fp, targets: b.Targets, askedAt: now, expiresAt: now + h.cfg.AskTimeout}
 	i := slices.IndexFunc(h.queue, func(o ask) bool { return o.from == from && o.request == b.Request })
 	if i >= 0 {
 		h.queue[i] = a
@@ -69,21 +72,21 @@
 	h.queue = append(h.queue, a)
 }
 
-// hold keeps a permit alive, also one that another home granted.
-func (h *home) hold(now time.Duration, from string, b wire.PoisonHold) {
-	fp, ok := fingerprint(b.Fingerprint)
+// renewPermit extends a permit, including one that another home granted.
+func (h *home) renewPermit(now time.Duration, from string, b wire.PoisonHold) {
+	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok {
 		return
 	}
 	if p := h.permits[fp]; p != nil && p.holder != from {
 		return
 	}
-	h.permits[fp] = &permit{holder: from, target: b.Target, until: now + h.cfg.PermitTTL}
+	h.permits[fp] = &permit{holder: from, target: b.Target, expiresAt: now + h.cfg.PermitTTL}
 }
 
-// done ends a permit, or the asks of a request that gave up.
-func (h *home) done(from string, b wire.PoisonDone) {
-	fp, ok := fingerprint(b.Fingerprint)
+// endPermit ends a permit, or removes the ask of a request that no longer waits.
+func (h *home) endPermit(from string, b wire.PoisonDone) {
+	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok {
 		return
 	}
@@ -96,20 +99,20 @@
 	}
 }
 
-// lost takes a target that crashed at a time out of the asks from before it.
-// The asks name the targets that were up when they came; no suspect runs on the
-// crashed one any more, so it would be given to the next of them at once, and
-// that one's stream would end at a refused connection.
-func (h *home) lost(target string, at time.Duration) {
+// removeCrashedTarget removes a target that crashed at the given time from the
+// asks received before. An ask lists the targets that were up when it was sent.
+// No suspect runs on the crashed target any more, so without this the next ask
+// would get it at once and its stream would end with a refused connection.
+func (h *home) removeCrashedTarget(target string, at time.Duration) {
 	for i, a := range h.queue {
-		if a.at <= at && slices.Contains(a.targets, target) {
+		if a.askedAt <= at && slices.Contains(a.targets, target) {
 			h.queue[i].targets = slices.DeleteFunc(slices.Clone(a.targets), func(t string) bool { return t == target })
 		}
 	}
 }
 
-// busy says whether a suspect runs on the target by permit.
-func (h *home) busy(target string) bool {
+// hasSuspect reports whether a suspect holds a permit for the target.
+func (h *home) hasSuspect(target string) bool {
 	for _, p := range h.permits {
 		if p.target == target {
 			return true
@@ -118,8 +121,9 @@
 	return false
 }
 
-// orphans lists the suspects on a target whose permits' holders are gone.
-func (h *home) orphans(target string, peers []string, self string) []Fingerprint {
+// orphanedSuspects returns the suspects on a target whose permit holders are
+// gone.
+func (h *home) orphanedSuspects(target string, peers []string, self string) []Fingerprint {
 	var out []Fingerprint
 	for fp, p := range h.permits {
 		if p.target == target && p.holder != self && !slices.Contains(peers, p.holder) {
@@ -130,17 +134,17 @@
 	return out
 }
 
-func (h *home) tick(now time.Duration) {
+func (h *home) dropExpired(now time.Duration) {
 	for fp, p := range h.permits {
-		if now >= p.until {
+		if now >= p.expiresAt {
 			delete(h.permits, fp)
 		}
 	}
-	h.queue = slices.DeleteFunc(h.queue, func(a ask) bool { return now >= a.until })
+	h.queue = slices.DeleteFunc(h.queue, func(a ask) bool { return now >= a.expiresAt })
 }
 
-// review answers the asks that can be answered now, the oldest first.
-func (h *home) review(now time.Duration, r *Registry) {
+// answerAsks answers all asks that can be decided now, the oldest first.
+func (h *home) answerAsks(now time.Duration, r *Registry) {
 	queue := h.queue
 	h.queue = nil
 	for _, a := range queue {
@@ -148,28 +152,29 @@
 		switch {
 		case r.ledger.quarantined(now, a.fp):
 			g.Quarantined = true
-		case r.ledger.suspicion(a.fp) == 0:
+		case r.ledger.openCrashCount(a.fp) == 0:
 		default:
-			if now >= h.settled {
-				g.Target = h.free(a)
+			if now >= h.grantsFrom {
+				g.Target = h.freeTarget(a)
 			}
 			if g.Target == "" {
 				h.queue = append(h.queue, a)
 				continue
 			}
-			h.permits[a.fp] = &permit{holder: a.from, target: g.Target, until: now + h.cfg.PermitTTL}
+			h.permits[a.fp] = &permit{holder: a.from, target: g.Target, expiresAt: now + h.cfg.PermitTTL}
 		}
 		r.send(now, a.from, wire.KindPoisonGrant, g)
 	}
 }
 
-// free finds a target without a suspect; none while the fingerprint runs.
-func (h *home) free(a ask) string {
+// freeTarget returns a target without a suspect, or "" if there is none or the
+// fingerprint is already running.
+func (h *home) freeTarget(a ask) string {
 	if h.permits[a.fp] != nil {
 		return ""
 	}
 	for _, t := range a.targets {
-		if !h.busy(t) {
+		if !h.hasSuspect(t) {
 			return t
 		}
 	}
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// CrashID names one lost target incarnation. All instances that had requests
-// on it derive the same id, so that one crash is never counted twice.
+// CrashID identifies the loss of one target incarnation. All instances that had
+// requests on it derive the same id, so that a crash is never counted twice.
 type CrashID struct {
 	Target      string
 	Incarnation string
@@ -22,39 +22,42 @@
 type suspect struct {
 	crashes []CrashID
 	cleared []CrashID
-	// quarantined holds until the time.
-	quarantined time.Duration
-	seen        time.Duration
+	// quarantinedUntil is when the quarantine ends.
+	quarantinedUntil time.Duration
+	lastSeen         time.Duration
 }
 
-// quarantineAt is how many crashes a fingerprint may be present at.
-const quarantineAt = 2
+// quarantineThreshold is the number of open crashes at which a fingerprint is
+// quarantined.
+const quarantineThreshold = 2
 
-// ledger is what is known of crashes. Merging is idempotent and the order of
-// merges does not matter.
+// ledger records crashes, suspects and quarantines. Merging crashes and clears is
+// idempotent and independent of their order; whether they lead to a quarantine
+// can depend on the order, see spreadQuarantine.
 type ledger struct {
 	cfg      Config
 	crashes  map[CrashID]*crash
 	suspects map[Fingerprint]*suspect
-	// judged are the fingerprints quarantined here since they were last taken.
-	judged []Fingerprint
+	// newQuarantines are the fingerprints that this instance has quarantined
+	// itself since the last call of takeNewQuarantines.
+	newQuarantines []Fingerprint
 }
 
 func newLedger(cfg Config) *ledger {
 	return &ledger{cfg: cfg, crashes: map[CrashID]*crash{}, suspects: map[Fingerprint]*suspect{}}
 }
 
-func (l *ledger) suspect(now time.Duration, fp Fingerprint) *suspect {
+func (l *ledger) ensureSuspect(now time.Duration, fp Fingerprint) *suspect {
 	s := l.suspects[fp]
 	if s == nil {
-		s = &suspect{seen: now, quarantined: -1}
+		s = &suspect{lastSeen: now, quarantinedUntil: -1}
 		l.suspects[fp] = s
-		l.bound()
+		l.evictOldest()
 	}
 	return s
 }
 
-// addCrash merges a crash and returns whether anything was new.
+// addCrash merges a crash and reports whether any of its fingerprints were new.
 func (l *ledger) addCrash(now time.Duration, id CrashID, age time.Duration, fps []Fingerprint) bool {
 	if age >= l.cfg.SuspectTTL {
 		return false
@@ -64,49 +67,52 @@
 		c = &crash{id: id, fps: map[Fingerprint]bool{}, at: now - age}
 		l.crashes[id] = c
 	}
-	fresh := false
+	added := false
 	for _, fp := range fps {
 		if c.fps[fp] {
 			continue
 		}
-		fresh = true
+		added = true
 		c.fps[fp] = true
-		s := l.suspect(now, fp)
+		s := l.ensureSuspect(now, fp)
 		s.crashes = append(s.crashes, id)
-		s.seen = now
+		s.lastSeen = now
 	}
 	for _, fp := range fps {
-		l.judge(now, fp)
+		l.quarantineRepeated(now, fp)
 	}
-	l.bound()
-	return fresh
+	l.evictOldest()
+	return added
 }
 
-// judge quarantines a fingerprint that was present at too many crashes.
-func (l *ledger) judge(now time.Duration, fp Fingerprint) {
-	if l.suspicion(fp) >= quarantineAt {
+// quarantineRepeated quarantines a fingerprint that was present at too many
+// crashes.
+func (l *ledger) quarantineRepeated(now time.Duration, fp Fingerprint) {
+	if l.openCrashCount(fp) >= quarantineThreshold {
 		if l.quarantine(now, fp, 0) {
-			l.judged = append(l.judged, fp)
+			l.newQuarantines = append(l.newQuarantines, fp)
 		}
 	}
 }
 
+// quarantine quarantines a fingerprint whose quarantine began age ago, and reports
+// whether it was not quarantined before.
 func (l *ledger) quarantine(now time.Duration, fp Fingerprint, age time.Duration) bool {
-	s := l.suspect(now, fp)
+	s := l.ensureSuspect(now, fp)
 	until := now + l.cfg.QuarantineTTL - age
-	if until <= now || s.quarantined >= until {
+	if until <= now || s.quarantinedUntil >= until {
 		return false
 	}
-	fresh := s.quarantined <= now
-	s.quarantined, s.seen = until, now
-	return fresh
+	newlyQuarantined := s.quarantinedUntil <= now
+	s.quarantinedUntil, s.lastSeen = until, now
+	return newlyQuarantined
 }
 
-// maxCleared bounds what is remembered of one fingerprint's clears.
+// maxCleared bounds the cleared crashes that are remembered for a fingerprint.
 const maxCleared = 64
 
-func (l *ledger) clear(now time.Duration, fp Fingerprint, id CrashID) bool {
-	s := l.suspect(now, fp)
+func (l *ledger) clearCrash(now time.Duration, fp Fingerprint, id CrashID) bool {
+	s := l.ensureSuspect(now, fp)
 	if slices.Contains(s.cleared, id) {
 		return false
 	}
@@ -119,19 +125,20 @@
 
 func (l *ledger) quarantined(now time.Duration, fp Fingerprint) bool {
 	s := l.suspects[fp]
-	return s != nil && s.quarantined > now
+	return s != nil && s.quarantinedUntil > now
 }
 
-// suspicion counts the crashes that the fingerprint may have caused.
-func (l *ledger) suspicion(fp Fingerprint) int {
-	return len(l.open(fp))
+// openCrashCount returns the number of crashes that the fingerprint may have
+// caused.
+func (l *ledger) openCrashCount(fp Fingerprint) int {
+	return len(l.openCrashes(fp))
 }
 
-// open lists the crashes that still count against the fingerprint. A crash
-// counts against all that were there, also when one of them is quarantined:
-// two poison requests may have shared the target. An innocent one is cleared
-// when it completes, and asks for isolation until then.
-func (l *ledger) open(fp Fingerprint) []CrashID {
+// openCrashes returns the crashes that still count against the fingerprint. A
+// crash counts against all fingerprints that were present, even if one of them
+// is quarantined, since two poison requests may have shared the target. An
+// innocent fingerprint runs isolated until it completes and is cleared.
+func (l *ledger) openCrashes(fp Fingerprint) []CrashID {
 	s := l.suspects[fp]
 	if s == nil {
 		return nil
@@ -145,8 +152,8 @@
 	return out
 }
 
-// recent lists the crashes younger than the age, in a fixed order.
-func (l *ledger) recent(now, age time.Duration) []*crash {
+// recentCrashes returns the crashes younger than age, sorted by id.
+func (l *ledger) recentCrashes(now, age time.Duration) []*crash {
 	var out []*crash
 	for _, c := range l.crashes {
 		if now-c.at < age {
@@ -167,36 +174,36 @@
 	}
 	for fp, s := range l.suspects {
 		s.crashes = slices.DeleteFunc(s.crashes, func(id CrashID) bool { return l.crashes[id] == nil })
-		if len(s.crashes) == 0 && s.quarantined <= now && now-s.seen >= l.cfg.SuspectTTL {
+		if len(s.crashes) == 0 && s.quarantinedUntil <= now && now-s.lastSeen >= l.cfg.SuspectTTL {
 			delete(l.suspects, fp)
 		}
 	}
 }
 
-// bound drops the oldest entries when there are too many.
-func (l *ledger) bound() {
+// evictOldest evicts the oldest entries beyond the configured limits.
+func (l *ledger) evictOldest() {
 	for len(l.crashes) > l.cfg.MaxCrashes {
-		var old *crash
+		var oldest *crash
 		for _, c := range l.crashes {
-			if old == nil || c.at < old.at {
-				old = c
+			if oldest == nil || c.at < oldest.at {
+				oldest = c
 			}
 		}
-		delete(l.crashes, old.id)
+		delete(l.crashes, oldest.id)
 	}
 	if len(l.suspects) > l.cfg.MaxSuspects {
-		l.dropSuspect()
+		l.evictSuspect()
 	}
 }
 
-func (l *ledger) dropSuspect() {
-	var oldest Fingerprint
-	var old *suspect
+func (l *ledger) evictSuspect() {
+	var oldestFP Fingerprint
+	var oldest *suspect
 	for fp, s := range l.suspects {
-		if old == nil || s.quarantined < old.quarantined ||
-			s.quarantined == old.quarantined && s.seen < old.seen {
-			oldest, old = fp, s
+		if oldest == nil || s.quarantinedUntil < oldest.quarantinedUntil ||
+			s.quarantinedUntil == oldest.quarantinedUntil && s.lastSeen < oldest.lastSeen {
+			oldestFP, oldest = fp, s
 		}
 	}
-	delete(l.suspects, oldest)
+	delete(l.suspects, oldestFP)
 }
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -10,30 +10,31 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// send hands out a message; one to this instance is taken in at once.
+// send queues a message to a peer. A message to this instance is handled at
+// once.
 func (r *Registry) send(now time.Duration, to string, kind wire.Kind, body any) {
 	if to == r.cfg.Self {
 		r.receive(now, to, body)
 		return
 	}
-	r.out.Messages = append(r.out.Messages, Message{To: to, Kind: kind, Body: body})
+	r.ready.Messages = append(r.ready.Messages, Message{To: to, Kind: kind, Body: body})
 }
 
-// broadcast sends a notice to all peers and waits for their acks.
+// broadcast sends a notice to all peers and starts waiting for their acks.
 func (r *Registry) broadcast(now time.Duration, body wire.PoisonNotice) uint64 {
-	r.nextID++
-	body.ID = r.nextID
-	n := &notice{waiting: map[string]bool{}, until: now + r.cfg.HoldBound}
+	r.lastNoticeID++
+	body.ID = r.lastNoticeID
+	n := &notice{unacked: map[string]bool{}, deadline: now + r.cfg.AckTimeout}
 	for _, p := range r.peers {
-		n.waiting[p] = true
-		r.out.Messages = append(r.out.Messages, Message{To: p, Kind: wire.KindPoisonNotice, Body: body})
+		n.unacked[p] = true
+		r.ready.Messages = append(r.ready.Messages, Message{To: p, Kind: wire.KindPoisonNotice, Body: body})
 	}
-	r.notices[r.nextID] = n
-	return r.nextID
+	r.notices[r.lastNoticeID] = n
+	return r.lastNoticeID
 }
 
-// Receive takes a message from a peer: a PoisonNotice, PoisonAck, PoisonAsk,
-// PoisonGrant, PoisonHold or PoisonDone. Others are ignored.
+// Receive handles a message from a peer: a PoisonNotice, PoisonAck, PoisonAsk,
+// PoisonGrant, PoisonHold or PoisonDone. Other messages are ignored.
 func (r *Registry) Receive(now time.Duration, from string, body any) {
 	r.receive(now, from, body)
 }
@@ -47,67 +48,69 @@
 		}
 	case wire.PoisonAck:
 		if n := r.notices[b.ID]; n != nil {
-			delete(n.waiting, from)
+			delete(n.unacked, from)
 		}
-		r.release(now)
+		r.releaseHeld(now)
 	case wire.PoisonGrant:
-		r.granted(now, from, b)
+		r.handleGrant(now, from, b)
 	case wire.PoisonAsk:
-		r.home.ask(now, from, b)
+		r.home.enqueue(now, from, b)
 	case wire.PoisonHold:
-		r.home.hold(now, from, b)
+		r.home.renewPermit(now, from, b)
 	case wire.PoisonDone:
 		if b.Crash != nil {
 			r.merge(now, wire.PoisonNotice{Crashes: []wire.PoisonCrash{*b.Crash}})
 		}
-		r.home.done(from, b)
+		r.home.endPermit(from, b)
 	}
-	r.home.review(now, r)
+	r.home.answerAsks(now, r)
 }
 
-// merge takes in what a peer knows.
+// merge adds what a peer reports to the ledger.
 func (r *Registry) merge(now time.Duration, b wire.PoisonNotice) {
 	for _, c := range b.Clears {
-		if fp, ok := fingerprint(c.Fingerprint); ok {
-			r.ledger.clear(now, fp, CrashID{Target: c.Target, Incarnation: c.Incarnation})
+		if fp, ok := parseFingerprint(c.Fingerprint); ok {
+			r.ledger.clearCrash(now, fp, CrashID{Target: c.Target, Incarnation: c.Incarnation})
 		}
 	}
 	for _, c := range b.Crashes {
 		id := CrashID{Target: c.Target, Incarnation: c.Incarnation}
-		r.ledger.addCrash(now, id, millis(c.AgeMillis), prints(c.Fingerprints))
-		r.home.lost(c.Target, now-millis(c.AgeMillis))
+		r.ledger.addCrash(now, id, millis(c.AgeMillis), parseFingerprints(c.Fingerprints))
+		r.home.removeCrashedTarget(c.Target, now-millis(c.AgeMillis))
 	}
 	for _, q := range b.Quarantines {
-		if fp, ok := fingerprint(q.Fingerprint); ok && r.ledger.quarantine(now, fp, millis(q.AgeMillis)) {
-			r.relay(now, fp)
+		if fp, ok := parseFingerprint(q.Fingerprint); ok && r.ledger.quarantine(now, fp, millis(q.AgeMillis)) {
+			r.spreadQuarantine(now, fp)
 		}
 	}
-	for _, fp := range r.judged() {
-		r.relay(now, fp)
+	for _, fp := range r.takeNewQuarantines() {
+		r.spreadQuarantine(now, fp)
 	}
-	// A request that waits for a permit and is quarantined meanwhile gets
-	// its final answer at once.
-	for _, q := range r.sorted() {
-		if q.home != "" && !q.permit && r.ledger.quarantined(now, q.fp) {
+	// A request that is quarantined while it waits for a permit gets its final
+	// answer at once.
+	for _, q := range r.sortedRequests() {
+		if q.home != "" && !q.hasPermit && r.ledger.quarantined(now, q.fp) {
 			delete(r.requests, q.id)
-			r.done(now, q, nil)
+			r.releasePermit(now, q, nil)
 			r.decide(q, Quarantined, "")
 		}
 	}
 }
 
-// judged takes the fingerprints that this instance has quarantined by itself.
-func (r *Registry) judged() []Fingerprint {
-	out := r.ledger.judged
-	r.ledger.judged = nil
+// takeNewQuarantines returns the fingerprints that this instance has quarantined
+// itself since the last call.
+func (r *Registry) takeNewQuarantines() []Fingerprint {
+	out := r.ledger.newQuarantines
+	r.ledger.newQuarantines = nil
 	return out
 }
 
-// relay sees to it that all instances quarantine what one does. Crashes that
-// arrive in another order can lead two instances to different judgements: the
-// request would be refused at one and run at the other. One instance for each
-// fingerprint spreads it, so that the messages stay linear in the fleet.
-func (r *Registry) relay(now time.Duration, fp Fingerprint) {
+// spreadQuarantine makes all instances quarantine a fingerprint that one of them
+// has quarantined. Crashes and clears that arrive in different orders can lead
+// two instances to different results, and the request would be refused by one
+// and run by the other. One instance per fingerprint broadcasts the quarantine,
+// which keeps the number of messages linear in the size of the fleet.
+func (r *Registry) spreadQuarantine(now time.Duration, fp Fingerprint) {
 	body := wire.PoisonNotice{Quarantines: []wire.PoisonQuarantine{{Fingerprint: fp[:]}}}
 	to := homeOf(string(fp[:]), r.cfg.Self, r.peers)
 	if to == r.cfg.Self {
@@ -117,11 +120,11 @@
 	r.send(now, to, wire.KindPoisonNotice, body)
 }
 
-func (r *Registry) granted(now time.Duration, from string, b wire.PoisonGrant) {
+func (r *Registry) handleGrant(now time.Duration, from string, b wire.PoisonGrant) {
 	q := r.requests[b.Request]
-	if q == nil || q.home != from || q.permit {
+	if q == nil || q.home != from || q.hasPermit {
 		if b.Target != "" && (q == nil || q.target != b.Target) {
-			// The request has ended: give the permit back.
+			// The request has ended: return the permit.
 			r.send(now, from, wire.KindPoisonDone, wire.PoisonDone{Request: b.Request, Fingerprint: b.Fingerprint, Target: b.Target})
 		}
 		return
@@ -135,12 +138,13 @@
 		q.home = ""
 		r.decide(q, Run, "")
 	default:
-		q.permit, q.target = true, b.Target
+		q.hasPermit, q.target = true, b.Target
 		r.decide(q, Isolate, b.Target)
 	}
 }
 
-// State is all that is known, for a peer that starts or was cut off.
+// State returns everything this instance knows, for a peer that starts or was
+// partitioned.
 func (r *Registry) State(now time.Duration) wire.PoisonNotice {
 	var b wire.PoisonNotice
 	for _, c := range r.ledger.crashes {
@@ -158,8 +162,8 @@
 		for _, id := range s.cleared {
 			b.Clears = append(b.Clears, wire.PoisonClear{Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation})
 		}
-		if s.quarantined > now {
-			age := r.cfg.QuarantineTTL - (s.quarantined - now)
+		if s.quarantinedUntil > now {
+			age := r.cfg.QuarantineTTL - (s.quarantinedUntil - now)
 			b.Quarantines = append(b.Quarantines, wire.PoisonQuarantine{Fingerprint: fp[:], AgeMillis: age.Milliseconds()})
 		}
 	}
@@ -174,13 +178,14 @@
 	return b
 }
 
-// maxPrints bounds the fingerprints of one crash: more than any target runs.
-const maxPrints = 4096
+// maxCrashFingerprints bounds the fingerprints of one crash: more than any
+// target runs at a time.
+const maxCrashFingerprints = 4096
 
-func prints(raw [][]byte) []Fingerprint {
+func parseFingerprints(raw [][]byte) []Fingerprint {
 	var out []Fingerprint
-	for _, p := range raw[:min(len(raw), maxPrints)] {
-		if fp, ok := fingerprint(p); ok {
+	for _, p := range raw[:min(len(raw), maxCrashFingerprints)] {
+		if fp, ok := parseFingerprint(p); ok {
 			out = append(out, fp)
 		}
 	}
@@ -191,26 +196,26 @@
 	return time.Duration(max(n, 0)) * time.Millisecond
 }
 
-// Decode reads the body of a poison message for Receive.
+// Decode decodes the body of a poison message for Receive.
 func Decode(f wire.Frame) (any, error) {
 	switch f.Kind {
 	case wire.KindPoisonNotice:
-		return into[wire.PoisonNotice](f)
+		return decodeBody[wire.PoisonNotice](f)
 	case wire.KindPoisonAck:
-		return into[wire.PoisonAck](f)
+		return decodeBody[wire.PoisonAck](f)
 	case wire.KindPoisonAsk:
-		return into[wire.PoisonAsk](f)
+		return decodeBody[wire.PoisonAsk](f)
 	case wire.KindPoisonGrant:
-		return into[wire.PoisonGrant](f)
+		return decodeBody[wire.PoisonGrant](f)
 	case wire.KindPoisonHold:
-		return into[wire.PoisonHold](f)
+		return decodeBody[wire.PoisonHold](f)
 	case wire.KindPoisonDone:
-		return into[wire.PoisonDone](f)
+		return decodeBody[wire.PoisonDone](f)
 	}
 	return nil, errors.Newf("poison: unknown message kind=%s", f.Kind)
 }
 
-func into[T any](f wire.Frame) (any, error) {
+func decodeBody[T any](f wire.Frame) (any, error) {
 	var b T
 	if err := f.Into(&b); err != nil {
 		return nil, errors.Wrap(err, "decode poison message")
--- a/internal/poison/registry.go
+++ b/internal/poison/registry.go
@@ -8,83 +8,87 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Verdict says how a request goes on.
+// Verdict tells how to proceed with a request.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
-	// Run: dispatch it like any other request.
+	// Run means: dispatch the request like any other.
 	Run Verdict = "run"
-	// Isolate: dispatch it to the given target only.
+	// Isolate means: dispatch the request to the given target only.
 	Isolate Verdict = "isolate"
-	// Wait: a later Decision tells.
+	// Wait means: a later Decision follows.
 	Wait Verdict = "wait"
-	// Retry: its target crashed; call Admit again if it may be repeated.
+	// Retry means: the target crashed; call Admit again if the request may be
+	// repeated.
 	Retry Verdict = "retry"
-	// Quarantined: it crashed too many targets. It may have run; it must not
-	// be sent again.
+	// Quarantined means: the request was present at too many crashes. It may have
+	// run and must not be sent again.
 	Quarantined Verdict = "quarantined"
-	// Refused: no permit to run a suspect could be had in time.
+	// Refused means: the request is a suspect and got no permit in time.
 	Refused Verdict = "refused"
 )
 
-// Decision is a verdict on one request of this instance.
+// Decision is the verdict on one request of this instance.
 type Decision struct {
 	Request string
 	Verdict Verdict
-	// Target is set with Isolate.
+	// Target is set if Verdict is Isolate.
 	Target string
 }
 
-// Message is for a peer, by its incarnation.
+// Message is a message to a peer; To is the peer's incarnation.
 type Message struct {
 	To   string
 	Kind wire.Kind
 	Body any
 }
 
-// Ready is the work that a Registry hands out.
+// Ready holds the messages to send and the decisions made since the last call of
+// Registry.Ready.
 type Ready struct {
 	Messages  []Message
 	Decisions []Decision
 }
 
-// request is one of this instance's.
+// request is a request that this instance is handling.
 type request struct {
 	id     string
 	fp     Fingerprint
 	target string
 	pool   string
-	// home is set while the request asks for, or holds, a permit.
-	home    string
-	permit  bool
-	targets []string
-	askBy   time.Duration
-	// heldFor is the notice whose acks the request waits for.
-	heldFor uint64
+	// home is set while the request waits for or holds a permit.
+	home        string
+	hasPermit   bool
+	targets     []string
+	askDeadline time.Duration
+	// awaitedNotice is the id of the notice whose acks the request waits for; 0 if
+	// none.
+	awaitedNotice uint64
 }
 
-// notice is one that peers have yet to take in.
+// notice is a notice that some peers have not acknowledged yet.
 type notice struct {
-	waiting map[string]bool
-	until   time.Duration
+	unacked  map[string]bool
+	deadline time.Duration
 }
 
-// Registry is one instance's view. It is not safe for concurrent use.
+// Registry tracks crashes, suspects and quarantines as known to one instance. It
+// is not safe for concurrent use.
 type Registry struct {
-	cfg      Config
-	ledger   *ledger
-	home     *home
-	peers    []string
-	requests map[string]*request
-	notices  map[uint64]*notice
-	nextID   uint64
-	nextHold time.Duration
-	out      Ready
-	stats    Stats
+	cfg           Config
+	ledger        *ledger
+	home          *home
+	peers         []string
+	requests      map[string]*request
+	notices       map[uint64]*notice
+	lastNoticeID  uint64
+	nextKeepAlive time.Duration
+	ready         Ready
+	stats         Stats
 }
 
-// Stats counts what happened. All counts go up only.
+// Stats holds event counters, which never decrease.
 type Stats struct {
 	Crashes     int64
 	Quarantined int64
@@ -94,7 +98,7 @@
 	Messages    int64
 }
 
-// New makes a registry that knows nothing.
+// New returns an empty Registry.
 func New(cfg Config) *Registry {
 	cfg = cfg.withDefaults()
 	return &Registry{
@@ -103,99 +107,101 @@
 	}
 }
 
-// Ready returns the pending work and clears it. Call it after every event.
+// Ready returns the pending messages and decisions and clears them. Call it
+// after every other call.
 func (r *Registry) Ready() Ready {
-	out := r.out
-	r.out = Ready{}
+	out := r.ready
+	r.ready = Ready{}
 	r.stats.Messages += int64(len(out.Messages))
 	return out
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (r *Registry) Stats() Stats { return r.stats }
 
-// SuspectCount is how many fingerprints are remembered.
+// SuspectCount returns the number of fingerprints in the ledger.
 func (r *Registry) SuspectCount() int { return len(r.ledger.suspects) }
 
-// SetPeers gives the live peers: those that learn of crashes and, with this
-// instance, share the pools' suspects out among themselves.
+// SetPeers sets the live peers. They are notified of crashes, and together with
+// this instance they serve as the homes of the pools.
 func (r *Registry) SetPeers(now time.Duration, peers []string) {
 	sorted := slices.Sorted(slices.Values(peers))
 	if slices.Equal(sorted, r.peers) {
 		return
 	}
 	r.peers = sorted
-	r.home.settled = now + r.cfg.PermitTTL/2
+	r.home.grantsFrom = now + r.cfg.PermitTTL/2
 	for _, n := range r.notices {
-		for p := range n.waiting {
+		for p := range n.unacked {
 			if !slices.Contains(r.peers, p) {
-				delete(n.waiting, p)
+				delete(n.unacked, p)
 			}
 		}
 	}
 	r.keepAlive(now)
-	r.blameOrphans(now)
-	r.release(now)
+	r.attributeToOrphans(now)
+	r.releaseHeld(now)
 }
 
-// Admit asks whether a request may be dispatched to its pool; targets are
-// those it could run on, the best first. After Run, call Started.
+// Admit asks whether a request may be dispatched to its pool. targets are those
+// that could run it, in order of preference. After Run, call Started.
 func (r *Registry) Admit(now time.Duration, id string, fp Fingerprint, pool string, targets []string) Verdict {
-	q := &request{id: id, fp: fp, pool: pool, targets: targets, askBy: now + r.cfg.AskTimeout}
+	q := &request{id: id, fp: fp, pool: pool, targets: targets, askDeadline: now + r.cfg.AskTimeout}
 	switch {
 	case r.ledger.quarantined(now, fp):
 		r.stats.Quarantined++
 		return Quarantined
-	case r.ledger.suspicion(fp) == 0:
+	case r.ledger.openCrashCount(fp) == 0:
 		r.requests[id] = q
 		return Run
 	}
 	r.requests[id] = q
-	r.ask(now, q)
+	r.requestPermit(now, q)
 	return Wait
 }
 
-func (r *Registry) ask(now time.Duration, q *request) {
+func (r *Registry) requestPermit(now time.Duration, q *request) {
 	q.home = homeOf(q.pool, r.cfg.Self, r.peers)
 	body := wire.PoisonAsk{Request: q.id, Fingerprint: q.fp[:], Targets: q.targets}
 	r.send(now, q.home, wire.KindPoisonAsk, body)
 }
 
-// Started tells that an admitted request goes to a target, before its first
-// byte.
+// Started records that an admitted request is about to be sent to a target. Call
+// it before the first byte is sent.
 func (r *Registry) Started(id, target string) {
 	if q := r.requests[id]; q != nil {
 		q.target = target
 	}
 }
 
-// RegisterRunning registers a request that went to its target while nothing was
-// suspected, so that Admit was left out: the fingerprint of a long prompt costs
-// more than all the rest of a request's way. Call it before Crashed names it.
+// RegisterRunning registers a request that was sent to its target without Admit,
+// because there were no suspects at the time: computing the fingerprint of a
+// long prompt costs more than everything else that is done for a request. Call
+// it before TargetCrashed lists the request.
 func (r *Registry) RegisterRunning(id string, fp Fingerprint, pool, target string, targets []string) {
 	r.requests[id] = &request{id: id, fp: fp, pool: pool, targets: targets, target: target}
 }
 
-// Ended tells that a request is over, other than by its target's crash.
-// completed says that its target answered it whole.
+// Ended records that a request ended other than by a crash of its target.
+// completed is true if the target answered it in full.
 func (r *Registry) Ended(now time.Duration, id string, completed bool) {
 	q := r.requests[id]
-	if q == nil || q.heldFor != 0 {
+	if q == nil || q.awaitedNotice != 0 {
 		return
 	}
 	delete(r.requests, id)
 	if completed {
-		r.exonerate(now, q.fp)
+		r.clearSuspicion(now, q.fp)
 	}
-	r.done(now, q, nil)
+	r.releasePermit(now, q, nil)
 }
 
-// exonerate clears a fingerprint of the crashes known so far: a request that
-// completed did not crash its target.
-func (r *Registry) exonerate(now time.Duration, fp Fingerprint) {
+// clearSuspicion clears a fingerprint of all crashes known so far: a request
+// that completed did not crash its target.
+func (r *Registry) clearSuspicion(now time.Duration, fp Fingerprint) {
 	var body wire.PoisonNotice
-	for _, id := range r.ledger.open(fp) {
-		r.ledger.clear(now, fp, id)
+	for _, id := range r.ledger.openCrashes(fp) {
+		r.ledger.clearCrash(now, fp, id)
 		body.Clears = append(body.Clears, wire.PoisonClear{
 			Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation,
 		})
@@ -206,20 +212,20 @@
 	}
 }
 
-// done gives a permit back, or takes back an ask.
-func (r *Registry) done(now time.Duration, q *request, c *wire.PoisonCrash) {
+// releasePermit returns the permit of a request or withdraws its ask.
+func (r *Registry) releasePermit(now time.Duration, q *request, c *wire.PoisonCrash) {
 	if q.home == "" {
 		return
 	}
 	body := wire.PoisonDone{Request: q.id, Fingerprint: q.fp[:], Target: q.target, Crash: c}
-	if !q.permit {
+	if !q.hasPermit {
 		body.Target = ""
 	}
 	r.send(now, q.home, wire.KindPoisonDone, body)
-	q.home, q.permit = "", false
+	q.home, q.hasPermit = "", false
 }
 
-func (r *Registry) sorted() []*request {
+func (r *Registry) sortedRequests() []*request {
 	out := make([]*request, 0, len(r.requests))
 	for _, q := range r.requests {
 		out = append(out, q)
@@ -237,38 +243,38 @@
 	case Refused:
 		r.stats.Refused++
 	}
-	r.out.Decisions = append(r.out.Decisions, Decision{Request: q.id, Verdict: v, Target: target})
+	r.ready.Decisions = append(r.ready.Decisions, Decision{Request: q.id, Verdict: v, Target: target})
 }
 
-// Tick moves the time on: holds end, permits are kept alive, old entries go.
+// Tick handles timeouts, renews permits and removes expired entries.
 func (r *Registry) Tick(now time.Duration) {
 	r.ledger.expire(now)
-	r.release(now)
-	for _, q := range r.sorted() {
-		if q.home != "" && !q.permit && now >= q.askBy {
+	r.releaseHeld(now)
+	for _, q := range r.sortedRequests() {
+		if q.home != "" && !q.hasPermit && now >= q.askDeadline {
 			delete(r.requests, q.id)
-			r.done(now, q, nil)
+			r.releasePermit(now, q, nil)
 			r.decide(q, Refused, "")
 		}
 	}
-	if now >= r.nextHold {
-		r.nextHold = now + r.cfg.PermitTTL/3
+	if now >= r.nextKeepAlive {
+		r.nextKeepAlive = now + r.cfg.PermitTTL/3
 		r.keepAlive(now)
 	}
-	r.home.tick(now)
-	r.home.review(now, r)
+	r.home.dropExpired(now)
+	r.home.answerAsks(now, r)
 }
 
-// keepAlive repeats holds, and asks that have no answer yet: a home that was
-// replaced knows neither.
+// keepAlive renews permits and repeats unanswered asks, since a new home knows
+// neither.
 func (r *Registry) keepAlive(now time.Duration) {
-	for _, q := range r.sorted() {
+	for _, q := range r.sortedRequests() {
 		switch {
-		case q.permit:
+		case q.hasPermit:
 			q.home = homeOf(q.pool, r.cfg.Self, r.peers)
 			r.send(now, q.home, wire.KindPoisonHold, wire.PoisonHold{Fingerprint: q.fp[:], Target: q.target})
 		case q.home != "":
-			r.ask(now, q)
+			r.requestPermit(now, q)
 		}
 	}
 }
--- a/internal/poison/running_test.go
+++ b/internal/poison/running_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A request runs while nothing is suspected, so it was not admitted. Its target
-// is lost, and so is the next one. If the first loss were not counted because
-// the registry did not know the request, it would take a third target.
+// Guards against losing the crash of a request that was sent without Admit
+// because there were no suspects. If its first loss were not counted, it would
+// take down a third target.
 func TestCrashOfUnadmittedRequestCounts(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{Self: "a"})
