--- a/internal/rate/allocations.go
+++ b/internal/rate/allocations.go
@@ -10,7 +10,8 @@
 // never is later than any other time.
 const never = time.Duration(math.MaxInt64)
 
-// floorSuffix marks the name of the allocation of a slot's floor.
+// floorSuffix is appended to the name of a slot for the allocation of its floor;
+// see AllocationsOf.
 const floorSuffix = "#floor"
 
 // SetAllocations replaces the allocations that this instance holds. Call it
@@ -82,7 +83,8 @@
 
 // AllocationsOf converts mint leases into allocations. Each of the slots of the
 // fleet is 1/slots of all rates, and floor (0 to 1) is the fraction of a slot
-// that forms its floor.
+// that forms its floor. While the holder cannot renew the lease, it keeps the
+// floor for longer than the rest of the slot.
 func AllocationsOf(grants []lease.Grant, slots int, floor float64) []Allocation {
 	var out []Allocation
 	for _, g := range grants {
--- a/internal/rate/exchange.go
+++ b/internal/rate/exchange.go
@@ -96,7 +96,7 @@
 			a.bucket.lend(now, l.settings.GrantLifetime, tokens)
 		}
 		item.Tokens = a.bucket.balance
-		left := l.lendable(a, now, ask.From, item) // to this asker
+		left := l.lendable(a, now, ask.From, item) // still available to this asker
 		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Left: left})
 	}
 	return g
--- a/internal/rate/settings.go
+++ b/internal/rate/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings must be the same on every instance of a fleet.
+// Settings, except for Self, must be the same on every instance of a fleet.
 type Settings struct {
 	// Self is the incarnation of this process.
 	Self string
