--- a/internal/attempt/event_test.go
+++ b/internal/attempt/event_test.go
@@ -9,7 +9,7 @@
 )
 
 func BenchmarkEvent(b *testing.B) {
-	s := NewStream(Policy{Request: "req"})
+	s := NewStream(Policy{RequestID: "req"})
 	no := s.Dispatch(0, "a1", "t1")
 	e := event("a1", 0, "word")
 	b.ReportAllocs()
@@ -27,7 +27,7 @@
 	f.Add([]byte(`{"id":"cmpl-a1","choices":[]}`))
 	f.Add([]byte(`{"x":"cmpl-a1","id":"cmpl-a1","id":"cmpl-a1"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewStream(Policy{Request: "req"})
+		s := NewStream(Policy{RequestID: "req"})
 		no := s.Dispatch(0, "a1", "t1")
 		a := s.Event(0, no, sse.Event{ID: "0", HasID: true, Data: data})
 		if a.Kind != Relay || a.Done {
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -41,7 +41,7 @@
 	if s.seen <= s.relayed {
 		return s.skip()
 	}
-	s.buf, err = rename(s.buf, data, s.attempt, s.p.Request)
+	s.buf, err = rename(s.buf, data, s.attempt, s.p.RequestID)
 	if err != nil {
 		return s.breakUp(CauseMalformed)
 	}
@@ -68,15 +68,15 @@
 	return Action{Kind: Relay, Seq: s.relayed, Data: []byte(doneData), Done: true}
 }
 
-// Answer takes the whole body of an engine's answer without a stream.
-func (s *Stream) Answer(leg int, body []byte) Action {
+// FullResponse takes the whole body of an engine's answer without a stream.
+func (s *Stream) FullResponse(leg int, body []byte) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
 	if _, err := parseChunk(s.attempt, body); err != nil {
 		return s.breakUp(CauseCrossed)
 	}
-	renamed, err := rename(nil, body, s.attempt, s.p.Request)
+	renamed, err := rename(nil, body, s.attempt, s.p.RequestID)
 	if err != nil {
 		return s.breakUp(CauseMalformed)
 	}
--- a/internal/attempt/stream.go
+++ b/internal/attempt/stream.go
@@ -7,10 +7,10 @@
 
 // Policy says what may be done for one request. Zero fields take defaults.
 type Policy struct {
-	// Request is the request's id; the caller sees it in each chunk.
-	Request string
-	// Repeatable requests may be sent again after a byte was sent.
-	Repeatable bool
+	// RequestID is the request's id; the caller sees it in each chunk.
+	RequestID string
+	// Idempotent requests may be sent again after a byte was sent.
+	Idempotent bool
 	// MaxDispatches bounds the targets tried, the first included; default 3.
 	// Targets that could not be connected to do not count, up to a bound of
 	// their own: nothing of the request reached them, and after a crash
@@ -30,8 +30,8 @@
 	defaultIdleTimeout = 30 * time.Second
 )
 
-// Head is the head of a target's answer.
-type Head struct {
+// ResponseHead is the head of a target's answer.
+type ResponseHead struct {
 	// Attempt, Incarnation and Version are the X-Request-Id,
 	// X-Engine-Incarnation and X-Weights-Version headers.
 	Attempt     string
@@ -99,8 +99,8 @@
 	return s.newLeg(now)
 }
 
-// Resumed begins a new leg of the same attempt, after a Resume action.
-func (s *Stream) Resumed(now time.Duration) (leg int) {
+// BeginResume begins a new leg of the same attempt, after a BeginResume action.
+func (s *Stream) BeginResume(now time.Duration) (leg int) {
 	return s.newLeg(now)
 }
 
@@ -110,18 +110,18 @@
 	return s.leg
 }
 
-// Sent tells that a byte of the request may reach the target from now on.
+// SendStarted tells that a byte of the request may reach the target from now on.
 // Call it before the first write, not after: a write that fails may still
 // have sent something.
-func (s *Stream) Sent(leg int) {
+func (s *Stream) SendStarted(leg int) {
 	if s.current(leg) {
 		s.sent = true
 	}
 }
 
-// Passed tells that bytes of a plain service's answer have gone to the
+// BytesRelayed tells that bytes of a plain service's answer have gone to the
 // caller: from then on nothing may be replayed.
-func (s *Stream) Passed(leg int) {
+func (s *Stream) BytesRelayed(leg int) {
 	if s.current(leg) {
 		s.passed = true
 	}
@@ -131,8 +131,8 @@
 	return s.open && !s.over && leg == s.leg
 }
 
-// Opened takes the head of the target's answer.
-func (s *Stream) Opened(now time.Duration, leg int, h Head) Action {
+// ResponseStarted takes the head of the target's answer.
+func (s *Stream) ResponseStarted(now time.Duration, leg int, h ResponseHead) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
@@ -159,9 +159,9 @@
 	return s.breakUp(CauseIdle)
 }
 
-// Broke tells that a leg ended before its answer did: also a clean end of
+// ConnectionFailed tells that a leg ended before its answer did: also a clean end of
 // the connection without the closing event.
-func (s *Stream) Broke(leg int, cause Cause) Action {
+func (s *Stream) ConnectionFailed(leg int, cause Cause) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
@@ -220,7 +220,7 @@
 	case CauseDial:
 		// The engine may be cut off for a moment only. Waiting for it is
 		// worth it where there is no other way.
-		if s.p.Repeatable {
+		if s.p.Idempotent {
 			return false
 		}
 	}
@@ -233,7 +233,7 @@
 	if len(s.tried)-min(s.unreached, maxUnreached) >= s.p.MaxDispatches || s.passed {
 		return false
 	}
-	return s.p.Repeatable || !s.sent && !s.mayRun
+	return s.p.Idempotent || !s.sent && !s.mayRun
 }
 
 // running is the attempt to cancel when it is left behind.
--- a/internal/attempt/stream_test.go
+++ b/internal/attempt/stream_test.go
@@ -56,7 +56,7 @@
 }
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, p: Policy{Request: "req", Repeatable: rapid.Bool().Draw(t, "repeatable")}}
+	w := &world{t: t, p: Policy{RequestID: "req", Idempotent: rapid.Bool().Draw(t, "repeatable")}}
 	w.s = NewStream(w.p)
 	n := rapid.IntRange(1, 6).Draw(t, "words")
 	for range 3 {
@@ -104,10 +104,10 @@
 	a := fmt.Sprint("a", w.attempts)
 	no := w.s.Dispatch(w.now, a, fmt.Sprint(target))
 	if faults && rapid.IntRange(0, 5).Draw(w.t, "dial") == 0 {
-		w.do(w.s.Broke(no, CauseDial), faults)
+		w.do(w.s.ConnectionFailed(no, CauseDial), faults)
 		return
 	}
-	w.s.Sent(no)
+	w.s.SendStarted(no)
 	e := w.engines[target]
 	e.ran[a] = true
 	w.runs++
@@ -117,16 +117,16 @@
 func (w *world) connect(l leg, faults bool) {
 	w.legs = append(w.legs, l)
 	e := w.engines[l.target]
-	h := Head{Attempt: l.attempt, Incarnation: fmt.Sprint(e.incarnation), Version: "1"}
-	w.do(w.s.Opened(w.now, l.no, h), faults)
+	h := ResponseHead{Attempt: l.attempt, Incarnation: fmt.Sprint(e.incarnation), Version: "1"}
+	w.do(w.s.ResponseStarted(w.now, l.no, h), faults)
 }
 
 func (w *world) resume(a Action, faults bool) {
 	target, _ := strconv.Atoi(a.Target)
-	no := w.s.Resumed(w.now)
+	no := w.s.BeginResume(w.now)
 	e := w.engines[target]
 	if !e.ran[a.Attempt] {
-		w.do(w.s.Broke(no, CauseUnknownStream), faults)
+		w.do(w.s.ConnectionFailed(no, CauseUnknownStream), faults)
 		return
 	}
 	w.connect(leg{no: no, attempt: a.Attempt, target: target, pos: int(a.LastSeq) + 1, incarnation: e.incarnation}, faults)
@@ -177,7 +177,7 @@
 	e := w.engines[l.target]
 	l.pos = max(0, l.pos+skip)
 	if l.incarnation != e.incarnation || l.pos >= len(e.words) {
-		w.do(w.s.Broke(l.no, CauseClosed), true)
+		w.do(w.s.ConnectionFailed(l.no, CauseClosed), true)
 		return
 	}
 	ev := event(attempt, l.pos, e.words[l.pos])
@@ -203,7 +203,7 @@
 	case 2:
 		w.send(&l, "foreign", 0)
 	case 3:
-		w.do(w.s.Broke(l.no, CauseReset), true)
+		w.do(w.s.ConnectionFailed(l.no, CauseReset), true)
 	case 4:
 		w.restart(w.engines[l.target])
 	case 5:
@@ -216,7 +216,7 @@
 }
 
 func (w *world) check() {
-	if !w.p.Repeatable && w.runs > 1 {
+	if !w.p.Idempotent && w.runs > 1 {
 		w.t.Fatalf("not repeatable, ran %d times", w.runs)
 	}
 	got := strings.Join(w.got, " ")
@@ -255,16 +255,16 @@
 // this for the end would hand the caller a truncated answer as a whole one.
 func TestCleanCloseBeforeDoneIsNoEnd(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req"})
+	s := NewStream(Policy{RequestID: "req"})
 	no := s.Dispatch(0, "a1", "t1")
-	s.Sent(no)
-	s.Opened(0, no, Head{Attempt: "a1", Incarnation: "i1"})
+	s.SendStarted(no)
+	s.ResponseStarted(0, no, ResponseHead{Attempt: "a1", Incarnation: "i1"})
 	is.Equal(s.Event(0, no, event("a1", 0, "x")).Kind, Relay)
-	a := s.Broke(no, CauseClosed)
+	a := s.ConnectionFailed(no, CauseClosed)
 	is.Equal(a.Kind, Resume)
 	is.Equal(a.LastSeq, int64(0))
-	no = s.Resumed(0)
-	a = s.Broke(no, CauseUnknownStream)
+	no = s.BeginResume(0)
+	a = s.ConnectionFailed(no, CauseUnknownStream)
 	is.Equal(a.Kind, EndError)
 	is.Equal(a.Outcome, MayHaveRun)
 	is.True(strings.Contains(string(ErrorBody("req", a)), "stream_broken"))
@@ -274,14 +274,14 @@
 // has gone on elsewhere. Neither may break the answer under way.
 func TestLateLegChangesNothing(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req", Repeatable: true})
+	s := NewStream(Policy{RequestID: "req", Idempotent: true})
 	old := s.Dispatch(0, "a1", "t1")
-	s.Sent(old)
-	is.Equal(s.Broke(old, CauseReset).Kind, Redispatch)
+	s.SendStarted(old)
+	is.Equal(s.ConnectionFailed(old, CauseReset).Kind, Redispatch)
 	no := s.Dispatch(0, "a2", "t2")
-	s.Sent(no)
+	s.SendStarted(no)
 	is.Equal(s.Event(0, old, event("a1", 0, "x")).Kind, None)
-	is.Equal(s.Broke(old, CauseClosed).Kind, None)
+	is.Equal(s.ConnectionFailed(old, CauseClosed).Kind, None)
 	is.Equal(s.Event(0, no, event("a2", 0, "x")).Kind, Relay)
 }
 
@@ -289,19 +289,19 @@
 // bounds with an error: it neither loops nor leaves the caller hanging.
 func TestRetriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req", Repeatable: true})
+	s := NewStream(Policy{RequestID: "req", Idempotent: true})
 	a := Action{Kind: Redispatch}
 	legs := 0
 	for ; a.Kind != EndError && legs < 100; legs++ {
 		var no int
 		if a.Kind == Resume {
-			no = s.Resumed(0)
+			no = s.BeginResume(0)
 		} else {
 			no = s.Dispatch(0, fmt.Sprint("a", legs), "t")
-			s.Sent(no)
+			s.SendStarted(no)
 		}
-		s.Opened(0, no, Head{Attempt: s.attempt, Incarnation: "i"})
-		a = s.Broke(no, CauseReset)
+		s.ResponseStarted(0, no, ResponseHead{Attempt: s.attempt, Incarnation: "i"})
+		a = s.ConnectionFailed(no, CauseReset)
 	}
 	is.Equal(legs, defaultMaxDispatches+defaultMaxResumes)
 	is.Equal(a.Outcome, MayHaveRun)
@@ -311,13 +311,13 @@
 // request's. It is not relayed; the request is sent again.
 func TestCrossedAnswer(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req", Repeatable: true})
+	s := NewStream(Policy{RequestID: "req", Idempotent: true})
 	no := s.Dispatch(0, "a1", "t1")
-	s.Sent(no)
-	is.Equal(s.Answer(no, []byte(`{"id":"cmpl-a0"}`)).Kind, Redispatch)
+	s.SendStarted(no)
+	is.Equal(s.FullResponse(no, []byte(`{"id":"cmpl-a0"}`)).Kind, Redispatch)
 	no = s.Dispatch(0, "a2", "t2")
-	s.Sent(no)
-	a := s.Answer(no, []byte(`{"id":"cmpl-a2","x":"\"cmpl-a2\""}`))
+	s.SendStarted(no)
+	a := s.FullResponse(no, []byte(`{"id":"cmpl-a2","x":"\"cmpl-a2\""}`))
 	is.Equal(a.Kind, EndOK)
 	is.Equal(string(a.Data), `{"id":"cmpl-req","x":"\"cmpl-a2\""}`)
 }
--- a/internal/attempt/unreached_test.go
+++ b/internal/attempt/unreached_test.go
@@ -13,18 +13,18 @@
 // connect use up an attempt, the stream would end with an error beside it.
 func TestUnreachedTargetsUseUpNoAttempt(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req", Repeatable: true})
+	s := NewStream(Policy{RequestID: "req", Idempotent: true})
 	first := s.Dispatch(0, "a0", "t0")
-	s.Sent(first)
-	a := s.Broke(first, CauseReset)
+	s.SendStarted(first)
+	a := s.ConnectionFailed(first, CauseReset)
 	for n := 1; n <= maxUnreached; n++ {
 		is.Equal(a.Kind, Redispatch)
-		a = s.Broke(s.Dispatch(0, fmt.Sprint("a", n), "dead"), CauseDial)
+		a = s.ConnectionFailed(s.Dispatch(0, fmt.Sprint("a", n), "dead"), CauseDial)
 	}
 	is.Equal(a.Kind, Redispatch)
 	live := s.Dispatch(0, "b", "live")
-	s.Sent(live)
-	s.Opened(0, live, Head{Attempt: "b", Incarnation: "i"})
+	s.SendStarted(live)
+	s.ResponseStarted(0, live, ResponseHead{Attempt: "b", Incarnation: "i"})
 	is.Equal(s.Event(0, live, event("b", 0, "x")).Kind, Relay)
 }
 
@@ -32,10 +32,10 @@
 // them, and has not run.
 func TestUnreachedTargetsAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := NewStream(Policy{Request: "req", Repeatable: true})
+	s := NewStream(Policy{RequestID: "req", Idempotent: true})
 	a, n := Action{Kind: Redispatch}, 0
 	for ; a.Kind == Redispatch && n < 100; n++ {
-		a = s.Broke(s.Dispatch(0, fmt.Sprint("a", n), "dead"), CauseDial)
+		a = s.ConnectionFailed(s.Dispatch(0, fmt.Sprint("a", n), "dead"), CauseDial)
 	}
 	is.Equal(n, maxUnreached+defaultMaxDispatches)
 	is.Equal(a.Kind, EndError)
--- a/internal/claim/cost_test.go
+++ b/internal/claim/cost_test.go
@@ -31,7 +31,7 @@
 				}
 				m.AppendDone(now, a.ID, nil)
 			}
-			_ = m.Records(now, 1, b)
+			_ = m.ApplyRecords(now, 1, b)
 			for _, a := range m.Ready(now).Answers {
 				_ = m.BeginDispatch(now, a.ID)
 				_ = m.Finish(now, a.ID, Result{Status: 200, ContentType: "application/json", Body: body})
@@ -71,7 +71,7 @@
 	for i := 0; i < b.N; {
 		m := New(Config{})
 		end := min(len(recs), b.N-i)
-		_ = m.Records(0, 1, platform.Batch{Records: recs[:end]})
+		_ = m.ApplyRecords(0, 1, platform.Batch{Records: recs[:end]})
 		i += end
 	}
 }
@@ -84,7 +84,7 @@
 			for range b.N {
 				before := heap()
 				m := New(Config{})
-				_ = m.Records(0, 1, platform.Batch{Records: recs})
+				_ = m.ApplyRecords(0, 1, platform.Batch{Records: recs})
 				b.ReportMetric(float64(heap()-before)/float64(n), "B/key")
 				runtime.KeepAlive(m)
 			}
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if first := m.claimer(r.key); first != nil && first != r {
-		if first.Body != r.Body {
+		if first.RequestHash != r.RequestHash {
 			m.answer(r, Answer{State: BodyMismatch})
 			return
 		}
@@ -50,7 +50,7 @@
 // follow answers a request whose key is held, or lets it wait for the result.
 func (m *Machine) follow(r *request, h *Holder) {
 	switch {
-	case h.Request != r.Body:
+	case h.Request != r.RequestHash:
 		m.answer(r, Answer{State: BodyMismatch})
 	case h.Result != nil && h.Result.Unknown:
 		m.answer(r, Answer{State: MayHaveRun, HolderAddress: h.Address})
@@ -89,7 +89,7 @@
 	r.phase = phaseClaiming
 	r.claimBy = min(r.Deadline, m.now+m.cfg.ClaimTimeout)
 	c := Claim{
-		Key: r.key, Request: r.Body, Attempt: r.attempt,
+		Key: r.key, Request: r.RequestHash, Attempt: r.attempt,
 		Incarnation: m.cfg.Incarnation, Address: m.cfg.Address,
 		Head: m.table.next, HeadMillis: m.wall,
 	}
@@ -113,7 +113,7 @@
 	}
 	r.phase, r.unclaimed = phaseWon, true
 	m.ahead[r.key] = &Holder{
-		Key: r.key, Request: r.Body, Attempt: r.attempt,
+		Key: r.key, Request: r.RequestHash, Attempt: r.attempt,
 		Incarnation: m.cfg.Incarnation, Address: m.cfg.Address,
 	}
 	m.answer(r, Answer{State: Run, Unclaimed: true})
--- a/internal/claim/ended_test.go
+++ b/internal/claim/ended_test.go
@@ -30,8 +30,8 @@
 				Key: HashKey("acc", "k"), Request: body, Attempt: "old-1", Incarnation: "old", Address: x.address,
 			})
 			is.NoErr(err)
-			is.NoErr(m.Records(0, 0, platform.Batch{Next: 1, Records: []platform.Record{{Data: raw}}}))
-			is.NoErr(m.Begin(time.Second, 1000, Request{ID: "r", Account: "acc", Key: "k", Body: body, Deadline: time.Minute}))
+			is.NoErr(m.ApplyRecords(0, 0, platform.Batch{Next: 1, Records: []platform.Record{{Data: raw}}}))
+			is.NoErr(m.Begin(time.Second, 1000, Request{ID: "r", Account: "acc", Key: "k", RequestHash: body, Deadline: time.Minute}))
 			var got []State
 			for _, a := range m.Ready(time.Second).Answers {
 				got = append(got, a.State)
--- a/internal/claim/events.go
+++ b/internal/claim/events.go
@@ -18,10 +18,10 @@
 	}
 }
 
-// Records folds one answer to a read from ReadFrom. Records folded before are
+// ApplyRecords folds one answer to a read from ReadFrom. ApplyRecords folded before are
 // skipped; ErrGap asks for a new read. wall is Unix milliseconds, taken when
 // the answer arrived.
-func (m *Machine) Records(now time.Duration, wall int64, b platform.Batch) error {
+func (m *Machine) ApplyRecords(now time.Duration, wall int64, b platform.Batch) error {
 	m.now, m.wall = now, wall
 	for _, rec := range b.Records {
 		if rec.Offset < m.table.next {
@@ -75,7 +75,7 @@
 	if len(res.Body) > m.cfg.MaxBodyBytes {
 		res.Body, res.BodyDropped = nil, true
 	}
-	kept := m.record(KindResult, &ResultRecord{Key: r.key, Request: r.Body, Attempt: r.attempt, Result: res}, nil)
+	kept := m.record(KindResult, &ResultRecord{Key: r.key, Request: r.RequestHash, Attempt: r.attempt, Result: res}, nil)
 	m.learn(r, res, kept)
 	m.forget(r)
 	m.wakeKey(r.key)
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -145,7 +145,7 @@
 	for o := from; o < b.Next && len(b.Records) < limit; o++ {
 		b.Records = append(b.Records, platform.Record{Offset: o, Data: f.recs[o]})
 	}
-	if err := n.m.Records(n.now, f.nodeWall(n), b); err != nil {
+	if err := n.m.ApplyRecords(n.now, f.nodeWall(n), b); err != nil {
 		f.bad = append(f.bad, err.Error())
 	}
 	f.ready(n)
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -13,8 +13,8 @@
 // is stored, so that the log never holds what a caller chose as its key.
 type KeyHash [sha256.Size]byte
 
-// BodyHash is the hash of a request: method, path and body.
-type BodyHash [sha256.Size]byte
+// RequestHash is the hash of a request: method, path and body.
+type RequestHash [sha256.Size]byte
 
 // HashKey scopes the key by its account. The account's length goes first, so
 // that no two pairs hash the same bytes.
@@ -23,8 +23,8 @@
 }
 
 // HashRequest is what a repeat must match to be the same request.
-func HashRequest(method, path string, body []byte) BodyHash {
-	return BodyHash(hashParts(method, path, string(body)))
+func HashRequest(method, path string, body []byte) RequestHash {
+	return RequestHash(hashParts(method, path, string(body)))
 }
 
 func hashParts(parts ...string) [sha256.Size]byte {
--- a/internal/claim/machine.go
+++ b/internal/claim/machine.go
@@ -142,9 +142,9 @@
 	m.answer(r, Answer{State: Unavailable})
 }
 
-// Wake is when Tick or Ready next has something to do; ok is false when the
+// NextWakeup is when Tick or Ready next has something to do; ok is false when the
 // machine waits for nothing but calls.
-func (m *Machine) Wake() (at time.Duration, ok bool) {
+func (m *Machine) NextWakeup() (at time.Duration, ok bool) {
 	at, ok = m.batch.wake()
 	for _, r := range m.byID {
 		d := r.Deadline
@@ -161,9 +161,9 @@
 	return at, ok
 }
 
-// HolderGone tells that a process has ended for good: requests that wait for
+// ProcessEnded tells that a process has ended for good: requests that wait for
 // its results are answered at once.
-func (m *Machine) HolderGone(now time.Duration, incarnation string) {
+func (m *Machine) ProcessEnded(now time.Duration, incarnation string) {
 	m.now = now
 	if m.gone[incarnation] {
 		return
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -109,7 +109,7 @@
 		n.m.Restore([]Page{peer.m.Snapshot(-1, 1000)})
 	case 4:
 		_, peer := s.node()
-		n.m.HolderGone(n.now, peer.incarnation+"x")
+		n.m.ProcessEnded(n.now, peer.incarnation+"x")
 		s.ready(n)
 	default:
 		d := time.Duration(rapid.IntRange(1, 20).Draw(s.t, "seconds")) * time.Second
@@ -226,7 +226,7 @@
 	is := is.New(t)
 	m := New(Config{MaxBatchAge: 1})
 	is.NoErr(m.Begin(0, 1, Request{ID: "r1", Key: "k", Deadline: time.Second}))
-	is.NoErr(m.Begin(0, 1, Request{ID: "r2", Key: "k", Deadline: time.Second, Body: BodyHash{1}}))
+	is.NoErr(m.Begin(0, 1, Request{ID: "r2", Key: "k", Deadline: time.Second, RequestHash: RequestHash{1}}))
 	out := m.Ready(1)
 	is.Equal(out.Answers, []Answer{{ID: "r2", State: BodyMismatch}})
 	is.Equal(len(out.Appends), 1)
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -17,8 +17,8 @@
 
 // Claim asks for the right to run the request of a key.
 type Claim struct {
-	Key     KeyHash  `msgpack:"k"`
-	Request BodyHash `msgpack:"r"`
+	Key     KeyHash     `msgpack:"k"`
+	Request RequestHash `msgpack:"r"`
 	// Attempt is unique to this claim; a later claim by the same request
 	// has another.
 	Attempt     string `msgpack:"a"`
@@ -47,10 +47,10 @@
 // ResultRecord records the result of an attempt. On a key that nobody holds
 // it takes the key: that is a run without a claim while the log was down.
 type ResultRecord struct {
-	Key     KeyHash  `msgpack:"k"`
-	Request BodyHash `msgpack:"r"`
-	Attempt string   `msgpack:"a"`
-	Result  Result   `msgpack:"o"`
+	Key     KeyHash     `msgpack:"k"`
+	Request RequestHash `msgpack:"r"`
+	Attempt string      `msgpack:"a"`
+	Result  Result      `msgpack:"o"`
 }
 
 // Abandon frees the key: its holder will never dispatch.
--- a/internal/claim/request.go
+++ b/internal/claim/request.go
@@ -17,10 +17,10 @@
 // Request is a keyed non-idempotent request that a caller has sent.
 type Request struct {
 	// ID is unique over the whole fleet and all time.
-	ID      string
-	Account string
-	Key     string
-	Body    BodyHash
+	ID          string
+	Account     string
+	Key         string
+	RequestHash RequestHash
 	// Deadline is the latest time for an answer, on the machine's clock.
 	Deadline time.Duration
 	// RunWhenLogDown runs the request without a claim when none can be had.
--- a/internal/claim/snapshot.go
+++ b/internal/claim/snapshot.go
@@ -87,8 +87,8 @@
 	return true
 }
 
-// PageBody is the page as a message between peers.
-func (p Page) PageBody() wire.ClaimPage {
+// ToWire is the page as a message between peers.
+func (p Page) ToWire() wire.ClaimPage {
 	b := wire.ClaimPage{Start: int64(p.Start), Next: int64(p.Next), More: p.More, After: int64(p.After)}
 	for _, mk := range p.Marks {
 		b.Marks = append(b.Marks, wire.ClaimMark{Head: int64(mk.Head), Millis: mk.Millis})
@@ -111,9 +111,9 @@
 	return b
 }
 
-// PageFrom reads a peer's page. A malformed holder makes the whole page
+// PageFromWire reads a peer's page. A malformed holder makes the whole page
 // worthless: leaving it out would show its key as free.
-func PageFrom(b wire.ClaimPage) (Page, error) {
+func PageFromWire(b wire.ClaimPage) (Page, error) {
 	p := Page{Start: platform.Offset(b.Start), Next: platform.Offset(b.Next), More: b.More, After: platform.Offset(b.After)}
 	for _, mk := range b.Marks {
 		p.Marks = append(p.Marks, Mark{Head: platform.Offset(mk.Head), Millis: mk.Millis})
@@ -129,11 +129,11 @@
 }
 
 func holderFrom(b wire.ClaimHolder) (Holder, bool) {
-	if len(b.Key) != len(KeyHash{}) || len(b.Request) != len(BodyHash{}) {
+	if len(b.Key) != len(KeyHash{}) || len(b.Request) != len(RequestHash{}) {
 		return Holder{}, false
 	}
 	h := Holder{
-		Key: KeyHash(b.Key), Request: BodyHash(b.Request), Attempt: b.Attempt,
+		Key: KeyHash(b.Key), Request: RequestHash(b.Request), Attempt: b.Attempt,
 		Incarnation: b.Incarnation, Address: b.Address, Offset: platform.Offset(b.Offset),
 	}
 	if b.Done {
--- a/internal/claim/stats.go
+++ b/internal/claim/stats.go
@@ -29,8 +29,8 @@
 	return s
 }
 
-// Keys is how many keys are remembered, and Held how many bytes of answers.
-func (m *Machine) Keys() (keys, heldBytes int) {
+// Size is how many keys are remembered, and Held how many bytes of answers.
+func (m *Machine) Size() (keys, heldBytes int) {
 	return len(m.table.holders), m.table.held
 }
 
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -15,7 +15,7 @@
 // Holder is the state of one key: who may run it, and what came of it.
 type Holder struct {
 	Key         KeyHash         `msgpack:"k"`
-	Request     BodyHash        `msgpack:"r"`
+	Request     RequestHash     `msgpack:"r"`
 	Attempt     string          `msgpack:"a"`
 	Incarnation string          `msgpack:"i"`
 	Address     string          `msgpack:"p"`
--- a/internal/entry/claimdriver.go
+++ b/internal/entry/claimdriver.go
@@ -104,7 +104,7 @@
 // results are answered at once.
 func (d *claimDriver) holderGone(incarnation string) {
 	d.mu.Lock()
-	d.machine.HolderGone(d.clock.now(), incarnation)
+	d.machine.ProcessEnded(d.clock.now(), incarnation)
 	d.mu.Unlock()
 	d.wake.kick()
 }
@@ -140,7 +140,7 @@
 	for _, a := range ready.Appends {
 		go d.append(ctx, a)
 	}
-	if at, ok := d.machine.Wake(); ok {
+	if at, ok := d.machine.NextWakeup(); ok {
 		return min(max(at-now, time.Millisecond), claimTick)
 	}
 	return claimTick
@@ -164,7 +164,7 @@
 
 func (d *claimDriver) read(b platform.Batch) error {
 	d.mu.Lock()
-	err := d.machine.Records(d.clock.now(), d.clock.wallMillis(), b)
+	err := d.machine.ApplyRecords(d.clock.now(), d.clock.wallMillis(), b)
 	d.mu.Unlock()
 	d.wake.kick()
 	return err
@@ -191,7 +191,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.machine.Snapshot(platform.Offset(ask.From), min(max(ask.Max, 1), snapshotPage)).PageBody(), nil
+	return d.machine.Snapshot(platform.Offset(ask.From), min(max(ask.Max, 1), snapshotPage)).ToWire(), nil
 }
 
 // bootstrap takes a peer's fold in place of the records that the log has lost:
@@ -225,7 +225,7 @@
 		if _, err := d.node.Call(ctx, addr, wire.KindClaimSnapshot, wire.ClaimSnapshotAsk{From: from, Max: snapshotPage}, &body); err != nil {
 			return nil, err
 		}
-		page, err := claim.PageFrom(body)
+		page, err := claim.PageFromWire(body)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/entry/configdriver.go
+++ b/internal/entry/configdriver.go
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex
 	follower *config.Follower
-	contacts *keys.Contacts
+	contacts *keys.ContactTracker
 	// askedLog is when the read that runs now was begun.
 	askedLog time.Duration
 	logStart int64
@@ -52,7 +52,7 @@
 		node:     node,
 		peers:    peers,
 		follower: config.NewFollower(),
-		contacts: keys.NewContacts(domain),
+		contacts: keys.NewContactTracker(domain),
 		ready:    make(chan struct{}),
 	}
 	d.thaw = newThawGuard(c.now, d.refresh)
@@ -77,7 +77,7 @@
 func (d *configDriver) authorize(presented string) (config.Account, string, error) {
 	intent := d.intent()
 	d.mu.Lock()
-	contact := d.contacts.View(d.clock.now(), severalDomains(intent))
+	contact := d.contacts.ContactAt(d.clock.now(), severalDomains(intent))
 	d.mu.Unlock()
 	return keys.Authorize(intent, presented, contact)
 }
@@ -137,7 +137,7 @@
 func (d *configDriver) take(b platform.Batch, asked time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.contacts.Log(asked)
+	d.contacts.LogRead(asked)
 	d.logStart = int64(b.Start)
 	_, err := d.follower.Read(b.Records)
 	d.publish()
@@ -207,11 +207,11 @@
 func (d *configDriver) adopt(from wire.Identity, ans wire.ConfigAnswer, asked time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	logAge := keys.Unknown
+	logAge := keys.UnknownLogAge
 	if ans.LogAgeMillis >= 0 {
 		logAge = time.Duration(ans.LogAgeMillis) * time.Millisecond
 	}
-	d.contacts.Peer(from.Domain, asked, logAge)
+	d.contacts.PeerAnswered(from.Domain, asked, logAge)
 	if len(ans.State) == 0 {
 		return
 	}
@@ -255,7 +255,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	age := d.contacts.LogAge(d.clock.now())
-	if age == keys.Unknown {
+	if age == keys.UnknownLogAge {
 		return -1
 	}
 	return age.Milliseconds()
--- a/internal/entry/engineleg.go
+++ b/internal/entry/engineleg.go
@@ -66,11 +66,11 @@
 	r.unreachable(err)
 	var se *sendError
 	if errors.As(err, &se) && se.outcome == openai.NotRun {
-		return r.stream.Broke(r.leg, attempt.CauseDial)
+		return r.stream.ConnectionFailed(r.leg, attempt.CauseDial)
 	}
-	r.stream.Sent(r.leg)
+	r.stream.SendStarted(r.leg)
 	r.sent = true
-	return r.stream.Broke(r.leg, attempt.CauseReset)
+	return r.stream.ConnectionFailed(r.leg, attempt.CauseReset)
 }
 
 // opened takes the head of an answer.
@@ -83,7 +83,7 @@
 		return r.rejected(resp)
 	}
 	r.events = sse.NewReader(resp.Body, 0, 0)
-	return r.stream.Opened(r.s.clock.now(), r.leg, attempt.Head{
+	return r.stream.ResponseStarted(r.s.clock.now(), r.leg, attempt.ResponseHead{
 		Attempt:     resp.Header.Get(headerRequestID),
 		Incarnation: resp.Header.Get(headerIncarnation),
 		Version:     resp.Header.Get(headerVersion),
@@ -101,7 +101,7 @@
 	if notRun {
 		return r.stream.Rejected(r.leg)
 	}
-	return r.stream.Broke(r.leg, attempt.CauseRejected)
+	return r.stream.ConnectionFailed(r.leg, attempt.CauseRejected)
 }
 
 // read takes the next part of the answer.
@@ -118,7 +118,7 @@
 		return r.broke(err)
 	}
 	r.prefilled()
-	if u, ok := openai.UsageOf(ev.Data); ok {
+	if u, ok := openai.ParseUsage(ev.Data); ok {
 		r.e.usage = u
 	}
 	return r.stream.Event(r.s.clock.now(), r.leg, ev)
@@ -131,8 +131,8 @@
 	if err != nil {
 		return r.broke(err)
 	}
-	r.e.usage, _ = openai.UsageOf(body)
-	return r.stream.Answer(r.leg, body)
+	r.e.usage, _ = openai.ParseUsage(body)
+	return r.stream.FullResponse(r.leg, body)
 }
 
 // broke tells the state machine that the leg ended early.
@@ -152,23 +152,23 @@
 	}
 	logline.Error(err, "stream_broke", "request", r.e.id, "attempt", r.id, "target", r.at.target, "cause", cause)
 	r.s.metrics.attempt(r.e.pool.Name, "broken")
-	return r.stream.Broke(r.leg, cause)
+	return r.stream.ConnectionFailed(r.leg, cause)
 }
 
 // resume asks the same target to go on with the stream.
 func (r *engineRun) resume(act attempt.Action) attempt.Action {
 	r.openLeg()
-	r.leg = r.stream.Resumed(r.s.clock.now())
+	r.leg = r.stream.BeginResume(r.s.clock.now())
 	resp, err := r.s.targets.resume(r.ctx, r.request(), act.LastSeq)
 	if err != nil {
 		r.lost(r.brokenResult())
 		r.unreachable(err)
-		return r.stream.Broke(r.leg, attempt.CauseReset)
+		return r.stream.ConnectionFailed(r.leg, attempt.CauseReset)
 	}
 	if resp.StatusCode != http.StatusOK {
 		r.resp = resp
 		r.lost(r.brokenResult())
-		return r.stream.Broke(r.leg, attempt.CauseUnknownStream)
+		return r.stream.ConnectionFailed(r.leg, attempt.CauseUnknownStream)
 	}
 	return r.opened(resp)
 }
--- a/internal/entry/engineleg_test.go
+++ b/internal/entry/engineleg_test.go
@@ -20,7 +20,7 @@
 	r := &engineRun{
 		s:       &server{clock: newClock()},
 		e:       &engineCall{call: &call{wrote: true}, req: openai.Request{Stream: true}},
-		stream:  attempt.NewStream(attempt.Policy{Request: "r"}),
+		stream:  attempt.NewStream(attempt.Policy{RequestID: "r"}),
 		events:  sse.NewReader(strings.NewReader("id: 0\ndata: {}\n\n"), 0, 0),
 		idle:    time.AfterFunc(time.Hour, func() {}),
 		counted: true,
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -59,7 +59,7 @@
 func (s *server) runEngine(e *engineCall) error {
 	r := &engineRun{s: s, e: e, pool: s.pools.engine(e.pool.Name)}
 	r.stream = attempt.NewStream(attempt.Policy{
-		Request: e.id, Repeatable: e.route.Idempotent, MaxDispatches: maxAttempts, IdleTimeout: chunkIdle,
+		RequestID: e.id, Idempotent: e.route.Idempotent, MaxDispatches: maxAttempts, IdleTimeout: chunkIdle,
 	})
 	defer r.closeLeg()
 	defer r.abandon()
@@ -120,7 +120,7 @@
 	if err != nil {
 		return r.sendFailed(err), nil
 	}
-	r.stream.Sent(r.leg)
+	r.stream.SendStarted(r.leg)
 	r.sent = true
 	return r.opened(resp), nil
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -76,7 +76,7 @@
 	}
 	if s.full() {
 		c.w.Header().Set("Connection", "close")
-		return refusal(http.StatusServiceUnavailable, openai.CodeTooManyConns, "too many connections", time.Second)
+		return refusal(http.StatusServiceUnavailable, openai.CodeTooManyConnections, "too many connections", time.Second)
 	}
 	intent := s.config.intent()
 	if intent == nil {
@@ -103,7 +103,7 @@
 	if err == nil {
 		return nil
 	}
-	if errors.Is(err, keys.ErrCutOff) {
+	if errors.Is(err, keys.ErrContactTooOld) {
 		return refusal(http.StatusServiceUnavailable, openai.CodeKeyCutOff, "this instance cannot check the key at present", time.Second)
 	}
 	return refusal(http.StatusUnauthorized, openai.CodeInvalidKey, "the key is not valid", 0)
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -189,11 +189,11 @@
 func (s *server) runClaimed(c *call, pool config.Pool, key string) error {
 	answer, err := s.claims.begin(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
-		Body:     claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
-		Deadline: c.due, RunWhenLogDown: c.route.RunWhenLogDown,
+		RequestHash: claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
+		Deadline:    c.due, RunWhenLogDown: c.route.RunWhenLogDown,
 	})
 	if err != nil {
-		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavail, "the caller left before the request ran", time.Second)
+		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller left before the request ran", time.Second)
 	}
 	if answer.State != claim.Run {
 		return s.answerRepeat(c, pool, answer)
@@ -218,7 +218,7 @@
 	if errors.As(err, &failed) {
 		return err
 	}
-	return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavail, "the claim lapsed before the request was sent", time.Second)
+	return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the claim lapsed before the request was sent", time.Second)
 }
 
 // answerRepeat answers a request whose key is another request's.
@@ -233,7 +233,7 @@
 	case claim.BodyMismatch:
 		return refusal(http.StatusUnprocessableEntity, openai.CodeKeyReused, "the key belongs to a different request", 0)
 	default:
-		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavail, "no claim could be had for the key", time.Second)
+		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "no claim could be had for the key", time.Second)
 	}
 }
 
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -183,6 +183,6 @@
 func (d *claimDriver) view() claimView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	keys, held := d.machine.Keys()
+	keys, held := d.machine.Size()
 	return claimView{Keys: keys, HeldBytes: held}
 }
--- a/internal/feedturn/feedturn.go
+++ b/internal/feedturn/feedturn.go
@@ -20,11 +20,11 @@
 
 // Settings of a feed.
 type Settings struct {
-	// Bound is the time within which news of the feed must be known.
-	Bound time.Duration
-	// ReadEvery is the pause between two reads of the reader; 0 where a read
+	// StalenessBound is the time within which news of the feed must be known.
+	StalenessBound time.Duration
+	// ReadInterval is the pause between two reads of the reader; 0 where a read
 	// itself waits for news.
-	ReadEvery time.Duration
+	ReadInterval time.Duration
 }
 
 const (
@@ -51,19 +51,19 @@
 	// Reader says that this instance reads for the fleet, Standby that it is the
 	// first of its domain to do so when that fails.
 	Reader, Standby bool
-	// KnownAt is the time up to which this instance knows the feed; Known is
+	// KnownUpTo is the time up to which this instance knows the feed; Known is
 	// false before it had it for the first time.
-	KnownAt time.Duration
-	Known   bool
+	KnownUpTo time.Duration
+	Known     bool
 	// NotBefore is until when an instance that has never known the feed leaves the
 	// read to others.
 	NotBefore time.Duration
-	// Fleet is the number of instances.
-	Fleet int
+	// FleetSize is the number of instances.
+	FleetSize int
 }
 
-// Turn is one instance's turns at a feed. It is not safe for concurrent use.
-type Turn struct {
+// Scheduler is one instance's turns at a feed. It is not safe for concurrent use.
+type Scheduler struct {
 	settings Settings
 	// notBefore is the end of the pause after a read.
 	notBefore time.Duration
@@ -71,11 +71,11 @@
 }
 
 // New makes the turns at a feed.
-func New(s Settings) *Turn { return &Turn{settings: s} }
+func New(s Settings) *Scheduler { return &Scheduler{settings: s} }
 
 // Next says whether to read now, and else how long to wait before the next
 // look.
-func (t *Turn) Next(now time.Duration, v View) (read bool, wait time.Duration) {
+func (t *Scheduler) Next(now time.Duration, v View) (read bool, wait time.Duration) {
 	due := t.notBefore
 	if !v.Known {
 		due = max(due, v.NotBefore)
@@ -85,7 +85,7 @@
 		if v.Standby && !t.lost {
 			share = standbyShare
 		}
-		due = max(due, v.KnownAt+time.Duration(share*float64(t.settings.Bound)))
+		due = max(due, v.KnownUpTo+time.Duration(share*float64(t.settings.StalenessBound)))
 	}
 	if now >= due {
 		return true, 0
@@ -93,26 +93,26 @@
 	return false, min(due-now, lookEvery)
 }
 
-// Succeeded takes in a read that was answered.
-func (t *Turn) Succeeded(now time.Duration) {
-	t.notBefore, t.lost = now+t.settings.ReadEvery, false
+// ReadSucceeded takes in a read that was answered.
+func (t *Scheduler) ReadSucceeded(now time.Duration) {
+	t.notBefore, t.lost = now+t.settings.ReadInterval, false
 }
 
-// Failed takes in a read without an answer.
-func (t *Turn) Failed(now time.Duration, fleet int, rng *rand.Rand) {
-	t.notBefore, t.lost = now+RetryPause(fleet, rng), true
+// ReadFailed takes in a read without an answer.
+func (t *Scheduler) ReadFailed(now time.Duration, fleet int, rng *rand.Rand) {
+	t.notBefore, t.lost = now+RetryDelay(fleet, rng), true
 }
 
-// RetryPause is the pause after a call that the store did not answer, in a
+// RetryDelay is the pause after a call that the store did not answer, in a
 // fleet of that size. It is drawn, so that instances that fail together do not
 // come back together.
-func RetryPause(fleet int, rng *rand.Rand) time.Duration {
+func RetryDelay(fleet int, rng *rand.Rand) time.Duration {
 	pause := max(retryPause, retryShare*time.Duration(fleet))
 	return pause/2 + time.Duration(rng.Int64N(int64(pause)))
 }
 
-// Lost says that the last read failed: another instance should be the reader.
-func (t *Turn) Lost() bool { return t.lost }
+// LastReadFailed says that the last read failed: another instance should be the reader.
+func (t *Scheduler) LastReadFailed() bool { return t.lost }
 
 // KnownUpTo is the time up to which an answer tells of the feed. A read that
 // waits for news and ends without any was answered at the end of its wait, so
@@ -128,15 +128,15 @@
 // Peer is another instance, as far as the choice of the reader goes.
 type Peer struct {
 	hubs.Instance
-	// Lost says that it does not reach the store.
-	Lost bool
+	// StoreUnreachable says that it does not reach the store.
+	StoreUnreachable bool
 }
 
-// Reads says whether the instance is the first of those given, in the order of
+// IsReader says whether the instance is the first of those given, in the order of
 // duties, that reach the store. So a reader is a hub, where there are hubs.
-func Reads(self hubs.Instance, peers []Peer) bool {
+func IsReader(self hubs.Instance, peers []Peer) bool {
 	for _, p := range peers {
-		if !p.Lost && hubs.Compare(p.Instance, self) < 0 {
+		if !p.StoreUnreachable && hubs.Compare(p.Instance, self) < 0 {
 			return false
 		}
 	}
--- a/internal/feedturn/feedturn_test.go
+++ b/internal/feedturn/feedturn_test.go
@@ -15,11 +15,11 @@
 	bound = 2 * time.Second
 )
 
-func newTurn() (*Turn, *rand.Rand) {
-	return New(Settings{Bound: bound, ReadEvery: 700 * ms}), rand.New(rand.NewPCG(1, 1))
+func newTurn() (*Scheduler, *rand.Rand) {
+	return New(Settings{StalenessBound: bound, ReadInterval: 700 * ms}), rand.New(rand.NewPCG(1, 1))
 }
 
-func (t *Turn) reads(now time.Duration, v View) bool {
+func (t *Scheduler) reads(now time.Duration, v View) bool {
 	read, _ := t.Next(now, v)
 	return read
 }
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	turn, _ := newTurn()
 	is.True(turn.reads(0, View{Reader: true}))
-	turn.Succeeded(0)
+	turn.ReadSucceeded(0)
 	v := View{Reader: true, Known: true}
 	is.True(!turn.reads(600*ms, v))
 	is.True(turn.reads(700*ms, v))
@@ -40,9 +40,9 @@
 func TestFollowerReadsWhenItsKnowledgeIsOld(t *testing.T) {
 	is := is.New(t)
 	turn, _ := newTurn()
-	turn.Succeeded(0)
-	is.True(!turn.reads(10*time.Second, View{Known: true, KnownAt: 9500 * ms}))
-	is.True(turn.reads(10*time.Second, View{Known: true, KnownAt: 9 * time.Second}))
+	turn.ReadSucceeded(0)
+	is.True(!turn.reads(10*time.Second, View{Known: true, KnownUpTo: 9500 * ms}))
+	is.True(turn.reads(10*time.Second, View{Known: true, KnownUpTo: 9 * time.Second}))
 }
 
 // The store is away for five seconds and sixty instances know nothing new. If
@@ -53,8 +53,8 @@
 	turn, rng := newTurn()
 	calls := 0
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * ms {
-		if turn.reads(now, View{Known: true, KnownAt: -time.Hour}) {
-			turn.Failed(now, 60, rng)
+		if turn.reads(now, View{Known: true, KnownUpTo: -time.Hour}) {
+			turn.ReadFailed(now, 60, rng)
 			calls++
 		}
 	}
@@ -67,12 +67,12 @@
 func TestReaderThatIsTurnedAwayHandsOver(t *testing.T) {
 	is := is.New(t)
 	turn, rng := newTurn()
-	turn.Failed(0, 6, rng)
-	is.True(turn.Lost())
-	is.True(Reads(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}, Lost: true}, {Instance: hubs.Instance{Name: "c"}}}))
-	is.True(!Reads(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}}, {Instance: hubs.Instance{Name: "c"}}}))
+	turn.ReadFailed(0, 6, rng)
+	is.True(turn.LastReadFailed())
+	is.True(IsReader(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}, StoreUnreachable: true}, {Instance: hubs.Instance{Name: "c"}}}))
+	is.True(!IsReader(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}}, {Instance: hubs.Instance{Name: "c"}}}))
 	// While others tell it what is new, it makes no calls in vain.
-	is.True(!turn.reads(10*time.Second, View{Reader: true, Known: true, KnownAt: 9900 * ms}))
+	is.True(!turn.reads(10*time.Second, View{Reader: true, Known: true, KnownUpTo: 9900 * ms}))
 }
 
 // A read waits a second for news and the process stands still while it waits.
@@ -89,7 +89,7 @@
 // waits of reads and the messages between instances take time.
 type fleetSim struct {
 	rng     *rand.Rand
-	turns   []*Turn
+	turns   []*Scheduler
 	upTo    []time.Duration
 	reading []time.Duration // when the read under way ends
 	dead    []bool
@@ -107,7 +107,7 @@
 func newFleetSim(away func(int, time.Duration) bool) *fleetSim {
 	f := &fleetSim{rng: rand.New(rand.NewPCG(3, 3)), away: away}
 	for range simFleet {
-		f.turns = append(f.turns, New(Settings{Bound: bound}))
+		f.turns = append(f.turns, New(Settings{StalenessBound: bound}))
 		f.upTo, f.reading, f.dead = append(f.upTo, 0), append(f.reading, -1), append(f.dead, false)
 	}
 	return f
@@ -119,10 +119,10 @@
 	var peers []Peer
 	for j, turn := range f.turns {
 		if j != i && !f.dead[j] && of(j) {
-			peers = append(peers, Peer{Instance: hubs.Instance{Name: string(rune('a' + j))}, Lost: turn.Lost()})
+			peers = append(peers, Peer{Instance: hubs.Instance{Name: string(rune('a' + j))}, StoreUnreachable: turn.LastReadFailed()})
 		}
 	}
-	return Reads(hubs.Instance{Name: string(rune('a' + i))}, peers)
+	return IsReader(hubs.Instance{Name: string(rune('a' + i))}, peers)
 }
 
 func (f *fleetSim) reader(i int) bool { return f.reads(i, func(int) bool { return true }) }
@@ -148,24 +148,24 @@
 	}
 }
 
-func (f *fleetSim) read(i int, turn *Turn, now time.Duration) {
+func (f *fleetSim) read(i int, turn *Scheduler, now time.Duration) {
 	if end := f.reading[i]; end >= 0 {
 		if now >= end {
 			f.reading[i] = -1
-			turn.Succeeded(now)
+			turn.ReadSucceeded(now)
 			f.upTo[i] = max(f.upTo[i], now)
 		}
 		return
 	}
 	reader := f.reader(i)
-	if read, _ := turn.Next(now, View{Reader: reader, Standby: f.standby(i), Known: true, KnownAt: f.upTo[i], Fleet: simFleet}); !read {
+	if read, _ := turn.Next(now, View{Reader: reader, Standby: f.standby(i), Known: true, KnownUpTo: f.upTo[i], FleetSize: simFleet}); !read {
 		return
 	}
 	f.calls++
 	switch {
 	case f.away(i, now):
-		turn.Failed(now, simFleet, f.rng)
-	case reader && !turn.Lost():
+		turn.ReadFailed(now, simFleet, f.rng)
+	case reader && !turn.LastReadFailed():
 		f.reading[i] = now + simWait
 	default:
 		f.reading[i] = now + simStep
--- a/internal/gateway/feedstate.go
+++ b/internal/gateway/feedstate.go
@@ -24,7 +24,7 @@
 }
 
 // awaitTurn waits until the feed is to be read; false when ctx ended.
-func (g *Gateway) awaitTurn(ctx context.Context, turn *feedturn.Turn, view func() feedturn.View) bool {
+func (g *Gateway) awaitTurn(ctx context.Context, turn *feedturn.Scheduler, view func() feedturn.View) bool {
 	for ctx.Err() == nil {
 		read, wait := turn.Next(g.clock.Now(), view())
 		if read {
@@ -37,15 +37,15 @@
 
 // tookTurn takes in how a read ended. The log gets a line when the feed is lost
 // or regained.
-func (g *Gateway) tookTurn(ctx context.Context, turn *feedturn.Turn, lost *bool, feed string, err error) {
+func (g *Gateway) tookTurn(ctx context.Context, turn *feedturn.Scheduler, lost *bool, feed string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	was := turn.Lost()
+	was := turn.LastReadFailed()
 	if err != nil {
-		turn.Failed(g.clock.Now(), g.peers.fleetSize(), g.source())
+		turn.ReadFailed(g.clock.Now(), g.peers.fleetSize(), g.source())
 	} else {
-		turn.Succeeded(g.clock.Now())
+		turn.ReadSucceeded(g.clock.Now())
 	}
 	switch {
 	case err != nil && !was:
@@ -54,7 +54,7 @@
 		logline.Info("store_regained", "feed", feed)
 	}
 	g.feeds.mu.Lock()
-	*lost = turn.Lost()
+	*lost = turn.LastReadFailed()
 	g.feeds.mu.Unlock()
 }
 
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -145,7 +145,7 @@
 // takeContact takes a contact of a peer with the store for an own one: all that the
 // peer knew by it is here. The caller holds g.mu.
 func (g *Gateway) takeContact(c configContact) {
-	g.contacts.Log(c.at)
+	g.contacts.LogRead(c.at)
 	g.operatorsNext = max(g.operatorsNext, c.next)
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 	table atomic.Pointer[routing.Table]
 
 	mu       sync.Mutex
-	contacts *keys.Contacts
+	contacts *keys.ContactTracker
 	// operatorsNext is where to read on in what operators write; unread before that was
 	// read.
 	operatorsNext int64
@@ -102,7 +102,7 @@
 		},
 		targets:       targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
 		metrics:       newGatewayMetrics(),
-		contacts:      keys.NewContacts(s.Domain),
+		contacts:      keys.NewContactTracker(s.Domain),
 		versions:      map[string]*namedVersions{},
 		oldest:        map[string]int64{},
 		quota:         quota.New(),
@@ -190,7 +190,7 @@
 func (g *Gateway) contactAge() time.Duration {
 	now := g.clock.Now()
 	age := g.contacts.LogAge(now)
-	if age == keys.Unknown {
+	if age == keys.UnknownLogAge {
 		return 1 << 62
 	}
 	return age
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -23,7 +23,7 @@
 // The fleet's reader waits for news at the store; the other instances get them
 // from peers and read when they do not.
 func (g *Gateway) followOperators(ctx context.Context) {
-	turn := feedturn.New(feedturn.Settings{Bound: g.settings.ConfigBound})
+	turn := feedturn.New(feedturn.Settings{StalenessBound: g.settings.ConfigBound})
 	brought, limit, notBefore := false, g.startLimit(), time.Duration(0)
 	view := func() feedturn.View {
 		v := g.operatorView()
@@ -35,7 +35,7 @@
 		wait := time.Duration(0)
 		// News may have come at the start of a wait: what is known is as old as that,
 		// and a read that does not wait renews it.
-		if next != unread && !brought && g.operatorView().Reader && !turn.Lost() {
+		if next != unread && !brought && g.operatorView().Reader && !turn.LastReadFailed() {
 			wait = time.Duration(operatorWaitShare * float64(g.settings.ConfigBound))
 		}
 		sent := g.clock.Now()
@@ -82,15 +82,15 @@
 // operatorView is what the next turn at the operators' feed depends on.
 func (g *Gateway) operatorView() feedturn.View {
 	age := g.sinceContact()
-	v := feedturn.View{Known: age < startAge, Reader: g.peers.reads(), Standby: g.peers.readsForDomain(), Fleet: g.peers.fleetSize()}
+	v := feedturn.View{Known: age < startAge, Reader: g.peers.reads(), Standby: g.peers.readsForDomain(), FleetSize: g.peers.fleetSize()}
 	now := g.clock.Now()
 	if v.Known {
-		v.KnownAt = now - age
+		v.KnownUpTo = now - age
 	}
 	// While a newer configuration comes in from a peer, a read would only compete
 	// with it for the link.
 	if contact, ok := g.configs.arriving(now); ok {
-		v.KnownAt = max(v.KnownAt, contact)
+		v.KnownUpTo = max(v.KnownUpTo, contact)
 	}
 	return v
 }
@@ -137,7 +137,7 @@
 		namedBy -= max(min(silence, g.suspension.recent(now)), min(unread, latest))
 	}
 	estimated := silence > latest
-	g.contacts.Log(upTo)
+	g.contacts.LogRead(upTo)
 	g.operatorsNext = max(g.operatorsNext, news.Next)
 	if config != nil {
 		g.putInForce(config, "store")
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -304,10 +304,10 @@
 	var members []feedturn.Peer
 	for _, s := range p.known {
 		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.fresh(now, s) {
-			members = append(members, feedturn.Peer{Instance: s.instance(), Lost: s.state.Cut})
+			members = append(members, feedturn.Peer{Instance: s.instance(), StoreUnreachable: s.state.Cut})
 		}
 	}
-	return feedturn.Reads(p.instance(), members)
+	return feedturn.IsReader(p.instance(), members)
 }
 
 // ordersHeld says that a peer holds the lease for orders.
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -36,7 +36,7 @@
 // followRegistrations keeps the directory of targets up to date.
 func (g *Gateway) followRegistrations(ctx context.Context) {
 	turn := feedturn.New(feedturn.Settings{
-		Bound: g.settings.DrainBound, ReadEvery: time.Duration(registrationShare * float64(g.settings.DrainBound)),
+		StalenessBound: g.settings.DrainBound, ReadInterval: time.Duration(registrationShare * float64(g.settings.DrainBound)),
 	})
 	known := false
 	for g.awaitTurn(ctx, turn, g.registrationView) {
@@ -62,7 +62,7 @@
 	g.mu.Lock()
 	known, upTo := g.registrations.next != unread, g.registrations.upTo
 	g.mu.Unlock()
-	return feedturn.View{Known: known, KnownAt: upTo, Reader: g.peers.reads(), Standby: g.peers.readsForDomain(), Fleet: g.peers.fleetSize()}
+	return feedturn.View{Known: known, KnownUpTo: upTo, Reader: g.peers.reads(), Standby: g.peers.readsForDomain(), FleetSize: g.peers.fleetSize()}
 }
 
 func (g *Gateway) readRegistrations(ctx context.Context, next int64, known bool) ([]directory.Event, int64, error) {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -354,9 +354,9 @@
 }
 
 // contactsOf are those of an instance with one word from the store.
-func contactsOf(at time.Duration) *keys.Contacts {
-	c := keys.NewContacts("d1")
-	c.Log(at)
+func contactsOf(at time.Duration) *keys.ContactTracker {
+	c := keys.NewContactTracker("d1")
+	c.LogRead(at)
 	return c
 }
 
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -118,7 +118,7 @@
 		if err := g.readLease(ctx); err != nil {
 			// While the store is away, all instances with a rollout to do
 			// would else ask ten times a second.
-			g.lease.unread(g.clock.Now(), feedturn.RetryPause(g.peers.fleetSize(), g.source()))
+			g.lease.unread(g.clock.Now(), feedturn.RetryDelay(g.peers.fleetSize(), g.source()))
 			logline.Error(err, "lease_unread")
 			return
 		}
@@ -171,7 +171,7 @@
 		return
 	}
 	if err := g.readLease(ctx); err != nil {
-		g.lease.unread(g.clock.Now(), feedturn.RetryPause(g.peers.fleetSize(), g.source()))
+		g.lease.unread(g.clock.Now(), feedturn.RetryDelay(g.peers.fleetSize(), g.source()))
 		logline.Error(err, "lease_unread")
 	}
 }
--- a/internal/gateway/versionrecord.go
+++ b/internal/gateway/versionrecord.go
@@ -65,7 +65,7 @@
 	}
 	if !g.versionRecord.current || !writes {
 		if err := g.readVersionRecord(ctx); err != nil {
-			g.versionRecordFailed(err, "version_record_unread", feedturn.RetryPause(g.peers.fleetSize(), g.source()))
+			g.versionRecordFailed(err, "version_record_unread", feedturn.RetryDelay(g.peers.fleetSize(), g.source()))
 			return
 		}
 		missing, doubtful = g.unrecorded()
--- a/internal/keys/authorize.go
+++ b/internal/keys/authorize.go
@@ -15,9 +15,9 @@
 	// ErrWithdrawn: the key was withdrawn. The caller gets the answer of
 	// ErrUnknown; only the log line tells the two apart.
 	ErrWithdrawn = errors.New("key: withdrawn")
-	// ErrCutOff: this instance has been out of contact for longer than
+	// ErrContactTooOld: this instance has been out of contact for longer than
 	// the account allows; the key may have been withdrawn meanwhile.
-	ErrCutOff = errors.New("key: this instance is out of contact for too long to trust it")
+	ErrContactTooOld = errors.New("key: this instance is out of contact for too long to trust it")
 )
 
 // maxKeyBytes bounds what is hashed for a caller who is not known yet.
@@ -46,8 +46,8 @@
 	if !known {
 		return config.Account{}, key.ID, ErrUnknown
 	}
-	if c.Silence() > account.KeyCutoff {
-		return account, key.ID, ErrCutOff
+	if c.Age() > account.KeyCutoff {
+		return account, key.ID, ErrContactTooOld
 	}
 	return account, key.ID, nil
 }
--- a/internal/keys/authorize_test.go
+++ b/internal/keys/authorize_test.go
@@ -46,7 +46,7 @@
 		"a long key":   {intentWith("k", false), string(make([]byte, 1+maxKeyBytes)), Contact{}, ErrUnknown},
 		"the hash":     {intentWith("k", false), Hash("k"), Contact{}, ErrUnknown},
 		"withdrawn":    {intentWith("k", true), "k", Contact{}, ErrWithdrawn},
-		"out of touch": {intentWith("k", false), "k", Contact{Now: cutoff + 1}, ErrCutOff},
+		"out of touch": {intentWith("k", false), "k", Contact{Now: cutoff + 1}, ErrContactTooOld},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,15 +64,15 @@
 func TestDomainCutOffAsAWholeStopsAfterCutoff(t *testing.T) {
 	is := is.New(t)
 	intent := intentWith("k", false)
-	c := NewContacts("nord")
-	c.Log(0)
+	c := NewContactTracker("nord")
+	c.LogRead(0)
 	for now := time.Duration(0); now <= 2*cutoff; now += time.Minute {
-		c.Peer("nord", now, now)
-		_, _, err := Authorize(intent, "k", c.View(now, true))
-		is.Equal(errors.Is(err, ErrCutOff), now > cutoff)
+		c.PeerAnswered("nord", now, now)
+		_, _, err := Authorize(intent, "k", c.ContactAt(now, true))
+		is.Equal(errors.Is(err, ErrContactTooOld), now > cutoff)
 	}
-	c.Peer("sud", 2*cutoff, 2*cutoff)
-	_, _, err := Authorize(intent, "k", c.View(2*cutoff, true))
+	c.PeerAnswered("sud", 2*cutoff, 2*cutoff)
+	_, _, err := Authorize(intent, "k", c.ContactAt(2*cutoff, true))
 	is.NoErr(err)
 }
 
@@ -81,10 +81,10 @@
 // would turn an outage of the platform into one of the service.
 func TestLogOutageAloneRefusesNobody(t *testing.T) {
 	is := is.New(t)
-	c := NewContacts("nord")
+	c := NewContactTracker("nord")
 	for now := time.Duration(0); now <= 6*time.Hour; now += time.Minute {
-		c.Peer("sud", now, Unknown)
-		_, _, err := Authorize(intentWith("k", false), "k", c.View(now, true))
+		c.PeerAnswered("sud", now, UnknownLogAge)
+		_, _, err := Authorize(intentWith("k", false), "k", c.ContactAt(now, true))
 		is.NoErr(err)
 	}
 }
@@ -94,13 +94,13 @@
 // heard again: the clock went on, the contact did not.
 func TestThawedInstanceRefusesUntilContact(t *testing.T) {
 	is := is.New(t)
-	c := NewContacts("nord")
-	c.Log(0)
+	c := NewContactTracker("nord")
+	c.LogRead(0)
 	thaw := cutoff + time.Hour
-	_, _, err := Authorize(intentWith("k", false), "k", c.View(thaw, true))
-	is.True(errors.Is(err, ErrCutOff))
-	c.Log(thaw)
-	_, _, err = Authorize(intentWith("k", false), "k", c.View(thaw, true))
+	_, _, err := Authorize(intentWith("k", false), "k", c.ContactAt(thaw, true))
+	is.True(errors.Is(err, ErrContactTooOld))
+	c.LogRead(thaw)
+	_, _, err = Authorize(intentWith("k", false), "k", c.ContactAt(thaw, true))
 	is.NoErr(err)
 }
 
@@ -108,10 +108,10 @@
 // passes on what it reads. That counts as contact with the log.
 func TestPeerThatReadsTheLogCounts(t *testing.T) {
 	is := is.New(t)
-	c := NewContacts("nord")
+	c := NewContactTracker("nord")
 	now := 3 * cutoff
-	c.Peer("nord", now, time.Second)
-	is.Equal(c.View(now, true).Silence(), time.Second)
+	c.PeerAnswered("nord", now, time.Second)
+	is.Equal(c.ContactAt(now, true).Age(), time.Second)
 }
 
 // A domain is cut off for longer than the cut-off time, and one of its
@@ -120,18 +120,18 @@
 // for another cut-off time.
 func TestRestartInACutOffDomainIsNoContact(t *testing.T) {
 	is := is.New(t)
-	old := NewContacts("nord")
-	old.Log(0)
+	old := NewContactTracker("nord")
+	old.LogRead(0)
 	now := cutoff + time.Minute
-	fresh := NewContacts("nord")
-	_, _, err := Authorize(intentWith("k", false), "k", fresh.View(now, true))
-	is.True(errors.Is(err, ErrCutOff))
-	fresh.Peer("nord", now, Unknown)
-	_, _, err = Authorize(intentWith("k", false), "k", fresh.View(now, true))
-	is.True(errors.Is(err, ErrCutOff))
-	fresh.Peer("nord", now, old.LogAge(now))
-	_, _, err = Authorize(intentWith("k", false), "k", fresh.View(now, true))
-	is.True(errors.Is(err, ErrCutOff))
+	fresh := NewContactTracker("nord")
+	_, _, err := Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	is.True(errors.Is(err, ErrContactTooOld))
+	fresh.PeerAnswered("nord", now, UnknownLogAge)
+	_, _, err = Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	is.True(errors.Is(err, ErrContactTooOld))
+	fresh.PeerAnswered("nord", now, old.LogAge(now))
+	_, _, err = Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	is.True(errors.Is(err, ErrContactTooOld))
 	is.Equal(fresh.LogAge(now), now)
-	is.Equal(NewContacts("nord").LogAge(now), Unknown)
+	is.Equal(NewContactTracker("nord").LogAge(now), UnknownLogAge)
 }
--- a/internal/keys/contact.go
+++ b/internal/keys/contact.go
@@ -6,53 +6,53 @@
 // from. Times are monotonic, since an arbitrary start of the process.
 type Contact struct {
 	Now time.Duration
-	// LastLog is when a read of the config stream last succeeded.
-	LastLog time.Duration
-	// LastPeer is when a peer last answered that could know more.
-	LastPeer time.Duration
+	// LastLogRead is when a read of the config stream last succeeded.
+	LastLogRead time.Duration
+	// LastPeerAnswer is when a peer last answered that could know more.
+	LastPeerAnswer time.Duration
 }
 
-// Silence is how long neither the log nor a peer was heard.
-func (c Contact) Silence() time.Duration {
-	return c.Now - max(c.LastLog, c.LastPeer)
+// Age is how long neither the log nor a peer was heard.
+func (c Contact) Age() time.Duration {
+	return c.Now - max(c.LastLogRead, c.LastPeerAnswer)
 }
 
 // never is the time of a contact that was not yet made.
 const never = time.Duration(-1 << 62)
 
-// Unknown is the log age of a peer that has not heard of the log at all.
-const Unknown = time.Duration(-1)
+// UnknownLogAge is the log age of a peer that has not heard of the log at all.
+const UnknownLogAge = time.Duration(-1)
 
-// Contacts collects the times of contact of one instance.
-type Contacts struct {
+// ContactTracker collects the times of contact of one instance.
+type ContactTracker struct {
 	domain   string
 	lastLog  time.Duration
 	lastSame time.Duration
 	lastElse time.Duration
 }
 
-// NewContacts starts without any contact. A start counts for nothing: in a
+// NewContactTracker starts without any contact. A start counts for nothing: in a
 // domain that is cut off, each restart would give withdrawn keys another
 // cut-off time.
-func NewContacts(domain string) *Contacts {
-	return &Contacts{domain: domain, lastLog: never, lastSame: never, lastElse: never}
+func NewContactTracker(domain string) *ContactTracker {
+	return &ContactTracker{domain: domain, lastLog: never, lastSame: never, lastElse: never}
 }
 
-// Log notes a successful read of the config stream, also an empty one.
-func (c *Contacts) Log(now time.Duration) { c.lastLog = max(c.lastLog, now) }
+// LogRead notes a successful read of the config stream, also an empty one.
+func (c *ContactTracker) LogRead(now time.Duration) { c.lastLog = max(c.lastLog, now) }
 
 // LogAge is how long ago the log was read, by this instance or by one that
 // has passed on what it read; Unknown for never. It is what Peer takes.
-func (c *Contacts) LogAge(now time.Duration) time.Duration {
+func (c *ContactTracker) LogAge(now time.Duration) time.Duration {
 	if c.lastLog == never {
-		return Unknown
+		return UnknownLogAge
 	}
 	return now - c.lastLog
 }
 
-// Peer notes an answer from a peer of the domain. logAge is the peer's
+// PeerAnswered notes an answer from a peer of the domain. logAge is the peer's
 // LogAge: what was known then, the peer has passed on.
-func (c *Contacts) Peer(domain string, now, logAge time.Duration) {
+func (c *ContactTracker) PeerAnswered(domain string, now, logAge time.Duration) {
 	if logAge >= 0 {
 		c.lastLog = max(c.lastLog, now-logAge)
 	}
@@ -63,13 +63,13 @@
 	}
 }
 
-// View gives the contact at a time. With several domains only peers of
+// ContactAt gives the contact at a time. With several domains only peers of
 // another one count: the instances of a domain that is cut off as a whole
 // go on hearing each other, and none of them hears of a withdrawal.
-func (c *Contacts) View(now time.Duration, severalDomains bool) Contact {
+func (c *ContactTracker) ContactAt(now time.Duration, severalDomains bool) Contact {
 	peer := c.lastElse
 	if !severalDomains {
 		peer = max(peer, c.lastSame)
 	}
-	return Contact{Now: now, LastLog: c.lastLog, LastPeer: peer}
+	return Contact{Now: now, LastLogRead: c.lastLog, LastPeerAnswer: peer}
 }
--- a/internal/openai/usage.go
+++ b/internal/openai/usage.go
@@ -19,9 +19,9 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// UsageOf reads the usage block of an answer or a chunk. False when there is
+// ParseUsage reads the usage block of an answer or a chunk. False when there is
 // none.
-func UsageOf(data []byte) (Usage, bool) {
+func ParseUsage(data []byte) (Usage, bool) {
 	if !bytes.Contains(data, usageField) {
 		return Usage{}, false // spares all chunks but the last the decoding
 	}
--- a/internal/slopes/claims.go
+++ b/internal/slopes/claims.go
@@ -46,7 +46,7 @@
 		}
 		m.AppendDone(now, a.ID, nil)
 	}
-	if err := m.Records(now, 1, read); err != nil {
+	if err := m.ApplyRecords(now, 1, read); err != nil {
 		panic(err) // records of our own that do not fold are a programming error
 	}
 }
@@ -55,7 +55,7 @@
 	sizes := []int{2000, 4000, 8000, 16000}
 	fold := func(b platform.Batch) *claim.Machine {
 		m := claim.New(claim.Config{})
-		if err := m.Records(0, 1, b); err != nil {
+		if err := m.ApplyRecords(0, 1, b); err != nil {
 			panic(err)
 		}
 		return m
