--- a/internal/sse/doc.go
+++ b/internal/sse/doc.go
@@ -1,4 +1,6 @@
-// Package sse reads and writes server-sent events with bounded sizes. It is
-// strict: an event that the peer did not end is an error, never an event, so
-// that a cut connection can't pass for the end of a stream.
+// Package sse reads and writes server-sent events of bounded size.
+//
+// The readers are strict: an event that is not terminated by a blank line is an
+// error and is never returned, so that a broken connection can't be mistaken for
+// the end of a stream.
 package sse
--- a/internal/sse/event.go
+++ b/internal/sse/event.go
@@ -4,16 +4,17 @@
 
 // Event is one server-sent event.
 type Event struct {
-	// ID is the event's "id" field; HasID says that there was one.
+	// ID is the "id" field. HasID distinguishes an empty id from a missing one.
 	ID    string
 	HasID bool
-	// Name is the "event" field; empty for a plain message.
+	// Name is the "event" field, empty if there is none.
 	Name string
-	// Data is the "data" fields joined by newlines.
+	// Data holds the "data" fields, joined by newlines.
 	Data []byte
 }
 
-// Append encodes the event. ID and Name must hold no line breaks; Data may.
+// Append appends the encoded event to dst. Data may contain line breaks; ID and
+// Name must not.
 func Append(dst []byte, e Event) []byte {
 	if e.HasID {
 		dst = append(append(append(dst, "id: "...), e.ID...), '\n')
@@ -21,13 +22,13 @@
 	if e.Name != "" {
 		dst = append(append(append(dst, "event: "...), e.Name...), '\n')
 	}
-	rest := e.Data
+	remaining := e.Data
 	for {
-		line, after, more := bytes.Cut(rest, []byte{'\n'})
+		line, after, found := bytes.Cut(remaining, []byte{'\n'})
 		dst = append(append(append(dst, "data: "...), line...), '\n')
-		if !more {
+		if !found {
 			return append(dst, '\n')
 		}
-		rest = after
+		remaining = after
 	}
 }
--- a/internal/sse/raw.go
+++ b/internal/sse/raw.go
@@ -8,42 +8,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RawEvent is an event as it came, with its id picked out.
+// RawEvent is an event in its original bytes, with its id.
 type RawEvent struct {
-	// Bytes are the event's lines and the blank line that ends it. They are
-	// valid until the next call.
+	// Bytes holds the event's lines including the terminating blank line. It is
+	// valid until the next call of Next.
 	Bytes []byte
-	// ID is the last "id" field; empty when there is none.
+	// ID is the value of the last "id" field, empty if there is none.
 	ID string
 }
 
-// RawReader splits a stream into whole events without changing a byte, for a
-// relay that passes them on. Like Reader it gives an event only when the peer
-// ended it.
+// RawReader splits a stream into complete events without altering their bytes,
+// for a relay that forwards them. Like Reader, it returns only terminated events.
 type RawReader struct {
-	r        *bufio.Reader
-	maxEvent int
-	buf      []byte
+	src           *bufio.Reader
+	maxEventBytes int
+	buf           []byte
 }
 
-// NewRawReader bounds each event; zero takes the default.
-func NewRawReader(r io.Reader, maxEvent int) *RawReader {
-	if maxEvent <= 0 {
-		maxEvent = DefaultMaxEventBytes
+// NewRawReader returns a reader that accepts events of up to maxEventBytes. Zero
+// selects DefaultMaxEventBytes.
+func NewRawReader(r io.Reader, maxEventBytes int) *RawReader {
+	if maxEventBytes <= 0 {
+		maxEventBytes = DefaultMaxEventBytes
 	}
-	return &RawReader{r: bufio.NewReaderSize(r, readBufferBytes), maxEvent: maxEvent}
+	return &RawReader{src: bufio.NewReaderSize(r, readBufferBytes), maxEventBytes: maxEventBytes}
 }
 
-// Next returns the next event. io.EOF means that the stream ended between
-// events, io.ErrUnexpectedEOF that it was cut inside one.
+// Next returns the next event. The error is io.EOF if the stream ended between
+// events, and io.ErrUnexpectedEOF if it ended inside an event.
 func (r *RawReader) Next() (RawEvent, error) {
 	r.buf = r.buf[:0]
 	e := RawEvent{}
 	for {
-		line, err := r.r.ReadSlice('\n')
+		line, err := r.src.ReadSlice('\n')
 		r.buf = append(r.buf, line...)
-		if len(r.buf) > r.maxEvent {
-			return e, errors.Wrapf(ErrTooLarge, "event over %d bytes", r.maxEvent)
+		if len(r.buf) > r.maxEventBytes {
+			return e, errors.Wrapf(ErrTooLarge, "event exceeds %d bytes", r.maxEventBytes)
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -8,53 +8,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Default bounds of a Reader.
+// Default size limits of a Reader.
 const (
 	DefaultMaxLineBytes  = 256 << 10
 	DefaultMaxEventBytes = 1 << 20
 )
 
-// readBufferBytes holds a usual event. It is small since each open stream has
-// one; a buffer for the longest line would take 256 kB of each.
+// readBufferBytes is enough for a typical event. Every open stream has a buffer:
+// one for the longest permitted line would take 256 kB per stream.
 const readBufferBytes = 4 << 10
 
-// Errors of a Reader. A cut stream gives io.ErrUnexpectedEOF.
+// Errors returned by the readers, besides io.EOF and io.ErrUnexpectedEOF.
 var (
-	// ErrTooLarge: a line or an event is over its bound.
+	// ErrTooLarge is returned for a line or an event that exceeds its size limit.
 	ErrTooLarge = errors.New("sse: event too large")
-	// ErrMalformed: the bytes are no event stream.
-	ErrMalformed = errors.New("sse: malformed")
+	// ErrMalformed is returned for input that is not a valid event stream.
+	ErrMalformed = errors.New("sse: malformed event stream")
 )
 
-// Reader reads events from a stream.
+// Reader parses events from a stream.
 type Reader struct {
-	r        *bufio.Reader
-	maxLine  int
-	maxEvent int
-	// long is reused for lines longer than the read buffer.
-	long  []byte
-	data  []byte
-	lines int
-	size  int
-	err   error
+	src           *bufio.Reader
+	maxLineBytes  int
+	maxEventBytes int
+	// longLine is reused for lines that do not fit into the read buffer.
+	longLine []byte
+	// data, dataLines and eventBytes belong to the event being read.
+	data       []byte
+	dataLines  int
+	eventBytes int
+	err        error
 }
 
-// NewReader bounds each line and the whole of each event; zero takes the
-// defaults.
-func NewReader(r io.Reader, maxLine, maxEvent int) *Reader {
-	if maxLine <= 0 {
-		maxLine = DefaultMaxLineBytes
+// NewReader returns a reader that limits the length of each line and the total
+// size of each event. Zero selects the default.
+func NewReader(r io.Reader, maxLineBytes, maxEventBytes int) *Reader {
+	if maxLineBytes <= 0 {
+		maxLineBytes = DefaultMaxLineBytes
 	}
-	if maxEvent <= 0 {
-		maxEvent = DefaultMaxEventBytes
+	if maxEventBytes <= 0 {
+		maxEventBytes = DefaultMaxEventBytes
 	}
-	return &Reader{r: bufio.NewReaderSize(r, readBufferBytes), maxLine: maxLine, maxEvent: maxEvent}
+	return &Reader{src: bufio.NewReaderSize(r, readBufferBytes), maxLineBytes: maxLineBytes, maxEventBytes: maxEventBytes}
 }
 
 // Next returns the next event that has data. Its Data is valid until the next
-// call. io.EOF means that the stream ended between events; the reader can't
-// know whether the peer meant to end there. After an error it returns the
-// same error again.
+// call. io.EOF means that the stream ended between events; whether the peer
+// intended to end it there can't be told. After an error, Next returns the same
+// error again.
 func (r *Reader) Next() (Event, error) {
 	if r.err != nil {
 		return Event{}, r.err
@@ -69,92 +70,95 @@
 
 func (r *Reader) next() (Event, error) {
 	var e Event
-	r.data, r.lines, r.size = r.data[:0], 0, 0
-	fields := false
+	r.data, r.dataLines, r.eventBytes = r.data[:0], 0, 0
+	hasLines := false
 	for {
 		line, err := r.line()
 		if err != nil {
-			if err == io.EOF && fields {
+			if err == io.EOF && hasLines {
 				err = io.ErrUnexpectedEOF
 			}
 			return Event{}, err
 		}
 		if len(line) > 0 {
-			fields = true
-			if err := r.field(&e, line); err != nil {
+			hasLines = true
+			if err := r.parseField(&e, line); err != nil {
 				return Event{}, err
 			}
 			continue
 		}
-		if r.lines > 0 {
+		if r.dataLines > 0 {
 			e.Data = r.data
 			return e, nil
 		}
-		// An event without data, such as a keep-alive comment, is skipped.
-		e, fields, r.size = Event{}, false, 0
+		// Events without data are skipped, such as keep-alive comments.
+		e, hasLines, r.eventBytes = Event{}, false, 0
 	}
 }
 
-// line returns one line without its end. A line that the peer did not end is
+// line returns the next line without its terminator. An unterminated line gives
 // io.ErrUnexpectedEOF.
 func (r *Reader) line() ([]byte, error) {
-	raw, err := r.raw()
+	raw, err := r.rawLine()
 	switch {
 	case err == io.EOF && len(raw) > 0:
 		return nil, io.ErrUnexpectedEOF
 	case err != nil:
 		return nil, err
 	}
-	r.size += len(raw)
-	if r.size > r.maxEvent {
-		return nil, errors.Wrapf(ErrTooLarge, "event over %d bytes", r.maxEvent)
+	r.eventBytes += len(raw)
+	if r.eventBytes > r.maxEventBytes {
+		return nil, errors.Wrapf(ErrTooLarge, "event exceeds %d bytes", r.maxEventBytes)
 	}
 	return bytes.TrimSuffix(raw[:len(raw)-1], []byte{'\r'}), nil
 }
 
-// raw returns one line with its end, or what there is of it with the error.
-func (r *Reader) raw() ([]byte, error) {
-	line, err := r.r.ReadSlice('\n')
+// rawLine returns the next line including its terminator. With an error it
+// returns what was read of the line.
+func (r *Reader) rawLine() ([]byte, error) {
+	line, err := r.src.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
-		line, err = r.longLine(line)
+		line, err = r.readLongLine(line)
 	}
-	if len(line) > r.maxLine {
-		return nil, errors.Wrap(ErrTooLarge, "line")
+	if len(line) > r.maxLineBytes {
+		return nil, errors.Wrapf(ErrTooLarge, "line exceeds %d bytes", r.maxLineBytes)
 	}
 	return line, err
 }
 
-// longLine reads on from the first part of a line that fills the buffer.
-func (r *Reader) longLine(part []byte) ([]byte, error) {
-	r.long = append(r.long[:0], part...)
+// readLongLine reads the rest of a line whose first part fills the read buffer.
+func (r *Reader) readLongLine(part []byte) ([]byte, error) {
+	r.longLine = append(r.longLine[:0], part...)
 	err := bufio.ErrBufferFull
-	for err == bufio.ErrBufferFull && len(r.long) <= r.maxLine {
-		part, err = r.r.ReadSlice('\n')
-		r.long = append(r.long, part...)
+	for err == bufio.ErrBufferFull && len(r.longLine) <= r.maxLineBytes {
+		part, err = r.src.ReadSlice('\n')
+		r.longLine = append(r.longLine, part...)
 	}
-	return r.long, err
+	return r.longLine, err
 }
 
-func (r *Reader) field(e *Event, line []byte) error {
+// parseField adds one line of an event to e. Comments and unknown fields are
+// ignored.
+func (r *Reader) parseField(e *Event, line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	if bytes.ContainsAny(line, "\r\x00") {
-		return errors.Wrap(ErrMalformed, "control byte in line")
+		return errors.Wrap(ErrMalformed, "carriage return or NUL in a line")
 	}
 	switch string(name) {
 	case "id":
 		if e.HasID {
-			return errors.Wrap(ErrMalformed, "two ids in one event")
+			return errors.Wrap(ErrMalformed, "more than one id in an event")
 		}
 		e.ID, e.HasID = string(value), true
 	case "event":
 		e.Name = string(value)
 	case "data":
-		if r.lines > 0 {
+		if r.dataLines > 0 {
 			r.data = append(r.data, '\n')
 		}
 		r.data = append(r.data, value...)
-		r.lines++
+		r.dataLines++
 	}
 	return nil
 }
--- a/internal/sse/reader_test.go
+++ b/internal/sse/reader_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Whatever a target sends, the reader neither fails nor grows without bound,
-// and what it accepts reads the same after writing it again.
+// For any input, the reader does not panic and returns no event above the limit,
+// and an accepted event is unchanged by encoding and reading it again.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 0\ndata: a\n\n"))
 	f.Add([]byte("data: a\r\ndata\r\n\r\n: x\n"))
@@ -62,11 +62,11 @@
 				return
 			}
 			if len(e.Data) > 1024 {
-				t.Fatal("event over its bound")
+				t.Fatal("event exceeds its size limit")
 			}
-			back, err := NewReader(bytes.NewReader(Append(nil, e)), 8192, 1<<20).Next()
-			if err != nil || back.ID != e.ID || back.HasID != e.HasID || back.Name != e.Name || !bytes.Equal(back.Data, e.Data) {
-				t.Fatalf("%+v came back as %+v: %v", e, back, err)
+			decoded, err := NewReader(bytes.NewReader(Append(nil, e)), 8192, 1<<20).Next()
+			if err != nil || decoded.ID != e.ID || decoded.HasID != e.HasID || decoded.Name != e.Name || !bytes.Equal(decoded.Data, e.Data) {
+				t.Fatalf("%+v was read back as %+v: %v", e, decoded, err)
 			}
 		}
 	})
