--- a/internal/openai/error.go
+++ b/internal/openai/error.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Outcome says whether a failed request ran on a target.
+// Outcome tells whether a failed request was executed by a target.
 type Outcome string
 
-// The outcomes. NotRun is only said when no byte of the request can have
-// reached a target, or a target itself refused it unrun.
+// Outcomes of a failed request. NotRun is reported only if no byte of the request
+// can have reached a target, or if the target stated that it did not execute it.
 const (
 	NotRun     Outcome = "not_run"
 	MayHaveRun Outcome = "may_have_run"
 	Ran        Outcome = "ran"
 )
 
-// OutcomeHeader carries the outcome of a failed request.
+// OutcomeHeader is the response header that carries the Outcome.
 const OutcomeHeader = "X-Request-Outcome"
 
-// Code is a stable name of a refusal, for programs.
+// Code is a stable, machine-readable error code.
 type Code string
 
-// Codes of refusals.
+// Error codes.
 const (
 	CodeInvalidKey         Code = "invalid_api_key"
 	CodeKeyCutOff          Code = "key_check_cut_off"
@@ -47,18 +47,19 @@
 	CodeTooManyConnections Code = "too_many_connections"
 )
 
-// Error is a refusal or failure as a caller sees it.
+// Error is an error response to a caller.
 type Error struct {
 	Status  int
 	Code    Code
 	Message string
 	Outcome Outcome
-	// RetryAfter is when to come back; 0 sends no hint.
+	// RetryAfter is the delay before a retry is useful; 0 sends no Retry-After
+	// header.
 	RetryAfter time.Duration
 	RequestID  string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
 
 type errorBody struct {
@@ -71,36 +72,38 @@
 	Code      Code    `json:"code"`
 	Outcome   Outcome `json:"outcome"`
 	RequestID string  `json:"request_id,omitempty"`
-	// RetryAfterMS is the hint in full precision; the header has seconds.
+	// RetryAfterMS repeats the Retry-After header, which has whole seconds, in
+	// milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// JSON is the error in the OpenAI shape.
+// JSON encodes the error in the OpenAI format.
 func (e *Error) JSON() []byte {
-	kind := "server_error"
+	errorType := "server_error"
 	if e.Status < http.StatusInternalServerError {
-		kind = "invalid_request_error"
+		errorType = "invalid_request_error"
 	}
 	raw, _ := json.Marshal(errorBody{Error: errorFields{
-		Message: e.Message, Type: kind, Code: e.Code, Outcome: e.Outcome,
+		Message: e.Message, Type: errorType, Code: e.Code, Outcome: e.Outcome,
 		RequestID: e.RequestID, RetryAfterMS: e.RetryAfter.Milliseconds(),
 	}})
 	return raw
 }
 
-// Write sends the error as the whole answer.
+// Write sends the error as a complete response.
 func (e *Error) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(OutcomeHeader, string(e.Outcome))
 	if e.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatInt(wholeSeconds(e.RetryAfter), 10))
+		h.Set("Retry-After", strconv.FormatInt(ceilSeconds(e.RetryAfter), 10))
 	}
 	w.WriteHeader(e.Status)
 	_, _ = w.Write(e.JSON())
 }
 
-// wholeSeconds rounds up: a caller that comes back too early is refused again.
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds rounds up to whole seconds: a caller that retries too early is
+// refused again.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -6,19 +6,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBadRequest is returned for a body that cannot be read.
+// ErrBadRequest is returned for a request body that is not valid.
 var ErrBadRequest = errors.New("bad request body")
 
-// Request is what the router needs to know of a completion request.
+// Request holds the fields of a completion request that routing depends on.
 type Request struct {
 	Model  string
 	Stream bool
-	// MaxTokens is the allowed output; 0 when the caller set none.
+	// MaxTokens limits the output tokens; 0 if the caller set no limit.
 	MaxTokens int
-	// Prompt is the text that cached pieces are cut from.
+	// Prompt is the text that is split into cached blocks.
 	Prompt []byte
-	// Body is the request to send to an engine: the caller's own, with the
-	// usage asked for on streams.
+	// Body is the request body to send to an engine: the caller's, with
+	// stream_options.include_usage set if it asks for a stream.
 	Body []byte
 }
 
@@ -32,7 +32,7 @@
 	Text string `json:"text"`
 }
 
-type fields struct {
+type requestFields struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
 	MaxTokens           int             `json:"max_tokens"`
@@ -41,7 +41,8 @@
 	Prompt              json.RawMessage `json:"prompt"`
 }
 
-// ParseChat reads a /v1/chat/completions body.
+// ParseChat parses the body of a /v1/chat/completions request. The prompt is the
+// role and the text of each message, each followed by a newline.
 func ParseChat(body []byte) (Request, error) {
 	f, req, err := parse(body)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return req, nil
 }
 
-// ParseCompletion reads a /v1/completions body.
+// ParseCompletion parses the body of a /v1/completions request.
 func ParseCompletion(body []byte) (Request, error) {
 	f, req, err := parse(body)
 	if err != nil {
@@ -77,8 +78,9 @@
 	return req, nil
 }
 
-func parse(body []byte) (fields, Request, error) {
-	var f fields
+// parse reads what both kinds of request have in common.
+func parse(body []byte) (requestFields, Request, error) {
+	var f requestFields
 	if err := json.Unmarshal(body, &f); err != nil {
 		return f, Request{}, errors.Mark(errors.Wrap(err, "parse body"), ErrBadRequest)
 	}
@@ -88,30 +90,31 @@
 	if f.MaxTokens < 0 || f.MaxCompletionTokens < 0 {
 		return f, Request{}, errors.Wrap(ErrBadRequest, "max_tokens: expected 0 or more")
 	}
-	out := body
+	engineBody := body
 	if f.Stream {
 		var err error
-		if out, err = withUsage(body); err != nil {
+		if engineBody, err = withIncludeUsage(body); err != nil {
 			return f, Request{}, err
 		}
 	}
-	return f, Request{Model: f.Model, Stream: f.Stream, MaxTokens: max(f.MaxTokens, f.MaxCompletionTokens), Body: out}, nil
+	return f, Request{Model: f.Model, Stream: f.Stream, MaxTokens: max(f.MaxTokens, f.MaxCompletionTokens), Body: engineBody}, nil
 }
 
-// withUsage asks for the usage block at the end of the stream: without it the
-// charge could not be corrected and the cache index would learn nothing.
-func withUsage(body []byte) ([]byte, error) {
-	var whole map[string]json.RawMessage
-	if err := json.Unmarshal(body, &whole); err != nil {
+// withIncludeUsage makes the engine report its usage at the end of the stream.
+// Without it, the estimated charge can't be corrected and the cache index is not
+// updated.
+func withIncludeUsage(body []byte) ([]byte, error) {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "parse body"), ErrBadRequest)
 	}
-	whole["stream_options"] = json.RawMessage(`{"include_usage":true}`)
-	out, err := json.Marshal(whole)
+	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
+	out, err := json.Marshal(fields)
 	return out, errors.Wrap(err, "encode body")
 }
 
-// contentText reads a message's content: a string, or parts of which the text
-// ones count.
+// contentText returns the text of a message's content, which is a string or a list
+// of parts. Parts without text are ignored.
 func contentText(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", nil
--- a/internal/openai/usage.go
+++ b/internal/openai/usage.go
@@ -7,29 +7,30 @@
 
 var usageField = []byte(`"usage"`)
 
-// Usage is the token count that an engine reports with an answer.
+// Usage is the token usage that an engine reports with a response.
 type Usage struct {
 	PromptTokens        int                 `json:"prompt_tokens"`
 	CompletionTokens    int                 `json:"completion_tokens"`
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokensDetails says how much of the prompt the engine had cached.
+// PromptTokensDetails breaks down the prompt tokens. CachedTokens is the number
+// that the engine had in its prefix cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// ParseUsage reads the usage block of an answer or a chunk. False when there is
-// none.
+// ParseUsage returns the usage block of a response body or a stream chunk, and
+// false if there is none.
 func ParseUsage(data []byte) (Usage, bool) {
 	if !bytes.Contains(data, usageField) {
-		return Usage{}, false // spares all chunks but the last the decoding
+		return Usage{}, false // avoids decoding every chunk: only the last one has a usage block
 	}
-	var a struct {
+	var response struct {
 		Usage *Usage `json:"usage"`
 	}
-	if json.Unmarshal(data, &a) != nil || a.Usage == nil {
+	if json.Unmarshal(data, &response) != nil || response.Usage == nil {
 		return Usage{}, false
 	}
-	return *a.Usage, true
+	return *response.Usage, true
 }
