--- a/internal/keys/authorize.go
+++ b/internal/keys/authorize.go
@@ -8,33 +8,34 @@
 	"github.com/mastictray/mastictray/internal/config"
 )
 
-// Refusals. In each case the request has not run.
+// Errors of Authorize. In each case the request has not run.
 var (
-	// ErrUnknown: no account has this key.
-	ErrUnknown = errors.New("key: not known")
-	// ErrWithdrawn: the key was withdrawn. The caller gets the answer of
-	// ErrUnknown; only the log line tells the two apart.
+	// ErrUnknown is returned for a key that belongs to no account.
+	ErrUnknown = errors.New("key: unknown")
+	// ErrWithdrawn is returned for a withdrawn key. The caller gets the same
+	// response as for ErrUnknown; only the log line tells the two apart.
 	ErrWithdrawn = errors.New("key: withdrawn")
-	// ErrContactTooOld: this instance has been out of contact for longer than
-	// the account allows; the key may have been withdrawn meanwhile.
-	ErrContactTooOld = errors.New("key: this instance is out of contact for too long to trust it")
+	// ErrContactTooOld is returned if this instance has had no contact for longer
+	// than the account's key-cutoff. The key may have been withdrawn meanwhile.
+	ErrContactTooOld = errors.New("key: can't be checked: no contact within the account's key-cutoff")
 )
 
-// maxKeyBytes bounds what is hashed for a caller who is not known yet.
+// maxKeyBytes limits the hashing done for an unauthenticated caller.
 const maxKeyBytes = 512
 
-// Authorize finds the account and the key id of a presented key. It is
-// called when a request comes in, on every request of a connection, and
-// again right before the request is sent to a target: a key may be withdrawn
-// while its request waits in a queue. Errors: ErrUnknown, ErrWithdrawn,
-// ErrCutOff; the account and id are set with the last two for the log line.
-func Authorize(intent *config.Intent, presented string, c Contact) (config.Account, string, error) {
+// Authorize returns the account and the id of a presented key. It is called for
+// every request on a connection, and again right before the request is sent to a
+// target, since the key may be withdrawn while the request is queued.
+//
+// The error is ErrUnknown, ErrWithdrawn or ErrContactTooOld. With the last two,
+// account and id are returned too, for the log line.
+func Authorize(intent *config.Intent, presented string, contact Contact) (config.Account, string, error) {
 	if presented == "" || len(presented) > maxKeyBytes {
 		return config.Account{}, "", ErrUnknown
 	}
 	hash := Hash(presented)
-	// A caller cannot choose bytes of the hash, so the time of the lookup
-	// says nothing about other keys; the match itself is constant time.
+	// A caller can't choose bytes of the hash, so the duration of the lookup
+	// reveals nothing about other keys. The comparison takes constant time.
 	key, ok := intent.Keys[hash]
 	if !ok || subtle.ConstantTimeCompare([]byte(key.SHA256), []byte(hash)) != 1 {
 		return config.Account{}, "", ErrUnknown
@@ -46,7 +47,7 @@
 	if !known {
 		return config.Account{}, key.ID, ErrUnknown
 	}
-	if c.Age() > account.KeyCutoff {
+	if contact.Age() > account.KeyCutoff {
 		return account, key.ID, ErrContactTooOld
 	}
 	return account, key.ID, nil
--- a/internal/keys/authorize_test.go
+++ b/internal/keys/authorize_test.go
@@ -13,7 +13,7 @@
 
 const cutoff = 10 * time.Minute
 
-func intentWith(key string, withdrawn bool) *config.Intent {
+func intentWithKey(key string, withdrawn bool) *config.Intent {
 	h := Hash(key)
 	return &config.Intent{
 		Accounts: map[string]config.Account{"a": {Name: "a", KeyCutoff: cutoff}},
@@ -21,12 +21,12 @@
 	}
 }
 
-func TestNewMakesKeysThatAuthorize(t *testing.T) {
+func TestNewGeneratesValidKeys(t *testing.T) {
 	is := is.New(t)
 	key, hash, err := New(bytes.NewReader(make([]byte, secretBytes)))
 	is.NoErr(err)
 	is.Equal(hash, Hash(key))
-	account, id, err := Authorize(intentWith(key, false), key, Contact{})
+	account, id, err := Authorize(intentWithKey(key, false), key, Contact{})
 	is.NoErr(err)
 	is.Equal(account.Name, "a")
 	is.Equal(id, "k1")
@@ -41,12 +41,12 @@
 		contact Contact
 		want    error
 	}{
-		"no key":       {intentWith("k", false), "", Contact{}, ErrUnknown},
-		"another key":  {intentWith("k", false), "l", Contact{}, ErrUnknown},
-		"a long key":   {intentWith("k", false), string(make([]byte, 1+maxKeyBytes)), Contact{}, ErrUnknown},
-		"the hash":     {intentWith("k", false), Hash("k"), Contact{}, ErrUnknown},
-		"withdrawn":    {intentWith("k", true), "k", Contact{}, ErrWithdrawn},
-		"out of touch": {intentWith("k", false), "k", Contact{Now: cutoff + 1}, ErrContactTooOld},
+		"no key":          {intentWithKey("k", false), "", Contact{}, ErrUnknown},
+		"another key":     {intentWithKey("k", false), "l", Contact{}, ErrUnknown},
+		"a long key":      {intentWithKey("k", false), string(make([]byte, 1+maxKeyBytes)), Contact{}, ErrUnknown},
+		"the hash":        {intentWithKey("k", false), Hash("k"), Contact{}, ErrUnknown},
+		"withdrawn":       {intentWithKey("k", true), "k", Contact{}, ErrWithdrawn},
+		"contact too old": {intentWithKey("k", false), "k", Contact{Now: cutoff + 1}, ErrContactTooOld},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,13 +57,13 @@
 	}
 }
 
-// A domain is cut off from the platform and from the other domains. Its
-// callers are refused with "not run" once the account's cut-off time is over,
-// although its instances still hear each other: a key withdrawn outside
-// would otherwise work there for as long as the cut lasts.
+// A domain is partitioned from the platform and from the other domains. After the
+// account's key-cutoff its instances refuse requests as not run, although they still
+// reach each other. Otherwise a withdrawn key would work there for as long as the
+// partition lasts.
 func TestDomainCutOffAsAWholeStopsAfterCutoff(t *testing.T) {
 	is := is.New(t)
-	intent := intentWith("k", false)
+	intent := intentWithKey("k", false)
 	c := NewContactTracker("nord")
 	c.LogRead(0)
 	for now := time.Duration(0); now <= 2*cutoff; now += time.Minute {
@@ -76,37 +76,37 @@
 	is.NoErr(err)
 }
 
-// The log is down for hours while all links between domains are up. Callers
-// notice nothing: no withdrawal can be published meanwhile, and refusing
-// would turn an outage of the platform into one of the service.
-func TestLogOutageAloneRefusesNobody(t *testing.T) {
+// The log is down for 6 hours while the domains reach each other. Keys stay valid:
+// no withdrawal can be published meanwhile, and refusing requests would turn an
+// outage of the platform into an outage of the service.
+func TestLogOutageAloneRefusesNoRequests(t *testing.T) {
 	is := is.New(t)
 	c := NewContactTracker("nord")
 	for now := time.Duration(0); now <= 6*time.Hour; now += time.Minute {
 		c.PeerAnswered("sud", now, UnknownLogAge)
-		_, _, err := Authorize(intentWith("k", false), "k", c.ContactAt(now, true))
+		_, _, err := Authorize(intentWithKey("k", false), "k", c.ContactAt(now, true))
 		is.NoErr(err)
 	}
 }
 
-// An instance is frozen past the cut-off and thaws with a state that is out
-// of date. Its first requests are refused, until the log or a peer has been
-// heard again: the clock went on, the contact did not.
+// An instance is suspended for longer than the key-cutoff and resumes with an
+// outdated configuration. It refuses requests until it has had contact with the log
+// or a peer again.
 func TestThawedInstanceRefusesUntilContact(t *testing.T) {
 	is := is.New(t)
 	c := NewContactTracker("nord")
 	c.LogRead(0)
-	thaw := cutoff + time.Hour
-	_, _, err := Authorize(intentWith("k", false), "k", c.ContactAt(thaw, true))
+	resumed := cutoff + time.Hour
+	_, _, err := Authorize(intentWithKey("k", false), "k", c.ContactAt(resumed, true))
 	is.True(errors.Is(err, ErrContactTooOld))
-	c.LogRead(thaw)
-	_, _, err = Authorize(intentWith("k", false), "k", c.ContactAt(thaw, true))
+	c.LogRead(resumed)
+	_, _, err = Authorize(intentWithKey("k", false), "k", c.ContactAt(resumed, true))
 	is.NoErr(err)
 }
 
-// An instance has no link to the log, but a peer of its domain has one and
-// passes on what it reads. That counts as contact with the log.
-func TestPeerThatReadsTheLogCounts(t *testing.T) {
+// An instance can't reach the log, but a peer of its domain can and passes on what
+// it reads. That counts as contact with the log.
+func TestPeerLogReadCountsAsContact(t *testing.T) {
 	is := is.New(t)
 	c := NewContactTracker("nord")
 	now := 3 * cutoff
@@ -114,24 +114,24 @@
 	is.Equal(c.ContactAt(now, true).Age(), time.Second)
 }
 
-// A domain is cut off for longer than the cut-off time, and one of its
-// instances is replaced. It takes the configuration from its neighbour, and
-// with it the age of what that one read: a withdrawn key does not work again
-// for another cut-off time.
+// A domain is partitioned for longer than the key-cutoff and one of its instances
+// is replaced. The new one gets the configuration from a peer of the domain together
+// with that peer's log age, so a withdrawn key does not become valid for another
+// key-cutoff.
 func TestRestartInACutOffDomainIsNoContact(t *testing.T) {
 	is := is.New(t)
-	old := NewContactTracker("nord")
-	old.LogRead(0)
+	peer := NewContactTracker("nord")
+	peer.LogRead(0)
 	now := cutoff + time.Minute
-	fresh := NewContactTracker("nord")
-	_, _, err := Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	replacement := NewContactTracker("nord")
+	_, _, err := Authorize(intentWithKey("k", false), "k", replacement.ContactAt(now, true))
 	is.True(errors.Is(err, ErrContactTooOld))
-	fresh.PeerAnswered("nord", now, UnknownLogAge)
-	_, _, err = Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	replacement.PeerAnswered("nord", now, UnknownLogAge)
+	_, _, err = Authorize(intentWithKey("k", false), "k", replacement.ContactAt(now, true))
 	is.True(errors.Is(err, ErrContactTooOld))
-	fresh.PeerAnswered("nord", now, old.LogAge(now))
-	_, _, err = Authorize(intentWith("k", false), "k", fresh.ContactAt(now, true))
+	replacement.PeerAnswered("nord", now, peer.LogAge(now))
+	_, _, err = Authorize(intentWithKey("k", false), "k", replacement.ContactAt(now, true))
 	is.True(errors.Is(err, ErrContactTooOld))
-	is.Equal(fresh.LogAge(now), now)
+	is.Equal(replacement.LogAge(now), now)
 	is.Equal(NewContactTracker("nord").LogAge(now), UnknownLogAge)
 }
--- a/internal/keys/contact.go
+++ b/internal/keys/contact.go
@@ -2,74 +2,79 @@
 
 import "time"
 
-// Contact says when this instance last heard from where withdrawals come
-// from. Times are monotonic, since an arbitrary start of the process.
+// Contact holds the times at which this instance last heard from a source of key
+// withdrawals: the log, or a peer that may have read more of it. The times are on a
+// monotonic clock with an arbitrary origin.
 type Contact struct {
 	Now time.Duration
-	// LastLogRead is when a read of the config stream last succeeded.
+	// LastLogRead is the time of the last successful read of the config stream.
 	LastLogRead time.Duration
-	// LastPeerAnswer is when a peer last answered that could know more.
+	// LastPeerAnswer is the time of the last answer from a peer that counts as a
+	// source; see ContactTracker.ContactAt.
 	LastPeerAnswer time.Duration
 }
 
-// Age is how long neither the log nor a peer was heard.
+// Age returns the time since the last contact with the log or a peer.
 func (c Contact) Age() time.Duration {
 	return c.Now - max(c.LastLogRead, c.LastPeerAnswer)
 }
 
-// never is the time of a contact that was not yet made.
-const never = time.Duration(-1 << 62)
+// neverContacted stands for the time of a contact that has not happened.
+const neverContacted = time.Duration(-1 << 62)
 
-// UnknownLogAge is the log age of a peer that has not heard of the log at all.
+// UnknownLogAge is the log age of an instance that has no data from the log, neither
+// read by itself nor received from a peer.
 const UnknownLogAge = time.Duration(-1)
 
-// ContactTracker collects the times of contact of one instance.
+// ContactTracker records when one instance last had contact with the log and with
+// peers of its own and of other failure domains.
 type ContactTracker struct {
-	domain   string
-	lastLog  time.Duration
-	lastSame time.Duration
-	lastElse time.Duration
+	domain          string
+	lastLogRead     time.Duration
+	lastSameDomain  time.Duration
+	lastOtherDomain time.Duration
 }
 
-// NewContactTracker starts without any contact. A start counts for nothing: in a
-// domain that is cut off, each restart would give withdrawn keys another
-// cut-off time.
+// NewContactTracker returns a tracker without any contact. The start of the process
+// does not count as one: in a partitioned domain, each restart would otherwise
+// extend the validity of withdrawn keys by another key-cutoff.
 func NewContactTracker(domain string) *ContactTracker {
-	return &ContactTracker{domain: domain, lastLog: never, lastSame: never, lastElse: never}
+	return &ContactTracker{domain: domain, lastLogRead: neverContacted, lastSameDomain: neverContacted, lastOtherDomain: neverContacted}
 }
 
-// LogRead notes a successful read of the config stream, also an empty one.
-func (c *ContactTracker) LogRead(now time.Duration) { c.lastLog = max(c.lastLog, now) }
+// LogRead records a successful read of the config stream, even if it returned no
+// records.
+func (c *ContactTracker) LogRead(now time.Duration) { c.lastLogRead = max(c.lastLogRead, now) }
 
-// LogAge is how long ago the log was read, by this instance or by one that
-// has passed on what it read; Unknown for never. It is what Peer takes.
+// LogAge returns the time since the log was last read, by this instance or by one
+// whose data has reached it, or UnknownLogAge. Peers pass it to PeerAnswered.
 func (c *ContactTracker) LogAge(now time.Duration) time.Duration {
-	if c.lastLog == never {
+	if c.lastLogRead == neverContacted {
 		return UnknownLogAge
 	}
-	return now - c.lastLog
+	return now - c.lastLogRead
 }
 
-// PeerAnswered notes an answer from a peer of the domain. logAge is the peer's
-// LogAge: what was known then, the peer has passed on.
+// PeerAnswered records an answer from a peer in the given domain. logAge is the
+// peer's LogAge: the answer includes everything in the log up to that age.
 func (c *ContactTracker) PeerAnswered(domain string, now, logAge time.Duration) {
 	if logAge >= 0 {
-		c.lastLog = max(c.lastLog, now-logAge)
+		c.lastLogRead = max(c.lastLogRead, now-logAge)
 	}
 	if domain == c.domain {
-		c.lastSame = max(c.lastSame, now)
+		c.lastSameDomain = max(c.lastSameDomain, now)
 	} else {
-		c.lastElse = max(c.lastElse, now)
+		c.lastOtherDomain = max(c.lastOtherDomain, now)
 	}
 }
 
-// ContactAt gives the contact at a time. With several domains only peers of
-// another one count: the instances of a domain that is cut off as a whole
-// go on hearing each other, and none of them hears of a withdrawal.
+// ContactAt returns the contact times as of now. In a fleet of several domains, only
+// peers of other domains count: the instances of a partitioned domain still reach
+// each other, but none of them learns of withdrawals.
 func (c *ContactTracker) ContactAt(now time.Duration, severalDomains bool) Contact {
-	peer := c.lastElse
+	peer := c.lastOtherDomain
 	if !severalDomains {
-		peer = max(peer, c.lastSame)
+		peer = max(peer, c.lastSameDomain)
 	}
-	return Contact{Now: now, LastLogRead: c.lastLog, LastPeerAnswer: peer}
+	return Contact{Now: now, LastLogRead: c.lastLogRead, LastPeerAnswer: peer}
 }
--- a/internal/keys/doc.go
+++ b/internal/keys/doc.go
@@ -1,4 +1,4 @@
-// Package keys makes callers' keys and decides which client account a
-// presented key belongs to. Only hashes of keys are kept anywhere; nothing
-// here logs or returns the key itself but New, once.
+// Package keys generates API keys and finds the client account that a presented
+// key belongs to. Only hashes of keys are stored: nothing here logs or returns a
+// key, except New, which returns the key that it generated.
 package keys
