--- a/internal/feedturn/feedturn.go
+++ b/internal/feedturn/feedturn.go
@@ -1,12 +1,13 @@
-// Package feedturn decides when an instance reads a feed of the platform's
-// store by itself.
+// Package feedturn decides when an instance reads a feed of the platform's store
+// itself instead of relying on its peers.
 //
-// Calls to the store are limited over the whole fleet and paid for. Where all
-// sixty instances of a fleet read what one could pass on, the calls cost more than
-// the instances' processors. So one instance reads a feed and the others get it
-// from their peers. What they know becomes old when their reader dies, is cut off
-// from them, or is turned away by the store. Then one instance of each failure
-// domain reads by itself, and a bit later, if that does not help, each one does.
+// Calls to the store are charged for, and their rate is limited over the whole
+// fleet. If each of the sixty instances of a fleet read what one could pass on, the
+// calls would cost more than the instances' processors. So one instance, the
+// reader, reads a feed and the others get it from their peers. Their copies become
+// stale if the reader dies, is partitioned from them or is refused by the store.
+// Then one instance of each failure domain, the standby, reads the feed itself, and
+// if that does not help, soon afterwards every instance does.
 //
 // The package is pure.
 package feedturn
@@ -18,122 +19,127 @@
 	"github.com/mastictray/mastictray/internal/hubs"
 )
 
-// Settings of a feed.
+// Settings holds the settings of one feed.
 type Settings struct {
-	// StalenessBound is the time within which news of the feed must be known.
+	// StalenessBound is the time within which every instance must know of a change
+	// in the feed.
 	StalenessBound time.Duration
-	// ReadInterval is the pause between two reads of the reader; 0 where a read
-	// itself waits for news.
+	// ReadInterval is the pause between two reads by the reader; 0 for a feed whose
+	// reads wait for new records (long polling).
 	ReadInterval time.Duration
 }
 
 const (
-	// standbyShare is the part of the bound after which the first instance of a
-	// domain reads by itself: longer than the reader's pause and the way of its
-	// news through the fleet.
-	standbyShare = 0.42
-	// followShare is that part for all others. A read after that fits into the
-	// bound.
-	followShare = 0.5
-	// retryPause is the least pause after a failed read.
-	retryPause = 200 * time.Millisecond
-	// retryShare lengthens that pause in large fleets, for each instance:
-	// while the store is away all of them fail, each failed call is counted
-	// too, and one that gets through is passed on to the others.
-	retryShare = 60 * time.Millisecond
-	// lookEvery is the longest time between two looks, since the reader may
-	// leave at any time.
-	lookEvery = 200 * time.Millisecond
+	// standbyFraction is the staleness, as a fraction of the bound, at which a
+	// standby reads. It is longer than the reader's interval plus the time in which
+	// what it read reaches all instances.
+	standbyFraction = 0.42
+	// followerFraction is the same for all other instances. It leaves enough time
+	// to complete a read within the bound.
+	followerFraction = 0.5
+	// minRetryDelay is the mean delay after a failed read in a small fleet.
+	minRetryDelay = 200 * time.Millisecond
+	// retryDelayPerInstance sets the mean delay in a large fleet. During an outage
+	// of the store the calls of all instances fail, failed calls count towards the
+	// rate limit too, and a single successful call serves all instances.
+	retryDelayPerInstance = 60 * time.Millisecond
+	// maxRecheckInterval bounds the time between two calls of Next, since the
+	// reader may leave at any time.
+	maxRecheckInterval = 200 * time.Millisecond
 )
 
-// View is what the decision depends on besides the feed's own past.
+// View is the state of the fleet and of the feed's local copy that Next depends on.
 type View struct {
-	// Reader says that this instance reads for the fleet, Standby that it is the
-	// first of its domain to do so when that fails.
+	// Reader is set if this instance reads the feed for the fleet, Standby if it is
+	// the first of its failure domain to read when the copies become stale.
 	Reader, Standby bool
-	// KnownUpTo is the time up to which this instance knows the feed; Known is
-	// false before it had it for the first time.
+	// KnownUpTo is the time up to which this instance knows all changes in the feed.
+	// Known is false until it has a first copy.
 	KnownUpTo time.Duration
 	Known     bool
-	// NotBefore is until when an instance that has never known the feed leaves the
-	// read to others.
+	// NotBefore delays the first read of an instance without a copy, so that it can
+	// get one from a peer instead.
 	NotBefore time.Duration
 	// FleetSize is the number of instances.
 	FleetSize int
 }
 
-// Scheduler is one instance's turns at a feed. It is not safe for concurrent use.
+// Scheduler schedules the reads of one feed by one instance. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	settings Settings
-	// notBefore is the end of the pause after a read.
-	notBefore time.Duration
-	lost      bool
+	// notBefore is the end of the pause after the last read.
+	notBefore      time.Duration
+	lastReadFailed bool
 }
 
-// New makes the turns at a feed.
-func New(s Settings) *Scheduler { return &Scheduler{settings: s} }
+// New returns the scheduler of a feed.
+func New(settings Settings) *Scheduler { return &Scheduler{settings: settings} }
 
-// Next says whether to read now, and else how long to wait before the next
-// look.
-func (t *Scheduler) Next(now time.Duration, v View) (read bool, wait time.Duration) {
-	due := t.notBefore
+// Next reports whether to read the feed now and, if not, how long to wait before
+// calling Next again.
+func (s *Scheduler) Next(now time.Duration, v View) (read bool, wait time.Duration) {
+	due := s.notBefore
 	if !v.Known {
 		due = max(due, v.NotBefore)
 	}
-	if v.Known && !(v.Reader && !t.lost) {
-		share := followShare
-		if v.Standby && !t.lost {
-			share = standbyShare
+	if v.Known && !(v.Reader && !s.lastReadFailed) {
+		fraction := followerFraction
+		if v.Standby && !s.lastReadFailed {
+			fraction = standbyFraction
 		}
-		due = max(due, v.KnownUpTo+time.Duration(share*float64(t.settings.StalenessBound)))
+		due = max(due, v.KnownUpTo+time.Duration(fraction*float64(s.settings.StalenessBound)))
 	}
 	if now >= due {
 		return true, 0
 	}
-	return false, min(due-now, lookEvery)
+	return false, min(due-now, maxRecheckInterval)
 }
 
-// ReadSucceeded takes in a read that was answered.
-func (t *Scheduler) ReadSucceeded(now time.Duration) {
-	t.notBefore, t.lost = now+t.settings.ReadInterval, false
+// ReadSucceeded records a successful read.
+func (s *Scheduler) ReadSucceeded(now time.Duration) {
+	s.notBefore, s.lastReadFailed = now+s.settings.ReadInterval, false
 }
 
-// ReadFailed takes in a read without an answer.
-func (t *Scheduler) ReadFailed(now time.Duration, fleet int, rng *rand.Rand) {
-	t.notBefore, t.lost = now+RetryDelay(fleet, rng), true
+// ReadFailed records a failed read.
+func (s *Scheduler) ReadFailed(now time.Duration, fleetSize int, rng *rand.Rand) {
+	s.notBefore, s.lastReadFailed = now+RetryDelay(fleetSize, rng), true
 }
 
-// RetryDelay is the pause after a call that the store did not answer, in a
-// fleet of that size. It is drawn, so that instances that fail together do not
-// come back together.
-func RetryDelay(fleet int, rng *rand.Rand) time.Duration {
-	pause := max(retryPause, retryShare*time.Duration(fleet))
-	return pause/2 + time.Duration(rng.Int64N(int64(pause)))
+// RetryDelay returns the delay after a failed call to the store in a fleet of the
+// given size. It is random, so that instances that failed at the same time do not
+// retry at the same time.
+func RetryDelay(fleetSize int, rng *rand.Rand) time.Duration {
+	mean := max(minRetryDelay, retryDelayPerInstance*time.Duration(fleetSize))
+	return mean/2 + time.Duration(rng.Int64N(int64(mean)))
 }
 
-// LastReadFailed says that the last read failed: another instance should be the reader.
-func (t *Scheduler) LastReadFailed() bool { return t.lost }
+// LastReadFailed reports whether the last read failed, in which case another
+// instance should be the reader.
+func (s *Scheduler) LastReadFailed() bool { return s.lastReadFailed }
 
-// KnownUpTo is the time up to which an answer tells of the feed. A read that
-// waits for news and ends without any was answered at the end of its wait, so
-// nothing was written until then. In all other cases only the time at which it
-// was sent is sure.
-func KnownUpTo(sent, answered, wait time.Duration, news bool) time.Duration {
-	if !news && answered >= sent+wait {
+// KnownUpTo returns the time up to which an answer includes all changes in the feed.
+// A read that waits for new records and returns none after its full wait was
+// answered at the end of that wait, so nothing was written until then. In all other
+// cases only the time at which the read was sent is certain: the answer may have been
+// made at the start of the wait.
+func KnownUpTo(sent, answered, wait time.Duration, hasRecords bool) time.Duration {
+	if !hasRecords && answered >= sent+wait {
 		return sent + wait
 	}
 	return sent
 }
 
-// Peer is another instance, as far as the choice of the reader goes.
+// Peer is another instance as a candidate for the reader.
 type Peer struct {
 	hubs.Instance
-	// StoreUnreachable says that it does not reach the store.
+	// StoreUnreachable is set if the peer can't reach the store.
 	StoreUnreachable bool
 }
 
-// IsReader says whether the instance is the first of those given, in the order of
-// duties, that reach the store. So a reader is a hub, where there are hubs.
+// IsReader reports whether self precedes, in the order of hubs.Compare, all given
+// peers that can reach the store. In a fleet with hubs, the reader is therefore a
+// hub.
 func IsReader(self hubs.Instance, peers []Peer) bool {
 	for _, p := range peers {
 		if !p.StoreUnreachable && hubs.Compare(p.Instance, self) < 0 {
--- a/internal/feedturn/feedturn_test.go
+++ b/internal/feedturn/feedturn_test.go
@@ -15,46 +15,45 @@
 	bound = 2 * time.Second
 )
 
-func newTurn() (*Scheduler, *rand.Rand) {
+func newScheduler() (*Scheduler, *rand.Rand) {
 	return New(Settings{StalenessBound: bound, ReadInterval: 700 * ms}), rand.New(rand.NewPCG(1, 1))
 }
 
-func (t *Scheduler) reads(now time.Duration, v View) bool {
-	read, _ := t.Next(now, v)
+func (s *Scheduler) readsNow(now time.Duration, v View) bool {
+	read, _ := s.Next(now, v)
 	return read
 }
 
-func TestReaderReadsAtItsPace(t *testing.T) {
+func TestReaderReadsAtInterval(t *testing.T) {
 	is := is.New(t)
-	turn, _ := newTurn()
-	is.True(turn.reads(0, View{Reader: true}))
-	turn.ReadSucceeded(0)
+	s, _ := newScheduler()
+	is.True(s.readsNow(0, View{Reader: true}))
+	s.ReadSucceeded(0)
 	v := View{Reader: true, Known: true}
-	is.True(!turn.reads(600*ms, v))
-	is.True(turn.reads(700*ms, v))
+	is.True(!s.readsNow(600*ms, v))
+	is.True(s.readsNow(700*ms, v))
 }
 
-// A configuration withdraws a route, and the domain's reader has just lost
-// power. The other instances hear nothing new; each reads by itself while there
-// is still time to put the change into force within the bound.
-func TestFollowerReadsWhenItsKnowledgeIsOld(t *testing.T) {
+// The reader fails and the other instances get no more updates from it. Each reads
+// the feed itself early enough to apply a change within the staleness bound.
+func TestFollowerReadsWhenStale(t *testing.T) {
 	is := is.New(t)
-	turn, _ := newTurn()
-	turn.ReadSucceeded(0)
-	is.True(!turn.reads(10*time.Second, View{Known: true, KnownUpTo: 9500 * ms}))
-	is.True(turn.reads(10*time.Second, View{Known: true, KnownUpTo: 9 * time.Second}))
+	s, _ := newScheduler()
+	s.ReadSucceeded(0)
+	is.True(!s.readsNow(10*time.Second, View{Known: true, KnownUpTo: 9500 * ms}))
+	is.True(s.readsNow(10*time.Second, View{Known: true, KnownUpTo: 9 * time.Second}))
 }
 
-// The store is away for five seconds and sixty instances know nothing new. If
-// each tried five times a second, their calls would go on at three hundred a
-// second, and the store would come back under them.
-func TestFailedReadsAreSpreadOverTheFleet(t *testing.T) {
+// During an outage of the store of five seconds, all copies of a fleet of sixty become
+// stale. If each instance retried five times a second, the store would get three
+// hundred calls a second when it recovers. The delay therefore grows with the fleet.
+func TestFailedReadsBackOffWithFleetSize(t *testing.T) {
 	is := is.New(t)
-	turn, rng := newTurn()
+	s, rng := newScheduler()
 	calls := 0
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * ms {
-		if turn.reads(now, View{Known: true, KnownUpTo: -time.Hour}) {
-			turn.ReadFailed(now, 60, rng)
+		if s.readsNow(now, View{Known: true, KnownUpTo: -time.Hour}) {
+			s.ReadFailed(now, 60, rng)
 			calls++
 		}
 	}
@@ -62,21 +61,23 @@
 	is.True(calls <= 3)
 }
 
-// The store turns the reader away and serves the others. Were it to remain the
-// reader, its domain would live on the followers' late reads.
-func TestReaderThatIsTurnedAwayHandsOver(t *testing.T) {
+// The store refuses the reader's calls but serves the other instances. Another
+// instance must become the reader; otherwise the fleet would depend on the late reads
+// of the followers.
+func TestReaderRefusedByStoreHandsOver(t *testing.T) {
 	is := is.New(t)
-	turn, rng := newTurn()
-	turn.ReadFailed(0, 6, rng)
-	is.True(turn.LastReadFailed())
+	s, rng := newScheduler()
+	s.ReadFailed(0, 6, rng)
+	is.True(s.LastReadFailed())
 	is.True(IsReader(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}, StoreUnreachable: true}, {Instance: hubs.Instance{Name: "c"}}}))
 	is.True(!IsReader(hubs.Instance{Name: "b"}, []Peer{{Instance: hubs.Instance{Name: "a"}}, {Instance: hubs.Instance{Name: "c"}}}))
-	// While others tell it what is new, it makes no calls in vain.
-	is.True(!turn.reads(10*time.Second, View{Reader: true, Known: true, KnownUpTo: 9900 * ms}))
+	// While peers keep its copy current, the refused instance does not retry.
+	is.True(!s.readsNow(10*time.Second, View{Reader: true, Known: true, KnownUpTo: 9900 * ms}))
 }
 
-// A read waits a second for news and the process stands still while it waits.
-// What came back tells of the feed up to the end of the wait, not up to now.
+// A read waits a second for new records, and the process is suspended meanwhile. The
+// answer covers the feed up to the end of the wait, not up to the time at which the
+// process resumed.
 func TestKnownUpTo(t *testing.T) {
 	is := is.New(t)
 	is.Equal(KnownUpTo(10*ms, 1010*ms, time.Second, false), 1010*ms)
@@ -85,132 +86,132 @@
 	is.Equal(KnownUpTo(10*ms, 1010*ms, time.Second, true), 10*ms)
 }
 
-// fleetSim is six instances in three domains whose feed is read in turns. The
-// waits of reads and the messages between instances take time.
+// fleetSim simulates six instances in three domains that share the reads of a feed.
+// Reads and exchanges between instances take simulated time.
 type fleetSim struct {
-	rng     *rand.Rand
-	turns   []*Scheduler
-	upTo    []time.Duration
-	reading []time.Duration // when the read under way ends
-	dead    []bool
-	away    func(instance int, now time.Duration) bool
-	calls   int
+	rng        *rand.Rand
+	schedulers []*Scheduler
+	knownUpTo  []time.Duration
+	readEnds   []time.Duration // end of the read in progress, -1 for none
+	dead       []bool
+	storeFails func(instance int, now time.Duration) bool
+	calls      int
 }
 
 const (
-	simWait  = 500 * ms
-	simTell  = 125 * ms
-	simStep  = 5 * ms
-	simFleet = 6
+	simReadWait         = 500 * ms
+	simExchangeInterval = 125 * ms
+	simStep             = 5 * ms
+	simFleetSize        = 6
 )
 
-func newFleetSim(away func(int, time.Duration) bool) *fleetSim {
-	f := &fleetSim{rng: rand.New(rand.NewPCG(3, 3)), away: away}
-	for range simFleet {
-		f.turns = append(f.turns, New(Settings{StalenessBound: bound}))
-		f.upTo, f.reading, f.dead = append(f.upTo, 0), append(f.reading, -1), append(f.dead, false)
+func newFleetSim(storeFails func(int, time.Duration) bool) *fleetSim {
+	f := &fleetSim{rng: rand.New(rand.NewPCG(3, 3)), storeFails: storeFails}
+	for range simFleetSize {
+		f.schedulers = append(f.schedulers, New(Settings{StalenessBound: bound}))
+		f.knownUpTo, f.readEnds, f.dead = append(f.knownUpTo, 0), append(f.readEnds, -1), append(f.dead, false)
 	}
 	return f
 }
 
-// reads says whether an instance is the first of those given that reach the
-// store.
-func (f *fleetSim) reads(i int, of func(j int) bool) bool {
+// isReaderAmong reports whether instance i is the reader among the instances for
+// which include is true.
+func (f *fleetSim) isReaderAmong(i int, include func(j int) bool) bool {
 	var peers []Peer
-	for j, turn := range f.turns {
-		if j != i && !f.dead[j] && of(j) {
-			peers = append(peers, Peer{Instance: hubs.Instance{Name: string(rune('a' + j))}, StoreUnreachable: turn.LastReadFailed()})
+	for j, s := range f.schedulers {
+		if j != i && !f.dead[j] && include(j) {
+			peers = append(peers, Peer{Instance: hubs.Instance{Name: string(rune('a' + j))}, StoreUnreachable: s.LastReadFailed()})
 		}
 	}
 	return IsReader(hubs.Instance{Name: string(rune('a' + i))}, peers)
 }
 
-func (f *fleetSim) reader(i int) bool { return f.reads(i, func(int) bool { return true }) }
+func (f *fleetSim) isReader(i int) bool { return f.isReaderAmong(i, func(int) bool { return true }) }
 
-func (f *fleetSim) standby(i int) bool {
-	return f.reads(i, func(j int) bool { return j%(simFleet/2) == i%(simFleet/2) })
+func (f *fleetSim) isStandby(i int) bool {
+	return f.isReaderAmong(i, func(j int) bool { return j%(simFleetSize/2) == i%(simFleetSize/2) })
 }
 
-// step moves the instances on; each hears from all others at its own moments.
+// step advances the simulation. Each instance gets the state of all others once per
+// simExchangeInterval, at a different time from the others.
 func (f *fleetSim) step(now time.Duration) {
-	for i, turn := range f.turns {
+	for i, s := range f.schedulers {
 		if f.dead[i] {
 			continue
 		}
-		if (now/simStep)%(simTell/simStep) == time.Duration(i) {
-			for j := range f.turns {
+		if (now/simStep)%(simExchangeInterval/simStep) == time.Duration(i) {
+			for j := range f.schedulers {
 				if !f.dead[j] {
-					f.upTo[i] = max(f.upTo[i], f.upTo[j])
+					f.knownUpTo[i] = max(f.knownUpTo[i], f.knownUpTo[j])
 				}
 			}
 		}
-		f.read(i, turn, now)
+		f.read(i, s, now)
 	}
 }
 
-func (f *fleetSim) read(i int, turn *Scheduler, now time.Duration) {
-	if end := f.reading[i]; end >= 0 {
+func (f *fleetSim) read(i int, s *Scheduler, now time.Duration) {
+	if end := f.readEnds[i]; end >= 0 {
 		if now >= end {
-			f.reading[i] = -1
-			turn.ReadSucceeded(now)
-			f.upTo[i] = max(f.upTo[i], now)
+			f.readEnds[i] = -1
+			s.ReadSucceeded(now)
+			f.knownUpTo[i] = max(f.knownUpTo[i], now)
 		}
 		return
 	}
-	reader := f.reader(i)
-	if read, _ := turn.Next(now, View{Reader: reader, Standby: f.standby(i), Known: true, KnownUpTo: f.upTo[i], FleetSize: simFleet}); !read {
+	reader := f.isReader(i)
+	if read, _ := s.Next(now, View{Reader: reader, Standby: f.isStandby(i), Known: true, KnownUpTo: f.knownUpTo[i], FleetSize: simFleetSize}); !read {
 		return
 	}
 	f.calls++
 	switch {
-	case f.away(i, now):
-		turn.ReadFailed(now, simFleet, f.rng)
-	case reader && !turn.LastReadFailed():
-		f.reading[i] = now + simWait
+	case f.storeFails(i, now):
+		s.ReadFailed(now, simFleetSize, f.rng)
+	case reader && !s.LastReadFailed():
+		f.readEnds[i] = now + simReadWait
 	default:
-		f.reading[i] = now + simStep
+		f.readEnds[i] = now + simStep
 	}
 }
 
-// worst runs the fleet and gives the greatest age of what a living instance
-// knew.
-func (f *fleetSim) worst(until time.Duration) time.Duration {
-	worst := time.Duration(0)
+// maxStaleness runs the simulation and returns the greatest staleness of a running
+// instance's copy.
+func (f *fleetSim) maxStaleness(until time.Duration) time.Duration {
+	staleness := time.Duration(0)
 	for now := simStep; now < until; now += simStep {
 		f.step(now)
-		for i, at := range f.upTo {
+		for i, knownUpTo := range f.knownUpTo {
 			if !f.dead[i] {
-				worst = max(worst, now-at)
+				staleness = max(staleness, now-knownUpTo)
 			}
 		}
 	}
-	return worst
+	return staleness
 }
 
-// A key is withdrawn while nothing else happens, while a reader dies, or while
-// the store turns a reader away. Instances that hear of the store only through
-// others must know of it in time: what any of them knows is never older than
-// half the bound, a message and a read.
+// A key is withdrawn in normal operation, while readers die, or while the store
+// refuses readers. Instances that get the feed only from peers must still learn of it
+// in time: no copy may be staler than half the bound plus one exchange and one read.
 func TestKnowledgeOfAFleetStaysYoung(t *testing.T) {
-	const limit = bound/2 + simTell + 2*simStep
-	served := func(int, time.Duration) bool { return false }
-	t.Run("calm", func(t *testing.T) {
+	const limit = bound/2 + simExchangeInterval + 2*simStep
+	noFailures := func(int, time.Duration) bool { return false }
+	t.Run("no faults", func(t *testing.T) {
 		is := is.New(t)
-		f := newFleetSim(served)
-		is.True(f.worst(20*time.Second) <= limit)
-		is.True(f.calls <= 20*2+1) // one reader, at most one call each 0.5 s
+		f := newFleetSim(noFailures)
+		is.True(f.maxStaleness(20*time.Second) <= limit)
+		is.True(f.calls <= 20*2+1) // a single reader makes at most one call per 0.5 s
 	})
 	t.Run("two readers die", func(t *testing.T) {
 		is := is.New(t)
-		f := newFleetSim(served)
-		f.worst(5 * time.Second)
+		f := newFleetSim(noFailures)
+		f.maxStaleness(5 * time.Second)
 		f.dead[0], f.dead[1] = true, true
-		f.reading[0], f.reading[1] = -1, -1
-		is.True(f.worst(5*time.Second) <= limit)
+		f.readEnds[0], f.readEnds[1] = -1, -1
+		is.True(f.maxStaleness(5*time.Second) <= limit)
 	})
-	t.Run("readers are turned away", func(t *testing.T) {
+	t.Run("store refuses readers", func(t *testing.T) {
 		is := is.New(t)
 		f := newFleetSim(func(i int, now time.Duration) bool { return i < 3 && now > 5*time.Second })
-		is.True(f.worst(20*time.Second) <= limit)
+		is.True(f.maxStaleness(20*time.Second) <= limit)
 	})
 }
