--- a/internal/claim/batcher.go
+++ b/internal/claim/batcher.go
@@ -8,68 +8,70 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Append is one append to the claims stream that the caller has to make. Its
-// outcome goes to Machine.AppendDone with the same ID.
+// Append is an append to the claims stream that the caller of Ready has to make. Its
+// outcome must be passed to Machine.AppendDone with the same ID.
 type Append struct {
 	ID      uint64
 	Records [][]byte
 }
 
-// item is one record on its way to the log.
-type item struct {
+// queuedRecord is a record that waits to be appended or is being appended.
+type queuedRecord struct {
 	data []byte
-	// live is nil for records that may be appended more than once.
-	live *request
-	// attempt is the claim's; empty for other records.
-	attempt string
-	queued  time.Duration
+	// owner is the request of a claim. It is nil for results and abandons, which may
+	// be appended more than once.
+	owner *request
+	// attempt identifies the claim; it is empty for other records.
+	attempt  string
+	queuedAt time.Duration
 }
 
-// wanted is false for a claim whose request has given up: it must not reach
-// the log any more.
-func (i item) wanted() bool {
-	return i.live == nil || i.live.claiming(i.attempt)
+// needed is false for a claim whose request was given up. Such a claim must not be
+// appended any more.
+func (q queuedRecord) needed() bool {
+	return q.owner == nil || q.owner.claimPending(q.attempt)
 }
 
-// downAfter is how many appends in a row must fail before new requests are
-// refused at once instead of waiting for their claim.
-const downAfter = 3
+// logDownFailures is the number of consecutive failed appends after which new
+// requests are refused at once instead of waiting for their claim.
+const logDownFailures = 3
 
-// batcher puts the records of many requests into one append.
+// batcher combines the records of many requests into one append.
 type batcher struct {
-	cfg      Config
-	queue    []item
-	bytes    int
-	nextID   uint64
-	inFlight map[uint64][]item
-	// notBefore is set after a refusal: the log is left alone until then.
-	notBefore time.Duration
-	failures  int
+	cfg         Config
+	queue       []queuedRecord
+	queuedBytes int
+	nextID      uint64
+	inFlight    map[uint64][]queuedRecord
+	// notBefore is the earliest time of the next append after a failed one.
+	notBefore           time.Duration
+	consecutiveFailures int
 }
 
 func newBatcher(cfg Config) *batcher {
-	return &batcher{cfg: cfg, inFlight: map[uint64][]item{}}
+	return &batcher{cfg: cfg, inFlight: map[uint64][]queuedRecord{}}
 }
 
-func (b *batcher) full() bool { return len(b.queue) >= b.cfg.MaxQueue }
+func (b *batcher) queueFull() bool { return len(b.queue) >= b.cfg.MaxQueue }
 
-// overfull is the bound for results and abandons: they end what claims began
-// and get room of their own.
-func (b *batcher) overfull() bool { return len(b.queue) >= 2*b.cfg.MaxQueue }
+// reserveFull applies to results and abandons. They complete claims that were made
+// and may therefore use as much space again as claims may fill.
+func (b *batcher) reserveFull() bool { return len(b.queue) >= 2*b.cfg.MaxQueue }
 
-// down is true while the log refuses appends and no probe is due.
-func (b *batcher) down(now time.Duration) bool {
-	return b.failures >= downAfter && (now < b.notBefore || len(b.inFlight) > 0)
+// logDown reports whether appends keep failing and none is due that would test
+// whether the log is available again.
+func (b *batcher) logDown(now time.Duration) bool {
+	return b.consecutiveFailures >= logDownFailures && (now < b.notBefore || len(b.inFlight) > 0)
 }
 
-func (b *batcher) add(i item) {
-	b.queue = append(b.queue, i)
-	b.bytes += len(i.data)
+func (b *batcher) add(q queuedRecord) {
+	b.queue = append(b.queue, q)
+	b.queuedBytes += len(q.data)
 }
 
-// next cuts a batch when one is due.
-func (b *batcher) next(now time.Duration) (Append, bool) {
-	b.dropUnwanted()
+// nextBatch removes the next batch from the queue if one is due.
+func (b *batcher) nextBatch(now time.Duration) (Append, bool) {
+	b.dropUnneeded()
 	if !b.due(now) {
 		return Append{}, false
 	}
@@ -82,11 +84,11 @@
 			break
 		}
 		out.Records = append(out.Records, b.queue[n].data)
-		b.bytes -= len(b.queue[n].data)
+		b.queuedBytes -= len(b.queue[n].data)
 		n++
 	}
-	b.inFlight[out.ID] = append([]item(nil), b.queue[:n]...)
-	b.queue = append([]item(nil), b.queue[n:]...)
+	b.inFlight[out.ID] = append([]queuedRecord(nil), b.queue[:n]...)
+	b.queue = append([]queuedRecord(nil), b.queue[n:]...)
 	return out, true
 }
 
@@ -94,72 +96,72 @@
 	if len(b.queue) == 0 || now < b.notBefore || len(b.inFlight) >= b.cfg.MaxInFlight {
 		return false
 	}
-	// While the log fails, one append at a time probes it.
-	if b.failures > 0 && len(b.inFlight) > 0 {
+	// After a failed append, make only one at a time until one succeeds.
+	if b.consecutiveFailures > 0 && len(b.inFlight) > 0 {
 		return false
 	}
-	return len(b.queue) >= b.cfg.MaxBatchRecords || b.bytes >= b.cfg.MaxBatchBytes ||
-		now-b.queue[0].queued >= b.cfg.MaxBatchAge
+	return len(b.queue) >= b.cfg.MaxBatchRecords || b.queuedBytes >= b.cfg.MaxBatchBytes ||
+		now-b.queue[0].queuedAt >= b.cfg.MaxBatchAge
 }
 
-func (b *batcher) dropUnwanted() {
+func (b *batcher) dropUnneeded() {
 	kept := b.queue[:0]
-	for _, i := range b.queue {
-		if i.wanted() {
-			kept = append(kept, i)
+	for _, q := range b.queue {
+		if q.needed() {
+			kept = append(kept, q)
 		} else {
-			b.bytes -= len(i.data)
+			b.queuedBytes -= len(q.data)
 		}
 	}
 	b.queue = kept
 }
 
-// done takes the outcome of an append.
-func (b *batcher) done(now time.Duration, id uint64, err error) {
-	items, ok := b.inFlight[id]
+// appendDone handles the outcome of an append.
+func (b *batcher) appendDone(now time.Duration, id uint64, err error) {
+	records, ok := b.inFlight[id]
 	if !ok {
 		return
 	}
 	delete(b.inFlight, id)
 	if err == nil {
-		b.failures = 0
+		b.consecutiveFailures = 0
 		return
 	}
-	b.failures++
+	b.consecutiveFailures++
 	b.notBefore = now + b.cfg.RetryDelay
 	if errors.Is(err, platform.ErrOutage) || errors.Is(err, platform.ErrRateLimited) {
-		b.requeue(items)
+		b.requeue(records)
 		return
 	}
-	// The append may have taken effect. A claim must not be appended again: a
-	// second copy could take the key after the first was abandoned, and repeats
-	// would hear may_have_run for the whole window of a request that never ran.
-	// Results and abandons change nothing when repeated.
-	b.requeue(repeatable(items))
+	// The append may have taken effect, so claims must not be appended again: a
+	// second copy could take the key after the first was abandoned. Retries would
+	// then get may_have_run for the whole window, for a request that never ran.
+	// A repeated result or abandon has no effect.
+	b.requeue(withoutClaims(records))
 }
 
-func (b *batcher) requeue(items []item) {
-	for _, i := range items {
-		b.bytes += len(i.data)
+func (b *batcher) requeue(records []queuedRecord) {
+	for _, q := range records {
+		b.queuedBytes += len(q.data)
 	}
-	b.queue = append(append([]item(nil), items...), b.queue...)
+	b.queue = append(append([]queuedRecord(nil), records...), b.queue...)
 }
 
-func repeatable(items []item) []item {
-	var out []item
-	for _, i := range items {
-		if i.live == nil {
-			out = append(out, i)
+func withoutClaims(records []queuedRecord) []queuedRecord {
+	var out []queuedRecord
+	for _, q := range records {
+		if q.owner == nil {
+			out = append(out, q)
 		}
 	}
 	return out
 }
 
-// wake is when the batcher next has something to do; ok is false when it
-// waits for nothing but answers.
-func (b *batcher) wake() (at time.Duration, ok bool) {
+// nextWakeup returns the time at which the next batch is due. ok is false if the
+// queue is empty or the next batch has to wait for an append to complete.
+func (b *batcher) nextWakeup() (at time.Duration, ok bool) {
 	if len(b.queue) == 0 || len(b.inFlight) >= b.cfg.MaxInFlight {
 		return 0, false
 	}
-	return max(b.notBefore, b.queue[0].queued+b.cfg.MaxBatchAge), true
+	return max(b.notBefore, b.queue[0].queuedAt+b.cfg.MaxBatchAge), true
 }
--- a/internal/claim/config.go
+++ b/internal/claim/config.go
@@ -2,36 +2,39 @@
 
 import "time"
 
-// Config bounds a Machine. The zero value of a field takes its default.
+// Config holds the settings of a Machine. Fields that are zero get a default, except
+// Incarnation and Address.
 type Config struct {
-	// Incarnation and Address name this process in its claims.
+	// Incarnation and Address identify this process in its claims.
 	Incarnation string
 	Address     string
-	// MaxKeys is how many keys are remembered.
+	// MaxKeys is the maximum number of keys kept. Beyond it the oldest are dropped.
 	MaxKeys int
-	// MaxBodyBytes is the most of one answer that is kept for replay.
+	// MaxBodyBytes is the size above which a response body is not stored for replay.
 	MaxBodyBytes int
-	// MaxHeldBytes is the most bytes of answers held in memory.
+	// MaxHeldBytes bounds the total size of response bodies held in memory.
 	MaxHeldBytes int
-	// Window is how long a key is remembered.
+	// Window is how long a key is kept.
 	Window time.Duration
-	// RepeatHorizon is the longest time over which callers repeat a request
-	// whose key carries no date.
+	// RepeatHorizon is the longest time over which callers retry a request whose key
+	// contains no creation time.
 	RepeatHorizon time.Duration
-	// MaxClockSkew bounds the difference between any two wall clocks,
-	// callers' included.
+	// MaxClockSkew bounds the difference between any two wall clocks, including
+	// those of callers.
 	MaxClockSkew time.Duration
-	// ClaimTimeout is how long a request waits for its claim to be decided.
+	// ClaimTimeout is how long a request waits until its claim is decided.
 	ClaimTimeout time.Duration
-	// MaxBatchRecords, MaxBatchBytes and MaxBatchAge flush a batch.
+	// A batch is appended when it reaches MaxBatchRecords, MaxBatchBytes or
+	// MaxBatchAge.
 	MaxBatchRecords int
 	MaxBatchBytes   int
 	MaxBatchAge     time.Duration
-	// MaxInFlight is how many appends may be unanswered at once.
+	// MaxInFlight is the maximum number of concurrent appends.
 	MaxInFlight int
-	// MaxQueue is how many records may wait for the log.
+	// MaxQueue is the maximum number of queued records before claims are refused;
+	// results and abandons may fill twice as much.
 	MaxQueue int
-	// RetryDelay is the wait after an append that the log refused.
+	// RetryDelay is the delay after a failed append.
 	RetryDelay time.Duration
 }
 
--- a/internal/claim/cost_test.go
+++ b/internal/claim/cost_test.go
@@ -9,11 +9,11 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// stream runs n requests through one machine, batch of them in each append,
-// and returns the records and what they cost.
-func stream(n, batch int, body []byte) ([]platform.Record, Stats) {
+// runRequests runs n requests through one machine, with batch of them in each append, and
+// returns the records and the machine's statistics.
+func runRequests(n, batch int, body []byte) ([]platform.Record, Stats) {
 	m := New(Config{Incarnation: fmt.Sprintf("%032d", 1), Address: "10.0.0.1:7000"})
-	var recs []platform.Record
+	var records []platform.Record
 	var now time.Duration
 	for i := 0; i < n; i += batch {
 		for k := range batch {
@@ -26,8 +26,8 @@
 			b := platform.Batch{}
 			for _, a := range out.Appends {
 				for _, data := range a.Records {
-					b.Records = append(b.Records, platform.Record{Offset: platform.Offset(len(recs)), Data: data})
-					recs = append(recs, b.Records[len(b.Records)-1])
+					b.Records = append(b.Records, platform.Record{Offset: platform.Offset(len(records)), Data: data})
+					records = append(records, b.Records[len(b.Records)-1])
 				}
 				m.AppendDone(now, a.ID, nil)
 			}
@@ -38,61 +38,61 @@
 			}
 		}
 	}
-	return recs, m.Stats()
+	return records, m.Stats()
 }
 
-// The bytes in the log for each request do not depend on how many requests
-// share an append; the appends for each request go down with it.
+// The log bytes per request do not depend on how many requests share an append, while the
+// number of appends per request decreases with it.
 func TestCostOfClaims(t *testing.T) {
 	const n = 960
-	var first int64
+	var bytesUnbatched int64
 	for _, batch := range []int{1, 4, 16, 48, 96} {
-		_, s := stream(n, batch, nil)
+		_, s := runRequests(n, batch, nil)
 		t.Logf("requests=%d batch=%d bytes/request=%d records/request=%.1f appends/request=%.3f",
 			n, batch, s.BytesOut/n, float64(s.RecordsOut)/n, float64(s.Appends)/n)
 		if s.RecordsOut != 2*n || s.Appends != int64(2*n/batch) {
 			t.Fatalf("batch %d: %d records in %d appends", batch, s.RecordsOut, s.Appends)
 		}
-		if first == 0 {
-			first = s.BytesOut
+		if bytesUnbatched == 0 {
+			bytesUnbatched = s.BytesOut
 		}
-		if s.BytesOut > first*11/10 {
-			t.Fatalf("batch %d: %d bytes, %d without sharing", batch, s.BytesOut, first)
+		if s.BytesOut > bytesUnbatched*11/10 {
+			t.Fatalf("batch %d: %d bytes, %d without batching", batch, s.BytesOut, bytesUnbatched)
 		}
 	}
 }
 
-// BenchmarkFold is the processor time that each instance spends on one record
-// of the claims stream.
-func BenchmarkFold(b *testing.B) {
-	recs, _ := stream(20_000, 100, nil)
+// BenchmarkApplyRecords measures the CPU time that each instance spends per record of
+// the claims stream.
+func BenchmarkApplyRecords(b *testing.B) {
+	records, _ := runRequests(20_000, 100, nil)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := 0; i < b.N; {
 		m := New(Config{})
-		end := min(len(recs), b.N-i)
-		_ = m.ApplyRecords(0, 1, platform.Batch{Records: recs[:end]})
+		end := min(len(records), b.N-i)
+		_ = m.ApplyRecords(0, 1, platform.Batch{Records: records[:end]})
 		i += end
 	}
 }
 
-// BenchmarkKeyMemory is the memory of one remembered key without its answer.
+// BenchmarkKeyMemory measures the memory per key without a response body.
 func BenchmarkKeyMemory(b *testing.B) {
 	for _, n := range []int{4000, 8000, 16_000, 32_000} {
-		recs, _ := stream(n, 100, nil)
+		records, _ := runRequests(n, 100, nil)
 		b.Run(fmt.Sprint("keys=", n), func(b *testing.B) {
 			for range b.N {
-				before := heap()
+				before := heapBytes()
 				m := New(Config{})
-				_ = m.ApplyRecords(0, 1, platform.Batch{Records: recs})
-				b.ReportMetric(float64(heap()-before)/float64(n), "B/key")
+				_ = m.ApplyRecords(0, 1, platform.Batch{Records: records})
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "B/key")
 				runtime.KeepAlive(m)
 			}
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/internal/claim/decide.go
+++ b/internal/claim/decide.go
@@ -4,14 +4,14 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// decide looks at what is known of the request's key and answers, waits or
-// claims.
+// decide answers the request from the state of its key, lets it wait for another
+// request with the key, or submits a claim.
 func (m *Machine) decide(r *request) {
 	if h := m.holder(r.key); h != nil {
-		m.follow(r, h)
+		m.decideHeldKey(r, h)
 		return
 	}
-	if first := m.claimer(r.key); first != nil && first != r {
+	if first := m.claimingRequest(r.key); first != nil && first != r {
 		if first.RequestHash != r.RequestHash {
 			m.answer(r, Answer{State: BodyMismatch})
 			return
@@ -19,12 +19,13 @@
 		r.phase = phaseWaiting
 		return
 	}
-	m.claim(r)
+	m.submitClaim(r)
 }
 
-// holder is who holds the key, by this instance's own runs and the fold.
+// holder returns the holder of the key: a local run that is not in the log yet, or
+// else the holder in the table.
 func (m *Machine) holder(key KeyHash) *Holder {
-	if h := m.ahead[key]; h != nil {
+	if h := m.localRuns[key]; h != nil {
 		return h
 	}
 	return m.table.holders[key]
@@ -37,8 +38,8 @@
 	return ""
 }
 
-// claimer is the request of this instance that is claiming the key.
-func (m *Machine) claimer(key KeyHash) *request {
+// claimingRequest returns the request of this instance that claims or holds the key.
+func (m *Machine) claimingRequest(key KeyHash) *request {
 	for _, r := range m.byKey[key] {
 		if r.phase == phaseClaiming || r.phase == phaseWon || r.phase == phaseDispatched {
 			return r
@@ -47,32 +48,35 @@
 	return nil
 }
 
-// follow answers a request whose key is held, or lets it wait for the result.
-func (m *Machine) follow(r *request, h *Holder) {
+// decideHeldKey answers a request whose key is held, or lets it wait for the
+// holder's result.
+func (m *Machine) decideHeldKey(r *request, h *Holder) {
 	switch {
-	case h.Request != r.RequestHash:
+	case h.RequestHash != r.RequestHash:
 		m.answer(r, Answer{State: BodyMismatch})
 	case h.Result != nil && h.Result.Unknown:
 		m.answer(r, Answer{State: MayHaveRun, HolderAddress: h.Address})
 	case h.Result != nil:
 		m.answer(r, Answer{State: Replay, Result: h.Result})
-	case m.ended(h):
+	case m.holderEnded(h):
 		m.answer(r, Answer{State: MayHaveRun, HolderAddress: h.Address})
 	default:
 		r.phase = phaseWaiting
 	}
 }
 
-// ended reports that the holder's process is gone: it was told so, or the holder
-// had this process's address. An address belongs to one process at a time;
-// without the second rule a restarted instance would let repeats of its own
-// earlier bookings wait for an answer that cannot come.
-func (m *Machine) ended(h *Holder) bool {
+// holderEnded reports whether the holder's process has ended: ProcessEnded was called
+// for it, or it had the address of this process, which only one process has at a time.
+// Without the second rule, retries at a restarted instance would wait for a result
+// that its predecessor can no longer produce.
+func (m *Machine) holderEnded(h *Holder) bool {
 	predecessor := h.Address != "" && h.Address == m.cfg.Address && h.Incarnation != m.cfg.Incarnation
-	return predecessor || m.gone[h.Incarnation]
+	return predecessor || m.endedProcesses[h.Incarnation]
 }
 
-func (m *Machine) claim(r *request) {
+// submitClaim enqueues a claim for the request's key, unless the request can't run in
+// any case.
+func (m *Machine) submitClaim(r *request) {
 	if !m.covers(r) {
 		m.answer(r, Answer{State: TooOld})
 		return
@@ -81,141 +85,149 @@
 		m.answer(r, Answer{State: Unavailable})
 		return
 	}
-	if m.batch.down(m.now) || m.batch.full() {
+	if m.batcher.logDown(m.now) || m.batcher.queueFull() {
 		m.claimFailed(r)
 		return
 	}
 	r.nextAttempt()
 	r.phase = phaseClaiming
-	r.claimBy = min(r.Deadline, m.now+m.cfg.ClaimTimeout)
+	r.claimDeadline = min(r.Deadline, m.now+m.cfg.ClaimTimeout)
 	c := Claim{
-		Key: r.key, Request: r.RequestHash, Attempt: r.attempt,
+		Key: r.key, RequestHash: r.RequestHash, Attempt: r.attempt,
 		Incarnation: m.cfg.Incarnation, Address: m.cfg.Address,
-		Head: m.table.next, HeadMillis: m.wall,
+		Head: m.table.next, HeadMillis: m.wallMillis,
 	}
-	if !m.record(KindClaim, &c, r) {
+	if !m.enqueueRecord(KindClaim, &c, r) {
 		m.answer(r, Answer{State: Unavailable})
 		return
 	}
-	m.byClaim[r.attempt] = r
+	m.byAttempt[r.attempt] = r
 }
 
+// covers reports whether the table has every record about the request's key.
 func (m *Machine) covers(r *request) bool {
-	date := keyDate(r.Key, m.wall, m.cfg.RepeatHorizon, m.cfg.MaxClockSkew)
-	return m.table.covers(date, m.wall)
+	firstUse := earliestUse(r.Key, m.wallMillis, m.cfg.RepeatHorizon, m.cfg.MaxClockSkew)
+	return m.table.covers(firstUse, m.wallMillis)
 }
 
-// runUnclaimed runs a request of a route that prefers running twice over not
-// running while the log is down. Repeats at this instance still find it.
+// runUnclaimed runs a request without a claim while the log is down, for a route that
+// prefers running a request twice to refusing it. Retries at this instance still find
+// the run.
 func (m *Machine) runUnclaimed(r *request) {
 	if r.attempt == "" {
 		r.nextAttempt()
 	}
 	r.phase, r.unclaimed = phaseWon, true
-	m.ahead[r.key] = &Holder{
-		Key: r.key, Request: r.RequestHash, Attempt: r.attempt,
+	m.localRuns[r.key] = &Holder{
+		Key: r.key, RequestHash: r.RequestHash, Attempt: r.attempt,
 		Incarnation: m.cfg.Incarnation, Address: m.cfg.Address,
 	}
 	m.answer(r, Answer{State: Run, Unclaimed: true})
 }
 
-// giveUp ends a claim for good: the request is never sent after this, so the
-// refusal not_run is true even if the claim reaches the log later.
-func (m *Machine) giveUp(r *request) {
+// release gives up the request's claim for good. The request is never sent after
+// this, so answering not_run is correct even if the claim reaches the log later.
+func (m *Machine) release(r *request) {
 	switch {
 	case r.unclaimed:
-		delete(m.ahead, r.key)
-		m.dropUnclaimed(r)
+		delete(m.localRuns, r.key)
+		m.releaseUnclaimed(r)
 	case r.phase == phaseClaiming:
-		m.orphan(r)
+		m.addOrphan(r)
 	case r.phase == phaseWon || r.phase == phaseDispatched:
-		m.abandon(r.key, r.attempt)
+		m.appendAbandon(r.key, r.attempt)
 	}
-	r.phase = phaseOver
+	r.phase = phaseDone
 }
 
-// dropUnclaimed frees the key of a run without a claim that was not sent: its
-// earlier claim may have won by now, or may win later.
-func (m *Machine) dropUnclaimed(r *request) {
+// releaseUnclaimed releases the key of a run without a claim that was not sent. A
+// claim that the request submitted earlier may hold the key already, or may take it
+// later.
+func (m *Machine) releaseUnclaimed(r *request) {
 	if h := m.table.holders[r.key]; h != nil && h.Attempt == r.attempt {
-		m.abandon(r.key, r.attempt)
+		m.appendAbandon(r.key, r.attempt)
 		return
 	}
-	m.orphan(r)
+	m.addOrphan(r)
 }
 
-// orphan remembers a claim that may still reach the log. Without it the key
-// would be held for the whole window by a request that never runs.
-func (m *Machine) orphan(r *request) {
+// addOrphan records a released claim that may still reach the log, so that it can be
+// abandoned there. Otherwise a request that never runs would hold the key for the
+// whole window.
+func (m *Machine) addOrphan(r *request) {
 	if r.attempt == "" {
 		return
 	}
 	m.orphans[r.attempt] = r.key
-	m.orphanQ = append(m.orphanQ, r.attempt)
-	if len(m.orphanQ) > maxOrphans {
-		delete(m.orphans, m.orphanQ[0])
-		m.orphanQ = m.orphanQ[1:]
+	m.orphanOrder = append(m.orphanOrder, r.attempt)
+	if len(m.orphanOrder) > maxOrphans {
+		delete(m.orphans, m.orphanOrder[0])
+		m.orphanOrder = m.orphanOrder[1:]
 	}
 }
 
-func (m *Machine) abandon(key KeyHash, attempt string) {
-	m.record(KindAbandon, &Abandon{Key: key, Attempt: attempt}, nil)
+func (m *Machine) appendAbandon(key KeyHash, attempt string) {
+	m.enqueueRecord(KindAbandon, &Abandon{Key: key, Attempt: attempt}, nil)
 }
 
-func (m *Machine) folded(at platform.Offset, c change) {
+// recordApplied handles the effect of a record that was applied to the table.
+func (m *Machine) recordApplied(at platform.Offset, c change) {
 	switch c.kind {
 	case KindClaim:
-		m.claimFolded(at, c)
+		m.claimApplied(at, c)
 	case KindResult:
-		if h := m.ahead[c.key]; h != nil && h.Attempt == c.attempt {
-			delete(m.ahead, c.key)
+		if h := m.localRuns[c.key]; h != nil && h.Attempt == c.attempt {
+			delete(m.localRuns, c.key)
 		}
 	case KindAbandon:
 	default:
 		return
 	}
-	m.wakeKey(c.key)
+	m.redecideWaiting(c.key)
 }
 
-func (m *Machine) claimFolded(at platform.Offset, c change) {
+// claimApplied abandons an orphaned claim that took the key, and decides the request
+// of a claim of this instance.
+func (m *Machine) claimApplied(at platform.Offset, c change) {
 	h := m.table.holders[c.key]
 	won := h != nil && h.Attempt == c.attempt && h.Offset == at
 	if key, ok := m.orphans[c.attempt]; ok {
 		delete(m.orphans, c.attempt)
 		if won {
-			m.abandon(key, c.attempt)
+			m.appendAbandon(key, c.attempt)
 		}
 		return
 	}
-	r := m.byClaim[c.attempt]
+	r := m.byAttempt[c.attempt]
 	if r == nil || r.phase != phaseClaiming || r.attempt != c.attempt {
 		return
 	}
-	delete(m.byClaim, c.attempt)
+	delete(m.byAttempt, c.attempt)
 	if won {
-		m.won(r)
+		m.claimWon(r)
 		return
 	}
 	m.decide(r)
 }
 
-// won re-checks what may have changed since the claim was sent.
-func (m *Machine) won(r *request) {
+// claimWon lets the request run, after repeating the checks whose result may have
+// changed since the claim was submitted.
+func (m *Machine) claimWon(r *request) {
 	r.phase = phaseWon
 	switch {
 	case !m.covers(r):
-		m.giveUp(r)
+		m.release(r)
 		m.answer(r, Answer{State: TooOld})
 	case m.now >= r.Deadline:
-		m.giveUp(r)
+		m.release(r)
 		m.answer(r, Answer{State: Unavailable})
 	default:
 		m.answer(r, Answer{State: Run})
 	}
 }
 
-// wakeKey lets the requests that wait for a key look again.
-func (m *Machine) wakeKey(key KeyHash) {
+// redecideWaiting decides the requests that wait for a key again.
+func (m *Machine) redecideWaiting(key KeyHash) {
 	for _, r := range append([]*request(nil), m.byKey[key]...) {
 		if r.phase == phaseWaiting {
 			m.decide(r)
--- a/internal/claim/events.go
+++ b/internal/claim/events.go
@@ -8,47 +8,48 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// AppendDone takes the outcome of an Append. Any error other than
-// platform.ErrOutage and platform.ErrRateLimited counts as unknown.
+// AppendDone handles the outcome of an Append. After platform.ErrOutage and
+// platform.ErrRateLimited nothing was appended; after any other error the outcome is
+// unknown.
 func (m *Machine) AppendDone(now time.Duration, id uint64, err error) {
 	m.now = now
-	m.batch.done(now, id, err)
+	m.batcher.appendDone(now, id, err)
 	if err != nil {
 		m.stats.AppendErrors++
 	}
 }
 
-// ApplyRecords folds one answer to a read from ReadFrom. ApplyRecords folded before are
-// skipped; ErrGap asks for a new read. wall is Unix milliseconds, taken when
-// the answer arrived.
-func (m *Machine) ApplyRecords(now time.Duration, wall int64, b platform.Batch) error {
-	m.now, m.wall = now, wall
+// ApplyRecords applies the answer to a read from the offset ReadFrom. Records that
+// were applied before are skipped. ErrGap means that the read has to be repeated.
+// wallMillis is the Unix time at which the answer arrived.
+func (m *Machine) ApplyRecords(now time.Duration, wallMillis int64, b platform.Batch) error {
+	m.now, m.wallMillis = now, wallMillis
 	for _, rec := range b.Records {
 		if rec.Offset < m.table.next {
 			continue
 		}
 		c, err := m.table.apply(rec)
 		if err != nil {
-			return errors.Wrap(err, "fold claims")
+			return errors.Wrap(err, "apply claim record")
 		}
 		m.stats.RecordsIn++
 		m.stats.BytesIn += int64(len(rec.Data))
-		m.folded(rec.Offset, c)
+		m.recordApplied(rec.Offset, c)
 	}
-	m.table.mark(Mark{Head: m.table.next, Millis: wall})
+	m.table.addTimeEntry(TimeIndexEntry{Head: m.table.next, Millis: wallMillis})
 	return nil
 }
 
-// Trimmed takes platform.ErrTrimmed: the records below start are lost.
-func (m *Machine) Trimmed(now time.Duration, wall int64, start platform.Offset) {
-	m.now, m.wall = now, wall
-	m.table.trimmed(start)
+// Trimmed handles platform.ErrTrimmed: the records below start are lost.
+func (m *Machine) Trimmed(now time.Duration, wallMillis int64, start platform.Offset) {
+	m.now, m.wallMillis = now, wallMillis
+	m.table.trimTo(start)
 }
 
-// BeginDispatch is called after Run, right before the first byte goes to a
-// target. An error means that the request must not be sent: a process that
-// was paused since Run may find its deadline passed, and its caller is then
-// told that the request was not run.
+// BeginDispatch must be called after the answer Run, right before the first byte is
+// sent to a target. After an error the request must not be sent: if the process was
+// suspended since Run, the deadline may have passed and the caller been told that the
+// request did not run.
 func (m *Machine) BeginDispatch(now time.Duration, id string) error {
 	m.now = now
 	r := m.byID[id]
@@ -56,16 +57,16 @@
 		return errors.Wrapf(ErrNotHolder, "begin dispatch id=%s", id)
 	}
 	if now >= r.Deadline {
-		m.giveUp(r)
-		m.forget(r)
-		m.wakeKey(r.key)
+		m.release(r)
+		m.removeRequest(r)
+		m.redecideWaiting(r.key)
 		return errors.Wrapf(ErrNotHolder, "begin dispatch id=%s: deadline passed", id)
 	}
 	r.phase = phaseDispatched
 	return nil
 }
 
-// Finish records what became of a dispatched request.
+// Finish records the result of a dispatched request.
 func (m *Machine) Finish(now time.Duration, id string, res Result) error {
 	m.now = now
 	r := m.byID[id]
@@ -75,37 +76,38 @@
 	if len(res.Body) > m.cfg.MaxBodyBytes {
 		res.Body, res.BodyDropped = nil, true
 	}
-	kept := m.record(KindResult, &ResultRecord{Key: r.key, Request: r.RequestHash, Attempt: r.attempt, Result: res}, nil)
-	m.learn(r, res, kept)
-	m.forget(r)
-	m.wakeKey(r.key)
+	queued := m.enqueueRecord(KindResult, &ResultRecord{Key: r.key, RequestHash: r.RequestHash, Attempt: r.attempt, Result: res}, nil)
+	m.applyLocalResult(r, res, queued)
+	m.removeRequest(r)
+	m.redecideWaiting(r.key)
 	return nil
 }
 
-// learn lets repeats at this instance have the result before the log shows it.
-func (m *Machine) learn(r *request, res Result, kept bool) {
+// applyLocalResult makes the result available to retries at this instance before its
+// record is read from the log.
+func (m *Machine) applyLocalResult(r *request, res Result, queued bool) {
 	if h := m.table.holders[r.key]; h != nil && h.Attempt == r.attempt {
 		m.table.setResult(h, &res)
-		delete(m.ahead, r.key)
+		delete(m.localRuns, r.key)
 		return
 	}
-	if h := m.ahead[r.key]; h != nil && kept {
+	if h := m.localRuns[r.key]; h != nil && queued {
 		h.Result = &res
 		return
 	}
-	delete(m.ahead, r.key)
+	delete(m.localRuns, r.key)
 }
 
-// Cancel is called after Run when the request will not be sent, or when
-// nothing of it reached a target after BeginDispatch, and for a caller that
-// went away while its request waited. It frees the key.
+// Cancel releases the key of a request that was not sent. It is called after Run if
+// the request will not be sent, after BeginDispatch if nothing of it reached a target,
+// and if the caller disconnects while its request waits.
 func (m *Machine) Cancel(now time.Duration, id string) {
 	m.now = now
 	r := m.byID[id]
 	if r == nil {
 		return
 	}
-	m.giveUp(r)
-	m.forget(r)
-	m.wakeKey(r.key)
+	m.release(r)
+	m.removeRequest(r)
+	m.redecideWaiting(r.key)
 }
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -15,40 +15,43 @@
 
 func TestMain(m *testing.M) { propertytest.Main(m, 2000) }
 
-// fleet is a few machines around one log, stepped by hand.
+// fleet simulates a few machines that share a log. The tests choose each step.
 type fleet struct {
-	cfg   Config
-	wall  int64
-	start platform.Offset
-	recs  [][]byte
-	nodes []*node
-	// late are appends whose caller was told "unknown" and that the log has
-	// not stored yet.
-	late [][][]byte
-	seq  int
+	cfg      Config
+	wall     int64
+	logStart platform.Offset
+	log      [][]byte
+	nodes    []*node
+	// lateAppends holds appends whose outcome was reported as unknown and that the
+	// log has not stored yet.
+	lateAppends [][][]byte
+	seq         int
+	// runs lists the requests that ran, by key.
 	runs map[string][]string
-	// answers has each key with each answer that a target gave to it.
-	answers map[string]bool
-	notRun  map[string]bool
-	keyOf   map[string]string
-	bad     []string
+	// targetResponses holds each key concatenated with each response body that a
+	// target gave to it.
+	targetResponses map[string]bool
+	// notRun holds the requests whose callers were told that they did not run.
+	notRun     map[string]bool
+	keyOf      map[string]string
+	violations []string
 }
 
 type node struct {
-	m *Machine
-	// now is the node's clock; skew its wall clock's error in ms.
+	machine *Machine
+	// now is the node's monotonic clock, skewMillis the error of its wall clock.
 	now         time.Duration
-	skew        int64
+	skewMillis  int64
 	incarnation string
 	pending     []Append
-	run         []string
-	sent        []string
+	toDispatch  []string
+	dispatched  []string
 }
 
 func newFleet(n int, cfg Config) *fleet {
 	f := &fleet{
 		cfg: cfg, wall: 1_800_000_000_000, runs: map[string][]string{},
-		answers: map[string]bool{}, notRun: map[string]bool{}, keyOf: map[string]string{},
+		targetResponses: map[string]bool{}, notRun: map[string]bool{}, keyOf: map[string]string{},
 	}
 	for range n {
 		f.nodes = append(f.nodes, &node{})
@@ -63,22 +66,22 @@
 	n.incarnation = fmt.Sprintf("inc%d.%d", i, f.seq)
 	cfg := f.cfg
 	cfg.Incarnation = n.incarnation
-	n.m = New(cfg)
-	n.pending, n.run, n.sent = nil, nil, nil
+	n.machine = New(cfg)
+	n.pending, n.toDispatch, n.dispatched = nil, nil, nil
 }
 
-func (f *fleet) nodeWall(n *node) int64 { return f.wall + n.skew }
+func (f *fleet) nodeWall(n *node) int64 { return f.wall + n.skewMillis }
 
-// ready collects the node's work and checks each answer.
+// ready collects the node's pending work and checks each answer.
 func (f *fleet) ready(n *node) {
-	out := n.m.Ready(n.now + 2)
+	out := n.machine.Ready(n.now + 2)
 	n.pending = append(n.pending, out.Appends...)
 	for _, a := range out.Answers {
 		switch {
 		case a.State == Run:
-			n.run = append(n.run, a.ID)
-		case a.State == Replay && !a.Result.BodyDropped && !f.answers[f.keyOf[a.ID]+string(a.Result.Body)]:
-			f.bad = append(f.bad, "replay of another answer: "+a.ID)
+			n.toDispatch = append(n.toDispatch, a.ID)
+		case a.State == Replay && !a.Result.BodyDropped && !f.targetResponses[f.keyOf[a.ID]+string(a.Result.Body)]:
+			f.violations = append(f.violations, "replay of a response to another key: "+a.ID)
 		}
 		if a.State.NotRun() {
 			f.notRun[a.ID] = true
@@ -89,7 +92,7 @@
 func (f *fleet) begin(i int, id, key string, runWhenDown bool) {
 	n := f.nodes[i]
 	f.keyOf[id] = key
-	err := n.m.Begin(n.now, f.nodeWall(n), Request{
+	err := n.machine.Begin(n.now, f.nodeWall(n), Request{
 		ID: id, Account: "a", Key: key, Deadline: n.now + 10*time.Second, RunWhenLogDown: runWhenDown,
 	})
 	if err != nil {
@@ -98,124 +101,127 @@
 	f.ready(n)
 }
 
-type fate int
+type appendOutcome int
 
 const (
-	stored fate = iota
-	storedAnswerLost
-	refused
-	lostUnknown
-	lateUnknown
+	appendStored appendOutcome = iota
+	appendStoredAnswerLost
+	appendRefused
+	appendLost
+	appendLate
 )
 
-func (f *fleet) append(n *node, how fate) {
+func (f *fleet) append(n *node, outcome appendOutcome) {
 	a := n.pending[0]
 	n.pending = n.pending[1:]
 	var err error
-	switch how {
-	case stored:
-		f.recs = append(f.recs, a.Records...)
-	case storedAnswerLost:
-		f.recs = append(f.recs, a.Records...)
+	switch outcome {
+	case appendStored:
+		f.log = append(f.log, a.Records...)
+	case appendStoredAnswerLost:
+		f.log = append(f.log, a.Records...)
 		err = platform.ErrUnknown
-	case refused:
+	case appendRefused:
 		err = platform.ErrOutage
-	case lostUnknown:
+	case appendLost:
 		err = platform.ErrUnknown
-	case lateUnknown:
-		f.late = append(f.late, a.Records)
+	case appendLate:
+		f.lateAppends = append(f.lateAppends, a.Records)
 		err = platform.ErrUnknown
 	}
-	n.m.AppendDone(n.now, a.ID, err)
+	n.machine.AppendDone(n.now, a.ID, err)
 	f.ready(n)
 }
 
-func (f *fleet) land() {
-	f.recs = append(f.recs, f.late[0]...)
-	f.late = f.late[1:]
+// storeLateAppend stores the first of lateAppends in the log.
+func (f *fleet) storeLateAppend() {
+	f.log = append(f.log, f.lateAppends[0]...)
+	f.lateAppends = f.lateAppends[1:]
 }
 
+// read lets the node apply up to limit records of the log.
 func (f *fleet) read(n *node, limit int) {
-	from := n.m.ReadFrom()
-	if from < f.start {
-		n.m.Trimmed(n.now, f.nodeWall(n), f.start)
-		from = f.start
+	from := n.machine.ReadFrom()
+	if from < f.logStart {
+		n.machine.Trimmed(n.now, f.nodeWall(n), f.logStart)
+		from = f.logStart
 	}
-	b := platform.Batch{Start: f.start, Next: platform.Offset(len(f.recs))}
+	b := platform.Batch{Start: f.logStart, Next: platform.Offset(len(f.log))}
 	for o := from; o < b.Next && len(b.Records) < limit; o++ {
-		b.Records = append(b.Records, platform.Record{Offset: o, Data: f.recs[o]})
+		b.Records = append(b.Records, platform.Record{Offset: o, Data: f.log[o]})
 	}
-	if err := n.m.ApplyRecords(n.now, f.nodeWall(n), b); err != nil {
-		f.bad = append(f.bad, err.Error())
+	if err := n.machine.ApplyRecords(n.now, f.nodeWall(n), b); err != nil {
+		f.violations = append(f.violations, err.Error())
 	}
 	f.ready(n)
 }
 
-// dispatch sends the request at the head of n.run to a target.
+// dispatch sends the next request that may run to a target.
 func (f *fleet) dispatch(n *node) {
-	id := n.run[0]
-	n.run = n.run[1:]
-	if n.m.BeginDispatch(n.now, id) != nil {
+	id := n.toDispatch[0]
+	n.toDispatch = n.toDispatch[1:]
+	if n.machine.BeginDispatch(n.now, id) != nil {
 		f.notRun[id] = true
 		f.ready(n)
 		return
 	}
-	n.sent = append(n.sent, id)
+	n.dispatched = append(n.dispatched, id)
 	f.ready(n)
 }
 
-type ending int
+type dispatchOutcome int
 
 const (
-	answered ending = iota
+	answered dispatchOutcome = iota
 	outcomeUnknown
 	neverSent
 )
 
-func (f *fleet) finish(n *node, how ending) {
-	id := n.sent[0]
-	n.sent = n.sent[1:]
-	if how == neverSent {
+func (f *fleet) finish(n *node, outcome dispatchOutcome) {
+	id := n.dispatched[0]
+	n.dispatched = n.dispatched[1:]
+	if outcome == neverSent {
 		f.notRun[id] = true
-		n.m.Cancel(n.now, id)
+		n.machine.Cancel(n.now, id)
 		f.ready(n)
 		return
 	}
 	key := f.keyOf[id]
 	f.runs[key] = append(f.runs[key], id)
 	res := Result{Status: 200, Body: []byte("ran " + id)}
-	if how == outcomeUnknown {
+	if outcome == outcomeUnknown {
 		res = Result{Unknown: true}
 	}
-	f.answers[key+string(res.Body)] = true
-	if err := n.m.Finish(n.now, id, res); err != nil {
-		f.bad = append(f.bad, err.Error())
+	f.targetResponses[key+string(res.Body)] = true
+	if err := n.machine.Finish(n.now, id, res); err != nil {
+		f.violations = append(f.violations, err.Error())
 	}
 	f.ready(n)
 }
 
-// kill restarts a node. What it had begun to send may have run.
+// kill restarts a node. The requests that it had dispatched count as run.
 func (f *fleet) kill(i int) {
 	n := f.nodes[i]
-	for _, id := range n.sent {
+	for _, id := range n.dispatched {
 		f.runs[f.keyOf[id]] = append(f.runs[f.keyOf[id]], id)
 	}
 	f.restart(i)
 }
 
 func (f *fleet) tick(n *node) {
-	n.m.Tick(n.now, f.nodeWall(n))
+	n.machine.Tick(n.now, f.nodeWall(n))
 	f.ready(n)
 }
 
-// loose begins the keys of a route that runs without a claim while the log is
-// down: they may run more than once.
-const loose = "loose"
+// unclaimedPrefix starts the keys of a route that runs requests without a claim while the
+// log is down. These may run more than once.
+const unclaimedPrefix = "unclaimed"
 
-// broken is the checker: the promises of this package, over all history.
-func (f *fleet) broken() string {
+// violation checks the guarantees of this package over the whole history and describes a
+// violation, if there is one.
+func (f *fleet) violation() string {
 	for key, ids := range f.runs {
-		if len(ids) > 1 && !strings.HasPrefix(key, loose) {
+		if len(ids) > 1 && !strings.HasPrefix(key, unclaimedPrefix) {
 			return fmt.Sprintf("key %s ran %d times: %v", key, len(ids), ids)
 		}
 		for _, id := range ids {
@@ -224,9 +230,10 @@
 			}
 		}
 	}
-	return strings.Join(f.bad, "; ")
+	return strings.Join(f.violations, "; ")
 }
 
+// datedKey returns a UUIDv7 with the given creation time.
 func datedKey(millis int64, n int) string {
 	id := uuid.UUID{}
 	for i := range 6 {
@@ -236,23 +243,23 @@
 	return id.String()
 }
 
-// dump writes all state of the fleet that decides what can still happen.
+// dump returns all state of the fleet that future behavior depends on.
 func (f *fleet) dump() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %x %x %v %v %v\n", f.start, f.recs, f.late, f.runs, f.answers, f.notRun)
+	fmt.Fprintf(&b, "%d %x %x %v %v %v\n", f.logStart, f.log, f.lateAppends, f.runs, f.targetResponses, f.notRun)
 	for _, n := range f.nodes {
-		fmt.Fprintf(&b, "%d %v %v %v %x\n", n.now, n.incarnation, n.run, n.sent, n.pending)
-		dumpMachine(&b, n.m)
+		fmt.Fprintf(&b, "%d %v %v %v %x\n", n.now, n.incarnation, n.toDispatch, n.dispatched, n.pending)
+		dumpMachine(&b, n.machine)
 	}
 	return b.String()
 }
 
 func dumpMachine(b *strings.Builder, m *Machine) {
 	t := m.table
-	fmt.Fprintf(b, "%d-%d %d %v %v f%d nb%d", t.start, t.next, m.batch.nextID, m.orphans, m.gone, m.batch.failures, m.batch.notBefore)
-	for _, hs := range []map[KeyHash]*Holder{t.holders, m.ahead} {
+	fmt.Fprintf(b, "%d-%d %d %v %v f%d nb%d", t.start, t.next, m.batcher.nextID, m.orphans, m.endedProcesses, m.batcher.consecutiveFailures, m.batcher.notBefore)
+	for _, holders := range []map[KeyHash]*Holder{t.holders, m.localRuns} {
 		lines := []string{}
-		for _, h := range hs {
+		for _, h := range holders {
 			lines = append(lines, fmt.Sprintf("%s@%d %v", h.Attempt, h.Offset, h.Result != nil))
 		}
 		sort.Strings(lines)
@@ -264,8 +271,8 @@
 	}
 	sort.Strings(lines)
 	fmt.Fprintf(b, "%v", lines)
-	for _, i := range m.batch.queue {
-		fmt.Fprintf(b, " %x", i.data)
+	for _, q := range m.batcher.queue {
+		fmt.Fprintf(b, " %x", q.data)
 	}
 	b.WriteString("\n")
 }
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -9,20 +9,20 @@
 	"github.com/google/uuid"
 )
 
-// KeyHash names an idempotency key inside its client account. Only the hash
-// is stored, so that the log never holds what a caller chose as its key.
+// KeyHash identifies an idempotency key of a client account. Only the hash is stored,
+// so that the log never contains a key chosen by a caller.
 type KeyHash [sha256.Size]byte
 
-// RequestHash is the hash of a request: method, path and body.
+// RequestHash is the hash of a request's method, path and body.
 type RequestHash [sha256.Size]byte
 
-// HashKey scopes the key by its account. The account's length goes first, so
-// that no two pairs hash the same bytes.
+// HashKey hashes a key together with its account. Each part is preceded by its length,
+// so that no two pairs hash the same bytes.
 func HashKey(account, key string) KeyHash {
 	return KeyHash(hashParts(account, key))
 }
 
-// HashRequest is what a repeat must match to be the same request.
+// HashRequest hashes what has to be equal for a request to count as a retry.
 func HashRequest(method, path string, body []byte) RequestHash {
 	return RequestHash(hashParts(method, path, string(body)))
 }
@@ -39,20 +39,20 @@
 }
 
 const (
-	uuidVersionTime = 7
-	ulidLen         = 26
-	ulidTimeChars   = 10
-	ulidAlphabet    = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
-	// ulidEpochMillis is 2016-01-01, when the format was published: an
-	// earlier date is a plain string that only looks like a ULID.
+	uuidVersion7  = 7
+	ulidLen       = 26
+	ulidTimeChars = 10
+	ulidAlphabet  = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
+	// ulidEpochMillis is 2016-01-01, when the format was published. A string with an
+	// earlier time only looks like a ULID.
 	ulidEpochMillis = 1451606400000
 )
 
-// createdMillis reads the creation time that a UUIDv7 or ULID carries, in
-// Unix milliseconds; ok is false for any other key.
+// createdMillis returns the creation time contained in a UUIDv7 or ULID, in Unix
+// milliseconds. ok is false for any other key.
 func createdMillis(key string) (ms int64, ok bool) {
 	if id, err := uuid.Parse(key); err == nil {
-		if id.Version() != uuidVersionTime {
+		if id.Version() != uuidVersion7 {
 			return 0, false
 		}
 		var b [8]byte
@@ -78,13 +78,13 @@
 	return ms, ms >= ulidEpochMillis && ms < 1<<48
 }
 
-// keyDate is the earliest time at which the key may have been used before.
-// An undated key, or one dated in the future, is taken to be as old as the
-// longest time over which callers repeat a request.
-func keyDate(key string, wall int64, horizon, skew time.Duration) int64 {
+// earliestUse returns the earliest time, in Unix milliseconds, at which the key may
+// have been used. A key without a creation time, or with one in the future, may be as
+// old as the longest time over which callers retry a request.
+func earliestUse(key string, wallMillis int64, horizon, skew time.Duration) int64 {
 	ms, ok := createdMillis(key)
-	if !ok || ms > wall+skew.Milliseconds() {
-		return wall - horizon.Milliseconds()
+	if !ok || ms > wallMillis+skew.Milliseconds() {
+		return wallMillis - horizon.Milliseconds()
 	}
 	return ms
 }
--- a/internal/claim/machine.go
+++ b/internal/claim/machine.go
@@ -12,82 +12,83 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Machine decides for one instance which keyed requests run. It is not safe
-// for concurrent use.
+// Machine decides, for one instance, which requests with an idempotency key run. It is
+// not safe for concurrent use.
 type Machine struct {
-	cfg     Config
-	table   *table
-	batch   *batcher
-	byID    map[string]*request
-	byClaim map[string]*request
-	// byKey has the unfinished requests of each key, the oldest first.
+	cfg       Config
+	table     *table
+	batcher   *batcher
+	byID      map[string]*request
+	byAttempt map[string]*request
+	// byKey holds the unfinished requests of each key, oldest first.
 	byKey map[KeyHash][]*request
-	// orphans are claims given up while they may reach the log: once folded
-	// as holder they are abandoned.
-	orphans map[string]KeyHash
-	orphanQ []string
-	// ahead has the runs of this instance that the fold does not show yet.
-	ahead   map[KeyHash]*Holder
-	gone    map[string]bool
-	goneQ   []string
-	answers []Answer
-	stats   Stats
-	// now and wall are those of the present event.
-	now  time.Duration
-	wall int64
+	// orphans holds the attempts of released claims that may still reach the log. One
+	// that takes its key is abandoned. orphanOrder lists them oldest first.
+	orphans     map[string]KeyHash
+	orphanOrder []string
+	// localRuns holds runs of this instance that are not in the table yet.
+	localRuns map[KeyHash]*Holder
+	// endedProcesses holds incarnations that have ended, endedOrder in order.
+	endedProcesses map[string]bool
+	endedOrder     []string
+	answers        []Answer
+	stats          Stats
+	// now and wallMillis are the times of the current event.
+	now        time.Duration
+	wallMillis int64
 }
 
 const (
-	maxOrphans = 4096
-	maxGone    = 4096
+	maxOrphans        = 4096
+	maxEndedProcesses = 4096
 )
 
-// New makes a machine with an empty fold.
+// New returns a machine with an empty table.
 func New(cfg Config) *Machine {
 	cfg = cfg.withDefaults()
 	return &Machine{
-		cfg: cfg, table: newTable(cfg), batch: newBatcher(cfg),
-		byID: map[string]*request{}, byClaim: map[string]*request{},
+		cfg: cfg, table: newTable(cfg), batcher: newBatcher(cfg),
+		byID: map[string]*request{}, byAttempt: map[string]*request{},
 		byKey:   map[KeyHash][]*request{},
-		orphans: map[string]KeyHash{}, ahead: map[KeyHash]*Holder{},
-		gone:  map[string]bool{},
-		stats: Stats{Answers: map[State]int64{}},
+		orphans: map[string]KeyHash{}, localRuns: map[KeyHash]*Holder{},
+		endedProcesses: map[string]bool{},
+		stats:          Stats{Answers: map[State]int64{}},
 	}
 }
 
-// Ready is the work that the machine hands out.
+// Ready holds the work that is due.
 type Ready struct {
 	Appends []Append
 	Answers []Answer
 }
 
-// Ready returns the work that is due and clears it. Call it after every event.
+// Ready returns the work that is due and clears it. It must be called after every event.
 func (m *Machine) Ready(now time.Duration) Ready {
 	r := Ready{Answers: m.answers}
 	m.answers = nil
 	for {
-		a, ok := m.batch.next(now)
+		a, ok := m.batcher.nextBatch(now)
 		if !ok {
 			return r
 		}
 		m.stats.Appends++
 		m.stats.RecordsOut += int64(len(a.Records))
-		for _, d := range a.Records {
-			m.stats.BytesOut += int64(len(d))
+		for _, data := range a.Records {
+			m.stats.BytesOut += int64(len(data))
 		}
 		r.Appends = append(r.Appends, a)
 	}
 }
 
-// Begin takes a request. wall is Unix milliseconds.
-func (m *Machine) Begin(now time.Duration, wall int64, req Request) error {
+// Begin starts to decide a request. wallMillis is Unix time.
+func (m *Machine) Begin(now time.Duration, wallMillis int64, req Request) error {
 	if m.byID[req.ID] != nil {
 		return errors.Wrapf(ErrDuplicateID, "begin id=%s", req.ID)
 	}
-	m.now, m.wall = now, wall
+	m.now, m.wallMillis = now, wallMillis
 	r := &request{
 		Request: req, key: HashKey(req.Account, req.Key),
-		claimBy: min(req.Deadline, now+m.cfg.ClaimTimeout),
+		claimDeadline: min(req.Deadline, now+m.cfg.ClaimTimeout),
 	}
 	m.byID[r.ID] = r
 	m.byKey[r.key] = append(m.byKey[r.key], r)
@@ -95,24 +96,25 @@
 	return nil
 }
 
-// Tick moves the time on. wall is Unix milliseconds.
-func (m *Machine) Tick(now time.Duration, wall int64) {
-	m.now, m.wall = now, wall
-	m.table.expire(wall)
+// Tick handles timeouts and drops expired keys. wallMillis is Unix time.
+func (m *Machine) Tick(now time.Duration, wallMillis int64) {
+	m.now, m.wallMillis = now, wallMillis
+	m.table.expire(wallMillis)
 	for _, r := range m.overdue(now) {
-		m.timeout(r)
-		m.wakeKey(r.key)
+		m.handleTimeout(r)
+		m.redecideWaiting(r.key)
 	}
 }
 
-// overdue lists in a fixed order, so that equal machines act alike.
+// overdue returns the requests whose deadline has passed, sorted by id: machines with
+// equal input must behave equally.
 func (m *Machine) overdue(now time.Duration) []*request {
 	var out []*request
 	for _, r := range m.byID {
 		switch {
 		case r.phase == phaseWaiting && now >= r.Deadline,
 			r.phase == phaseWon && now >= r.Deadline,
-			r.phase == phaseClaiming && now >= r.claimBy:
+			r.phase == phaseClaiming && now >= r.claimDeadline:
 			out = append(out, r)
 		}
 	}
@@ -120,65 +122,66 @@
 	return out
 }
 
-func (m *Machine) timeout(r *request) {
+func (m *Machine) handleTimeout(r *request) {
 	switch r.phase {
 	case phaseWaiting:
 		m.answer(r, Answer{State: InProgress, HolderAddress: m.holderAddress(r.key)})
 	case phaseWon:
-		m.giveUp(r)
+		m.release(r)
 		m.answer(r, Answer{State: Unavailable})
 	case phaseClaiming:
 		m.claimFailed(r)
 	}
 }
 
-// claimFailed ends the wait for a claim that could not be had.
+// claimFailed handles a request whose claim could not be made in time.
 func (m *Machine) claimFailed(r *request) {
 	if r.RunWhenLogDown {
 		m.runUnclaimed(r)
 		return
 	}
-	m.giveUp(r)
+	m.release(r)
 	m.answer(r, Answer{State: Unavailable})
 }
 
-// NextWakeup is when Tick or Ready next has something to do; ok is false when the
-// machine waits for nothing but calls.
+// NextWakeup returns the time of the next call of Tick and Ready that has an effect. ok
+// is false if nothing happens before another method is called.
 func (m *Machine) NextWakeup() (at time.Duration, ok bool) {
-	at, ok = m.batch.wake()
+	at, ok = m.batcher.nextWakeup()
 	for _, r := range m.byID {
-		d := r.Deadline
+		deadline := r.Deadline
 		switch r.phase {
 		case phaseClaiming:
-			d = r.claimBy
-		case phaseDispatched, phaseOver:
+			deadline = r.claimDeadline
+		case phaseDispatched, phaseDone:
 			continue
 		}
-		if !ok || d < at {
-			at, ok = d, true
+		if !ok || deadline < at {
+			at, ok = deadline, true
 		}
 	}
 	return at, ok
 }
 
-// ProcessEnded tells that a process has ended for good: requests that wait for
-// its results are answered at once.
+// ProcessEnded reports that a process has ended. Requests that wait for its results are
+// answered at once.
 func (m *Machine) ProcessEnded(now time.Duration, incarnation string) {
 	m.now = now
-	if m.gone[incarnation] {
+	if m.endedProcesses[incarnation] {
 		return
 	}
-	m.gone[incarnation] = true
-	m.goneQ = append(m.goneQ, incarnation)
-	if len(m.goneQ) > maxGone {
-		delete(m.gone, m.goneQ[0])
-		m.goneQ = m.goneQ[1:]
+	m.endedProcesses[incarnation] = true
+	m.endedOrder = append(m.endedOrder, incarnation)
+	if len(m.endedOrder) > maxEndedProcesses {
+		delete(m.endedProcesses, m.endedOrder[0])
+		m.endedOrder = m.endedOrder[1:]
 	}
 	for _, key := range m.waitingKeys() {
-		m.wakeKey(key)
+		m.redecideWaiting(key)
 	}
 }
 
+// waitingKeys returns the keys of unfinished requests in a fixed order.
 func (m *Machine) waitingKeys() []KeyHash {
 	keys := make([]KeyHash, 0, len(m.byKey))
 	for k := range m.byKey {
@@ -188,51 +191,54 @@
 	return keys
 }
 
-// answer ends a request, except after Run.
+// answer queues an answer and removes the request, unless the answer is Run.
 func (m *Machine) answer(r *request, a Answer) {
 	a.ID = r.ID
 	m.answers = append(m.answers, a)
 	m.stats.Answers[a.State]++
 	if a.State != Run {
-		m.forget(r)
+		m.removeRequest(r)
 	}
 }
 
-func (m *Machine) forget(r *request) {
-	r.phase = phaseOver
+func (m *Machine) removeRequest(r *request) {
+	r.phase = phaseDone
 	delete(m.byID, r.ID)
-	left := slices.DeleteFunc(m.byKey[r.key], func(o *request) bool { return o == r })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(m.byKey[r.key], func(o *request) bool { return o == r })
+	if len(remaining) == 0 {
 		delete(m.byKey, r.key)
 	} else {
-		m.byKey[r.key] = left
+		m.byKey[r.key] = remaining
 	}
 	if r.attempt != "" && m.orphans[r.attempt] != r.key {
-		delete(m.byClaim, r.attempt)
+		delete(m.byAttempt, r.attempt)
 	}
 }
 
-func (m *Machine) record(kind logrec.Kind, body any, live *request) bool {
-	data, err := logrec.Encode(kind, m.cfg.Incarnation, m.wall, body)
-	if err != nil || live == nil && m.batch.overfull() {
+// enqueueRecord queues a record for the claims stream and reports whether it did. owner
+// is the request of a claim, nil for other records.
+func (m *Machine) enqueueRecord(kind logrec.Kind, body any, owner *request) bool {
+	data, err := logrec.Encode(kind, m.cfg.Incarnation, m.wallMillis, body)
+	if err != nil || owner == nil && m.batcher.reserveFull() {
 		m.stats.Dropped++
 		return false
 	}
-	i := item{data: data, queued: m.now, live: live}
-	if live != nil {
-		i.attempt = live.attempt
+	q := queuedRecord{data: data, queuedAt: m.now, owner: owner}
+	if owner != nil {
+		q.attempt = owner.attempt
 	}
-	m.batch.add(i)
+	m.batcher.add(q)
 	return true
 }
 
+// nextAttempt gives the request's next claim an id of its own.
 func (r *request) nextAttempt() {
-	r.claims++
+	r.claimCount++
 	r.attempt = r.ID
-	if r.claims > 1 {
-		r.attempt = fmt.Sprintf("%s/%d", r.ID, r.claims)
+	if r.claimCount > 1 {
+		r.attempt = fmt.Sprintf("%s/%d", r.ID, r.claimCount)
 	}
 }
 
-// ReadFrom is the offset to read the claims stream from next.
+// ReadFrom returns the offset from which to read the claims stream next.
 func (m *Machine) ReadFrom() platform.Offset { return m.table.next }
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -14,14 +14,14 @@
 
 const horizon = time.Minute
 
-// schedule draws one random history over three instances.
+// schedule draws a random history of three instances.
 type schedule struct {
 	*fleet
 	t *rapid.T
-	// born is when each key was first used, by the fleet's wall clock.
-	born  map[string]int64
-	keys  []string
-	calls int
+	// firstUsed is the time of each key's first use, on the fleet's wall clock.
+	firstUsed map[string]int64
+	keys      []string
+	calls     int
 }
 
 func newSchedule(t *rapid.T) *schedule {
@@ -30,9 +30,9 @@
 		MaxKeys: rapid.IntRange(1, 6).Draw(t, "maxKeys"), MaxHeldBytes: 30,
 		MaxClockSkew: 10 * time.Second,
 	}
-	s := &schedule{fleet: newFleet(3, cfg), t: t, born: map[string]int64{}}
+	s := &schedule{fleet: newFleet(3, cfg), t: t, firstUsed: map[string]int64{}}
 	for _, n := range s.nodes {
-		n.skew = rapid.Int64Range(-4000, 4000).Draw(t, "skew")
+		n.skewMillis = rapid.Int64Range(-4000, 4000).Draw(t, "skew")
 	}
 	return s
 }
@@ -48,18 +48,18 @@
 	case 0, 1:
 		key = datedKey(s.wall, len(s.keys))
 	case 2:
-		key = fmt.Sprintf("%s-%d", loose, len(s.keys))
+		key = fmt.Sprintf("%s-%d", unclaimedPrefix, len(s.keys))
 	}
 	s.keys = append(s.keys, key)
-	s.born[key] = s.wall
+	s.firstUsed[key] = s.wall
 	return key
 }
 
-// key is a new one or one sent before, within the time that callers keep to.
+// key returns a new key, or an earlier one that callers may still retry.
 func (s *schedule) key() string {
-	if len(s.keys) > 0 && rapid.IntRange(0, 2).Draw(s.t, "again") > 0 {
+	if len(s.keys) > 0 && rapid.IntRange(0, 2).Draw(s.t, "retry") > 0 {
 		key := rapid.SampledFrom(s.keys).Draw(s.t, "key")
-		if _, dated := createdMillis(key); dated || s.wall-s.born[key] < horizon.Milliseconds()-8000 {
+		if _, dated := createdMillis(key); dated || s.wall-s.firstUsed[key] < horizon.Milliseconds()-8000 {
 			return key
 		}
 	}
@@ -72,44 +72,44 @@
 	case 0, 1, 2:
 		s.calls++
 		key := s.key()
-		s.begin(i, fmt.Sprintf("r%d", s.calls), key, strings.HasPrefix(key, loose))
+		s.begin(i, fmt.Sprintf("r%d", s.calls), key, strings.HasPrefix(key, unclaimedPrefix))
 	case 3, 4, 5:
 		if len(n.pending) > 0 {
-			s.append(n, fate(max(0, rapid.IntRange(-4, 4).Draw(s.t, "fate"))))
+			s.append(n, appendOutcome(max(0, rapid.IntRange(-4, 4).Draw(s.t, "append outcome"))))
 		}
 	case 6, 7:
 		s.read(n, rapid.IntRange(1, 5).Draw(s.t, "limit"))
 	case 8:
-		if len(n.run) > 0 {
+		if len(n.toDispatch) > 0 {
 			s.dispatch(n)
 		}
 	case 9:
-		if len(n.sent) > 0 {
-			s.finish(n, ending(max(0, rapid.IntRange(-2, 2).Draw(s.t, "ending"))))
+		if len(n.dispatched) > 0 {
+			s.finish(n, dispatchOutcome(max(0, rapid.IntRange(-2, 2).Draw(s.t, "dispatch outcome"))))
 		}
 	case 10, 11, 12:
 		s.settle(n)
 	default:
-		s.rare(i, n)
+		s.rareStep(i, n)
 	}
 }
 
-func (s *schedule) rare(i int, n *node) {
+func (s *schedule) rareStep(i int, n *node) {
 	switch rapid.IntRange(0, 7).Draw(s.t, "rare") {
 	case 0:
 		s.kill(i)
 	case 1:
-		if len(s.late) > 0 {
-			s.land()
+		if len(s.lateAppends) > 0 {
+			s.storeLateAppend()
 		}
 	case 2:
-		s.start = platform.Offset(rapid.Int64Range(int64(s.start), int64(len(s.recs))).Draw(s.t, "trim"))
+		s.logStart = platform.Offset(rapid.Int64Range(int64(s.logStart), int64(len(s.log))).Draw(s.t, "trim"))
 	case 3:
 		_, peer := s.node()
-		n.m.Restore([]Page{peer.m.Snapshot(-1, 1000)})
+		n.machine.Restore([]Page{peer.machine.Snapshot(-1, 1000)})
 	case 4:
 		_, peer := s.node()
-		n.m.ProcessEnded(n.now, peer.incarnation+"x")
+		n.machine.ProcessEnded(n.now, peer.incarnation+"x")
 		s.ready(n)
 	default:
 		d := time.Duration(rapid.IntRange(1, 20).Draw(s.t, "seconds")) * time.Second
@@ -121,25 +121,25 @@
 	}
 }
 
-// Callers repeat bookings at any instance while instances die, thaw, restart
-// from a trimmed log or a peer's snapshot, forget old keys, and appends are
-// lost, late or answered wrongly. Whatever the order, a booking runs at most
-// once, a call told not_run never runs, and a replay is the first's answer. On
-// a route that runs without a claim while the log is down, a key may run again,
-// but not_run and the replay hold there too.
+// Callers retry requests at any instance while instances fail, are suspended, restart from
+// a trimmed log or a peer's snapshot and drop old keys, and while appends are lost, late
+// or reported with the wrong outcome. In any order, a request runs at most once, one that
+// was reported as not_run never runs, and a replay is the response to the first request.
+// On a route that runs requests without a claim while the log is down, a key may run more
+// than once, but the other two guarantees hold.
 func TestAnyScheduleRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSchedule(rt)
 		for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 			s.step()
-			if why := s.broken(); why != "" {
-				rt.Fatal(why)
+			if violation := s.violation(); violation != "" {
+				rt.Fatal(violation)
 			}
 		}
 	})
 }
 
-// drain lets everything that is under way come to its end without faults.
+// drain completes all pending work without faults.
 func (f *fleet) drain() {
 	for range 50 {
 		for _, n := range f.nodes {
@@ -148,81 +148,83 @@
 	}
 }
 
+// settle completes the pending work of one node without faults.
 func (f *fleet) settle(n *node) {
 	for len(n.pending) > 0 {
-		f.append(n, stored)
+		f.append(n, appendStored)
 	}
 	f.read(n, 1000)
-	for len(n.run) > 0 {
+	for len(n.toDispatch) > 0 {
 		f.dispatch(n)
 	}
-	for len(n.sent) > 0 {
+	for len(n.dispatched) > 0 {
 		f.finish(n, answered)
 	}
 }
 
-// The answer to an append is lost and the caller is refused, not run, at its
-// deadline. The claim lands in the log afterwards and takes the key. The
-// instance sees it, frees the key, and the caller's next try runs: without
-// that, the key would be held for the whole window by a request that is dead.
-func TestOrphanClaimFreesItsKey(t *testing.T) {
+// An append is reported as unknown, its request is refused as not_run at the deadline, and
+// the claim is stored afterwards and takes the key. The instance must release the key, so
+// that the caller's next attempt runs. Otherwise a request that never runs would hold the
+// key for the whole window.
+func TestOrphanedClaimIsAbandoned(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, Config{MaxBatchAge: 1, RetryDelay: 1})
 	f.begin(0, "r1", "key", false)
-	f.append(f.nodes[0], lateUnknown)
+	f.append(f.nodes[0], appendLate)
 	f.nodes[0].now += 20 * time.Second
 	f.tick(f.nodes[0])
 	is.True(f.notRun["r1"])
-	f.land()
+	f.storeLateAppend()
 	f.drain()
 	f.begin(1, "r2", "key", false)
 	f.drain()
 	is.Equal(f.runs["key"], []string{"r2"})
-	is.Equal(f.broken(), "")
+	is.Equal(f.violation(), "")
 }
 
-// The answer to an append of a claim is lost, before or after it took effect.
-// The claim is not appended again: a second copy could land after the first
-// was abandoned and hold the key for a request that never runs.
+// The outcome of a claim's append is unknown. The claim must not be appended again: the
+// second copy could be stored after the first was abandoned and hold the key for a request
+// that never runs.
 func TestUnknownAppendIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, Config{MaxBatchAge: 1, RetryDelay: 1})
 	f.begin(0, "r1", "key", false)
-	f.append(f.nodes[0], lostUnknown)
+	f.append(f.nodes[0], appendLost)
 	f.tick(f.nodes[0])
 	is.Equal(len(f.nodes[0].pending), 0)
 }
 
-// The log is down. The default route refuses at once with not_run; the route
-// that runs without a claim runs, and its repeat at the same instance gets
-// the first's answer even before the log is back.
+// The log is down. By default a request is refused at once with not_run. On a route that
+// runs requests without a claim, it runs, and a retry at the same instance gets its
+// response even before the log is available again.
 func TestLogDownPerRoute(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, Config{MaxBatchAge: 1, RetryDelay: time.Second})
 	n := f.nodes[0]
 	f.begin(0, "probe", "k0", false)
-	for range downAfter {
+	for range logDownFailures {
 		n.now += time.Second
 		f.ready(n)
-		f.append(n, refused)
+		f.append(n, appendRefused)
 	}
-	f.begin(0, "safe", "k1", false)
-	is.True(f.notRun["safe"])
-	f.begin(0, "loose", "k2", true)
-	f.begin(0, "again", "k2", true)
+	f.begin(0, "default", "k1", false)
+	is.True(f.notRun["default"])
+	f.begin(0, "unclaimed", "k2", true)
+	f.begin(0, "retry", "k2", true)
 	f.dispatch(n)
 	f.finish(n, answered)
-	is.Equal(f.runs["k2"], []string{"loose"})
-	is.Equal(n.m.Stats().Answers[Replay], int64(1))
+	is.Equal(f.runs["k2"], []string{"unclaimed"})
+	is.Equal(n.machine.Stats().Answers[Replay], int64(1))
 	n.now += 2 * time.Second
 	f.ready(n)
 	f.drain()
-	is.Equal(n.m.table.holders[HashKey("a", "k2")].Result.Status, 200)
+	is.Equal(n.machine.table.holders[HashKey("a", "k2")].Result.Status, 200)
 }
 
-// A caller uses its key again for another booking. It is refused, not run:
-// running it would break the key's promise, replaying would answer wrongly.
-func TestSameKeyOtherBody(t *testing.T) {
+// A caller reuses a key for a different request, which must be refused as not run. Running
+// it would run two requests for one key, and a replay would be the response to the other
+// request.
+func TestKeyReusedForOtherRequestIsRefused(t *testing.T) {
 	is := is.New(t)
 	m := New(Config{MaxBatchAge: 1})
 	is.NoErr(m.Begin(0, 1, Request{ID: "r1", Key: "k", Deadline: time.Second}))
@@ -232,8 +234,8 @@
 	is.Equal(len(out.Appends), 1)
 }
 
-// Claims of many requests share one append: the log takes only several
-// hundred appends a second from the whole fleet.
+// The claims of many requests share one append: the log accepts only several hundred
+// appends per second from the whole fleet.
 func TestClaimsShareOneAppend(t *testing.T) {
 	is := is.New(t)
 	m := New(Config{})
@@ -247,12 +249,12 @@
 	is.Equal(len(out.Appends[0].Records), 100)
 }
 
-func TestKeyDates(t *testing.T) {
+func TestEarliestUse(t *testing.T) {
 	is := is.New(t)
 	const wall = 1_800_000_000_000
-	date := func(key string) int64 { return keyDate(key, wall, time.Minute, time.Second) }
-	is.Equal(date(datedKey(wall-5, 1)), int64(wall-5))
-	is.Equal(date("01KW8E2A00ABCDEFGHJKMNPQRS") < wall, true)
-	is.Equal(date("booking-1"), int64(wall-60_000))
-	is.Equal(date(datedKey(wall+3600_000, 1)), int64(wall-60_000)) // dated in the future
+	earliest := func(key string) int64 { return earliestUse(key, wall, time.Minute, time.Second) }
+	is.Equal(earliest(datedKey(wall-5, 1)), int64(wall-5))
+	is.Equal(earliest("01KW8E2A00ABCDEFGHJKMNPQRS") < wall, true)
+	is.Equal(earliest("booking-1"), int64(wall-60_000))
+	is.Equal(earliest(datedKey(wall+3600_000, 1)), int64(wall-60_000)) // dated in the future
 }
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -6,54 +6,53 @@
 )
 
 // Kinds of record in the claims stream.
+//
+// There is no record for the start of a dispatch. Only the holder may dispatch, with or
+// without such a record, so it would cost an append without affecting any decision.
 const (
 	KindClaim   logrec.Kind = "claim"
 	KindResult  logrec.Kind = "claim.result"
 	KindAbandon logrec.Kind = "claim.abandon"
 )
 
-// There is no "dispatching" record: nobody but the holder may dispatch, with
-// or without it, so it would cost an append and change no decision.
-
-// Claim asks for the right to run the request of a key.
+// Claim requests the right to run the request with a key.
 type Claim struct {
-	Key     KeyHash     `msgpack:"k"`
-	Request RequestHash `msgpack:"r"`
-	// Attempt is unique to this claim; a later claim by the same request
-	// has another.
+	Key         KeyHash     `msgpack:"k"`
+	RequestHash RequestHash `msgpack:"r"`
+	// Attempt is the id of this claim. A later claim by the same request has a
+	// different one.
 	Attempt     string `msgpack:"a"`
 	Incarnation string `msgpack:"i"`
-	// Address is the claimer's peer address.
+	// Address is the peer address of the instance that made the claim.
 	Address string `msgpack:"p"`
-	// Head and HeadMillis say that at this wall time the claimer had read
-	// every offset below Head. They date the stream for instances that
-	// start later.
+	// Head and HeadMillis state that every record below Head had been read at the
+	// Unix time HeadMillis. Instances that start later need them for their time index.
 	Head       platform.Offset `msgpack:"h"`
 	HeadMillis int64           `msgpack:"m"`
 }
 
-// Result is what became of a dispatched request.
+// Result is the outcome of a dispatched request.
 type Result struct {
-	// Unknown is set when a byte may have reached a target and no whole
-	// answer came back.
+	// Unknown is set if a byte may have reached a target but no complete response was
+	// received.
 	Unknown     bool   `msgpack:"u,omitempty"`
 	Status      int    `msgpack:"s,omitempty"`
 	ContentType string `msgpack:"c,omitempty"`
 	Body        []byte `msgpack:"b,omitempty"`
-	// BodyDropped is set when the body was too large to keep.
+	// BodyDropped is set if the body was too large to store or was evicted.
 	BodyDropped bool `msgpack:"d,omitempty"`
 }
 
-// ResultRecord records the result of an attempt. On a key that nobody holds
-// it takes the key: that is a run without a claim while the log was down.
+// ResultRecord records the result of an attempt. If the key has no holder, it also takes
+// the key: the request ran without a claim while the log was down.
 type ResultRecord struct {
-	Key     KeyHash     `msgpack:"k"`
-	Request RequestHash `msgpack:"r"`
-	Attempt string      `msgpack:"a"`
-	Result  Result      `msgpack:"o"`
+	Key         KeyHash     `msgpack:"k"`
+	RequestHash RequestHash `msgpack:"r"`
+	Attempt     string      `msgpack:"a"`
+	Result      Result      `msgpack:"o"`
 }
 
-// Abandon frees the key: its holder will never dispatch.
+// Abandon releases a key whose holder will never dispatch its request.
 type Abandon struct {
 	Key     KeyHash `msgpack:"k"`
 	Attempt string  `msgpack:"a"`
--- a/internal/claim/request.go
+++ b/internal/claim/request.go
@@ -6,65 +6,68 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of the calls on a request.
+// Errors of the methods that take a request.
 var (
-	// ErrNotHolder: the request does not hold its key; it must not be sent.
+	// ErrNotHolder is returned for a request that does not hold its key and therefore
+	// must not be sent.
 	ErrNotHolder = errors.New("claim: request does not hold its key")
-	// ErrDuplicateID: a request with this id is already known.
+	// ErrDuplicateID is returned for a second request with the same id.
 	ErrDuplicateID = errors.New("claim: duplicate request id")
 )
 
-// Request is a keyed non-idempotent request that a caller has sent.
+// Request is a non-idempotent request with an idempotency key.
 type Request struct {
-	// ID is unique over the whole fleet and all time.
+	// ID must be unique over the whole fleet and all time.
 	ID          string
 	Account     string
 	Key         string
 	RequestHash RequestHash
-	// Deadline is the latest time for an answer, on the machine's clock.
+	// Deadline is the latest time for an answer, on the clock of the machine's now.
 	Deadline time.Duration
-	// RunWhenLogDown runs the request without a claim when none can be had.
+	// RunWhenLogDown lets the request run without a claim while the log is down.
 	RunWhenLogDown bool
 }
 
-// State says how a request goes on.
+// State is the decision on a request.
 type State string
 
-// The states of an answer.
+// States of an answer.
 const (
-	// Run: the request holds its key; call BeginDispatch, then send it.
+	// Run: the request holds its key. Call BeginDispatch and then send it.
 	Run State = "run"
-	// Replay: the first request's answer is in Answer.Result.
+	// Replay: an earlier request with the key ran. Its response is Answer.Result.
 	Replay State = "replay"
 	// InProgress: another request holds the key and has no result yet.
 	InProgress State = "in_progress"
-	// MayHaveRun: the first request's holder is gone or its outcome unknown.
+	// MayHaveRun: an earlier request with the key may have run, but its process has
+	// ended or its outcome is unknown.
 	MayHaveRun State = "may_have_run"
-	// BodyMismatch: the key belongs to a different request. Not run.
+	// BodyMismatch: the key was used for a different request. This one has not run.
 	BodyMismatch State = "body_mismatch"
-	// Unavailable: no claim could be had in time. Not run.
+	// Unavailable: no claim could be made in time. The request has not run.
 	Unavailable State = "unavailable"
-	// TooOld: the key is older than what is remembered; it may have run.
+	// TooOld: the key is older than the records that this instance has, so an earlier
+	// request with it may have run.
 	TooOld State = "too_old"
 )
 
-// NotRun is true for the states after which the key's request is known not
-// to run on behalf of the caller that gets the answer.
+// NotRun reports whether the state guarantees that the request was not run for the
+// caller that gets the answer.
 func (s State) NotRun() bool {
 	return s == BodyMismatch || s == Unavailable
 }
 
-// Answer tells how the request with the ID goes on.
+// Answer is the decision on the request with the given ID.
 type Answer struct {
 	ID    string
 	State State
 	// Result is set with Replay.
 	Result *Result
-	// HolderAddress is the peer address of the instance that holds the key,
-	// with InProgress and MayHaveRun where it is known.
+	// HolderAddress is the peer address of the instance that holds the key. It is set
+	// with InProgress and MayHaveRun if known.
 	HolderAddress string
-	// Unclaimed is set with Run when the log was down and the request runs
-	// without a claim.
+	// Unclaimed is set with Run if the request runs without a claim because the log is
+	// down.
 	Unclaimed bool
 }
 
@@ -75,22 +78,23 @@
 	phaseClaiming
 	phaseWon
 	phaseDispatched
-	phaseOver
+	phaseDone
 )
 
 type request struct {
 	Request
 	key   KeyHash
 	phase phase
-	// attempt names the present claim; claims counts them.
-	attempt string
-	claims  int
-	// claimBy is when the request stops waiting for its claim.
-	claimBy   time.Duration
-	unclaimed bool
+	// attempt is the id of the current claim, claimCount the number of claims so far.
+	attempt    string
+	claimCount int
+	// claimDeadline is the time until which the request waits for its claim.
+	claimDeadline time.Duration
+	unclaimed     bool
 }
 
-// claiming says whether the claim is still worth having.
-func (r *request) claiming(attempt string) bool {
-	return r.attempt == attempt && (r.phase == phaseClaiming || r.unclaimed && r.phase != phaseOver)
+// claimPending reports whether the claim is still to be appended: the request waits for
+// it, or runs without it.
+func (r *request) claimPending(attempt string) bool {
+	return r.attempt == attempt && (r.phase == phaseClaiming || r.unclaimed && r.phase != phaseDone)
 }
--- a/internal/claim/snapshot.go
+++ b/internal/claim/snapshot.go
@@ -10,25 +10,26 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// ErrMalformedPage is returned for a page that can't be read whole.
+// ErrMalformedPage is returned for a snapshot page that can't be decoded completely.
 var ErrMalformedPage = errors.New("claim: malformed snapshot page")
 
-// Page is a part of a snapshot of the fold, in the order of the claims.
+// Page is one page of a snapshot of the table. Holders are ordered by the offset of
+// their claims.
 type Page struct {
-	// Start and Next bound the offsets that the sender has folded.
-	Start   platform.Offset
-	Next    platform.Offset
-	Marks   []Mark
-	Holders []Holder
-	// More is set when another page follows, from After on.
+	// Start and Next are the range of offsets that the sender's table covers.
+	Start     platform.Offset
+	Next      platform.Offset
+	TimeIndex []TimeIndexEntry
+	Holders   []Holder
+	// More is set if another page follows, which starts at the offset After.
 	More  bool
 	After platform.Offset
 }
 
-// Snapshot returns the holders claimed from the offset on, at most max of
-// them and without the answers' bodies. A start with -1 gives the first page.
+// Snapshot returns up to maxHolders holders whose claims have at least the offset from,
+// without response bodies. With from -1 it returns the first page.
 func (m *Machine) Snapshot(from platform.Offset, maxHolders int) Page {
-	p := Page{Start: m.table.start, Next: m.table.next, Marks: slices.Clone(m.table.marks)}
+	p := Page{Start: m.table.start, Next: m.table.next, TimeIndex: slices.Clone(m.table.timeIndex)}
 	all := make([]*Holder, 0, len(m.table.holders))
 	for _, h := range m.table.holders {
 		if h.Offset >= from {
@@ -55,11 +56,11 @@
 	return h
 }
 
-// Restore replaces the fold by a peer's snapshot and reports whether it did.
-// It does so only when the snapshot reaches further back than the own fold.
-// Pages are in the order they were taken; the fold then goes on from the
-// first page's Next: folding again what later pages show already changes
-// nothing, because attempts are unique.
+// Restore replaces the table by a peer's snapshot and reports whether it did. It does so
+// only if the snapshot reaches further back than the table. The pages must be in the
+// order in which they were taken. The log is then read from the first page's Next:
+// records whose effect later pages already contain have no effect when applied again,
+// because attempt ids are unique.
 func (m *Machine) Restore(pages []Page) bool {
 	if len(pages) == 0 || pages[0].Next < pages[0].Start {
 		return false
@@ -74,12 +75,12 @@
 	t := newTable(m.cfg)
 	t.start, t.next = start, pages[0].Next
 	for _, p := range pages {
-		for _, mk := range p.Marks {
-			t.mark(mk)
+		for _, entry := range p.TimeIndex {
+			t.addTimeEntry(entry)
 		}
 		for _, h := range p.Holders {
 			if t.holders[h.Key] == nil {
-				t.take(&h)
+				t.setHolder(&h)
 			}
 		}
 	}
@@ -87,21 +88,21 @@
 	return true
 }
 
-// ToWire is the page as a message between peers.
+// ToWire converts the page to a message between peers.
 func (p Page) ToWire() wire.ClaimPage {
 	b := wire.ClaimPage{Start: int64(p.Start), Next: int64(p.Next), More: p.More, After: int64(p.After)}
-	for _, mk := range p.Marks {
-		b.Marks = append(b.Marks, wire.ClaimMark{Head: int64(mk.Head), Millis: mk.Millis})
+	for _, entry := range p.TimeIndex {
+		b.Marks = append(b.Marks, wire.ClaimMark{Head: int64(entry.Head), Millis: entry.Millis})
 	}
 	for _, h := range p.Holders {
-		b.Holders = append(b.Holders, holderBody(h))
+		b.Holders = append(b.Holders, holderToWire(h))
 	}
 	return b
 }
 
-func holderBody(h Holder) wire.ClaimHolder {
+func holderToWire(h Holder) wire.ClaimHolder {
 	b := wire.ClaimHolder{
-		Key: h.Key[:], Request: h.Request[:], Attempt: h.Attempt,
+		Key: h.Key[:], Request: h.RequestHash[:], Attempt: h.Attempt,
 		Incarnation: h.Incarnation, Address: h.Address, Offset: int64(h.Offset),
 	}
 	if h.Result != nil {
@@ -111,15 +112,15 @@
 	return b
 }
 
-// PageFromWire reads a peer's page. A malformed holder makes the whole page
-// worthless: leaving it out would show its key as free.
+// PageFromWire decodes a peer's page. It rejects the whole page if a holder is malformed:
+// without that holder, its key would seem to be free.
 func PageFromWire(b wire.ClaimPage) (Page, error) {
 	p := Page{Start: platform.Offset(b.Start), Next: platform.Offset(b.Next), More: b.More, After: platform.Offset(b.After)}
-	for _, mk := range b.Marks {
-		p.Marks = append(p.Marks, Mark{Head: platform.Offset(mk.Head), Millis: mk.Millis})
+	for _, entry := range b.Marks {
+		p.TimeIndex = append(p.TimeIndex, TimeIndexEntry{Head: platform.Offset(entry.Head), Millis: entry.Millis})
 	}
 	for _, hb := range b.Holders {
-		h, ok := holderFrom(hb)
+		h, ok := holderFromWire(hb)
 		if !ok {
 			return Page{}, errors.Wrapf(ErrMalformedPage, "holder offset=%d", hb.Offset)
 		}
@@ -128,12 +129,12 @@
 	return p, nil
 }
 
-func holderFrom(b wire.ClaimHolder) (Holder, bool) {
+func holderFromWire(b wire.ClaimHolder) (Holder, bool) {
 	if len(b.Key) != len(KeyHash{}) || len(b.Request) != len(RequestHash{}) {
 		return Holder{}, false
 	}
 	h := Holder{
-		Key: KeyHash(b.Key), Request: RequestHash(b.Request), Attempt: b.Attempt,
+		Key: KeyHash(b.Key), RequestHash: RequestHash(b.Request), Attempt: b.Attempt,
 		Incarnation: b.Incarnation, Address: b.Address, Offset: platform.Offset(b.Offset),
 	}
 	if b.Done {
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -9,13 +9,13 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// ErrGap is returned for records that do not follow what was folded so far.
-var ErrGap = errors.New("claim: records do not follow the fold")
+// ErrGap is returned for a record whose offset is not the next one.
+var ErrGap = errors.New("claim: gap in the offsets of the claims stream")
 
-// Holder is the state of one key: who may run it, and what came of it.
+// Holder is the claim that holds a key, with the result of its request.
 type Holder struct {
 	Key         KeyHash         `msgpack:"k"`
-	Request     RequestHash     `msgpack:"r"`
+	RequestHash RequestHash     `msgpack:"r"`
 	Attempt     string          `msgpack:"a"`
 	Incarnation string          `msgpack:"i"`
 	Address     string          `msgpack:"p"`
@@ -23,53 +23,56 @@
 	Result      *Result         `msgpack:"s"`
 }
 
-// claimed remembers the order in which keys were taken.
-type claimed struct {
+// claimedKey is a key with the offset of its claim.
+type claimedKey struct {
 	offset platform.Offset
 	key    KeyHash
 }
 
-// table is the fold of the claims stream over the offsets from start to next.
+// table is the state that results from the records of the claims stream at the offsets
+// from start up to, but not including, next.
 type table struct {
 	cfg     Config
 	start   platform.Offset
 	next    platform.Offset
 	holders map[KeyHash]*Holder
-	order   []claimed
-	bodies  []KeyHash
-	held    int
-	marks   marks
-	// names holds one copy of each incarnation, address and content type.
-	names map[string]string
+	// claimOrder and bodyOrder list the keys with a holder and with a stored response
+	// body, oldest first.
+	claimOrder    []claimedKey
+	bodyOrder     []KeyHash
+	heldBodyBytes int
+	timeIndex     timeIndex
+	// interned holds one copy of each incarnation, address and content type string.
+	interned map[string]string
 }
 
-// maxNames bounds the copies held; past it they are collected anew.
-const maxNames = 8192
+// maxInterned bounds the interned strings. The map is cleared when it is full.
+const maxInterned = 8192
 
 func (t *table) intern(s string) string {
-	if known, ok := t.names[s]; ok {
+	if known, ok := t.interned[s]; ok {
 		return known
 	}
-	if len(t.names) >= maxNames {
-		clear(t.names)
+	if len(t.interned) >= maxInterned {
+		clear(t.interned)
 	}
-	t.names[s] = s
+	t.interned[s] = s
 	return s
 }
 
 func newTable(cfg Config) *table {
-	return &table{cfg: cfg, holders: map[KeyHash]*Holder{}, names: map[string]string{}}
+	return &table{cfg: cfg, holders: map[KeyHash]*Holder{}, interned: map[string]string{}}
 }
 
-// change tells the machine what one record did.
+// change describes the effect of one record.
 type change struct {
 	key     KeyHash
 	attempt string
 	kind    logrec.Kind
 }
 
-// apply folds one record. Malformed records are skipped, the same way on
-// every instance.
+// apply applies one record. Malformed records are skipped, in the same way on every
+// instance.
 func (t *table) apply(r platform.Record) (change, error) {
 	if r.Offset != t.next {
 		return change{}, errors.Wrapf(ErrGap, "offset %d, want %d", r.Offset, t.next)
@@ -90,20 +93,20 @@
 	return change{}, nil
 }
 
-// applyClaim gives a free key to the claim. A claim on a held key loses for
-// good, also when the key is freed later: its request may have been answered
-// by then.
+// applyClaim makes the claim the holder of its key if the key is free. A claim on a held
+// key never takes effect, even if the key is released later, because its request may
+// have been answered by then.
 func (t *table) applyClaim(env logrec.Envelope, at platform.Offset) change {
 	var c Claim
 	if env.Into(&c) != nil {
 		return change{}
 	}
 	if c.Head <= at {
-		t.mark(Mark{Head: c.Head, Millis: c.HeadMillis})
+		t.addTimeEntry(TimeIndexEntry{Head: c.Head, Millis: c.HeadMillis})
 	}
 	if t.holders[c.Key] == nil {
-		t.take(&Holder{
-			Key: c.Key, Request: c.Request, Attempt: c.Attempt,
+		t.setHolder(&Holder{
+			Key: c.Key, RequestHash: c.RequestHash, Attempt: c.Attempt,
 			Incarnation: c.Incarnation, Address: c.Address, Offset: at,
 		})
 	}
@@ -116,7 +119,7 @@
 		return change{}
 	}
 	if t.holders[r.Key] == nil {
-		t.take(&Holder{Key: r.Key, Request: r.Request, Attempt: r.Attempt, Incarnation: env.By, Offset: at})
+		t.setHolder(&Holder{Key: r.Key, RequestHash: r.RequestHash, Attempt: r.Attempt, Incarnation: env.By, Offset: at})
 	}
 	h := t.holders[r.Key]
 	if h.Attempt == r.Attempt {
@@ -136,20 +139,20 @@
 	return change{key: a.Key, attempt: a.Attempt, kind: KindAbandon}
 }
 
-func (t *table) take(h *Holder) {
+func (t *table) setHolder(h *Holder) {
 	h.Incarnation, h.Address = t.intern(h.Incarnation), t.intern(h.Address)
 	t.holders[h.Key] = h
-	t.order = append(t.order, claimed{offset: h.Offset, key: h.Key})
-	for len(t.order) > t.cfg.MaxKeys {
-		t.dropFirst()
+	t.claimOrder = append(t.claimOrder, claimedKey{offset: h.Offset, key: h.Key})
+	for len(t.claimOrder) > t.cfg.MaxKeys {
+		t.dropOldest()
 	}
 }
 
-// dropFirst forgets the oldest claim and moves the start of coverage past it,
-// so that a repeat of its key is too old and never taken for a new request.
-func (t *table) dropFirst() {
-	c := t.order[0]
-	t.order = t.order[1:]
+// dropOldest drops the oldest claim and advances start past it, so that a retry with its
+// key is too old and can't be taken for a new request.
+func (t *table) dropOldest() {
+	c := t.claimOrder[0]
+	t.claimOrder = t.claimOrder[1:]
 	t.start = max(t.start, c.offset+1)
 	if h := t.holders[c.key]; h != nil && h.Offset == c.offset {
 		t.releaseBody(h)
@@ -157,25 +160,26 @@
 	}
 }
 
-// setResult keeps the first result; a repeated record changes nothing.
+// setResult sets the result if there is none yet. A repeated record has no effect.
 func (t *table) setResult(h *Holder, r *Result) {
 	if h.Result == nil {
 		r.ContentType = t.intern(r.ContentType)
 		h.Result = r
-		t.holdBody(h)
+		t.keepBody(h)
 	}
 }
 
-// holdBody keeps the answers within MaxHeldBytes, the latest first.
-func (t *table) holdBody(h *Holder) {
+// keepBody accounts for a new response body and drops the oldest ones above
+// MaxHeldBytes.
+func (t *table) keepBody(h *Holder) {
 	if len(h.Result.Body) == 0 {
 		return
 	}
-	t.bodies = append(t.bodies, h.Key)
-	t.held += len(h.Result.Body)
-	for t.held > t.cfg.MaxHeldBytes || len(t.bodies) > t.cfg.MaxKeys {
-		k := t.bodies[0]
-		t.bodies = t.bodies[1:]
+	t.bodyOrder = append(t.bodyOrder, h.Key)
+	t.heldBodyBytes += len(h.Result.Body)
+	for t.heldBodyBytes > t.cfg.MaxHeldBytes || len(t.bodyOrder) > t.cfg.MaxKeys {
+		k := t.bodyOrder[0]
+		t.bodyOrder = t.bodyOrder[1:]
 		if old := t.holders[k]; old != nil && old.Result != nil {
 			t.releaseBody(old)
 		}
@@ -186,55 +190,56 @@
 	if h.Result == nil || len(h.Result.Body) == 0 {
 		return
 	}
-	t.held -= len(h.Result.Body)
+	t.heldBodyBytes -= len(h.Result.Body)
 	r := *h.Result
 	r.Body, r.BodyDropped = nil, true
 	h.Result = &r
 }
 
-// trimmed restarts coverage at the oldest retained offset: what lay between
-// is lost. Keys known from before stay, which can only refuse too much.
-func (t *table) trimmed(start platform.Offset) {
+// trimTo restarts the table at the oldest retained offset; the records before it are
+// lost. Known keys are kept: at worst they make a request be refused needlessly.
+func (t *table) trimTo(start platform.Offset) {
 	if start > t.next {
 		t.start, t.next = start, start
 	}
 }
 
-// expire forgets claims older than the window.
-func (t *table) expire(wall int64) {
-	cut := t.marks.headBefore(wall - t.cfg.Window.Milliseconds())
-	for len(t.order) > 0 && t.order[0].offset < cut {
-		t.dropFirst()
+// expire drops claims that are older than the window.
+func (t *table) expire(wallMillis int64) {
+	oldest := t.timeIndex.offsetBefore(wallMillis - t.cfg.Window.Milliseconds())
+	for len(t.claimOrder) > 0 && t.claimOrder[0].offset < oldest {
+		t.dropOldest()
 	}
-	t.start = max(t.start, min(cut, t.next))
+	t.start = max(t.start, min(oldest, t.next))
 }
 
-func (t *table) mark(m Mark) {
-	if n := len(t.marks); n > 0 && m.Millis < t.marks[n-1].Millis+markSpacingMillis && m.Millis >= t.marks[n-1].Millis {
+// addTimeEntry adds an entry to the time index, unless it is too close to the last one.
+func (t *table) addTimeEntry(e TimeIndexEntry) {
+	if n := len(t.timeIndex); n > 0 && e.Millis < t.timeIndex[n-1].Millis+minEntrySpacingMillis && e.Millis >= t.timeIndex[n-1].Millis {
 		return
 	}
-	t.marks = t.marks.add(m)
+	t.timeIndex = t.timeIndex.add(e)
 }
 
-// covers says whether every record about a key of this date is in the fold.
-// A key older than coverage may have run before: a claim on it could win
-// against a forgotten one and run the request twice.
-func (t *table) covers(date, wall int64) bool {
+// covers reports whether the table has every record about a key that was first used at
+// the given time. An older key may have run before: its holder may have been dropped, so
+// a new claim would take the key and run the request twice.
+func (t *table) covers(firstUse, wallMillis int64) bool {
 	if t.start == 0 {
 		return true
 	}
-	before, ok := t.marks.before(t.start)
+	before, ok := t.timeIndex.timeBefore(t.start)
 	if !ok {
-		before = wall
+		before = wallMillis
 	}
-	return date >= before+t.cfg.MaxClockSkew.Milliseconds()
+	return firstUse >= before+t.cfg.MaxClockSkew.Milliseconds()
 }
 
-// coverage is how far back the fold surely reaches.
-func (t *table) coverage(wall int64) time.Duration {
-	before, ok := t.marks.before(t.start)
+// coverage returns how far back the table certainly has all records.
+func (t *table) coverage(wallMillis int64) time.Duration {
+	before, ok := t.timeIndex.timeBefore(t.start)
 	if !ok {
 		return 0
 	}
-	return time.Duration(wall-before) * time.Millisecond
+	return time.Duration(wallMillis-before) * time.Millisecond
 }
