--- a/internal/attempt/action.go
+++ b/internal/attempt/action.go
@@ -1,86 +1,90 @@
 package attempt
 
-// Kind says what an Action asks for.
+// Kind is the kind of an Action.
 type Kind int
 
-// The kinds of action.
+// Kinds of action.
 const (
 	// None: nothing to do.
 	None Kind = iota
 	// Relay: send Data to the caller as event Seq.
 	Relay
-	// Resume: ask Target to go on with Attempt after event LastSeq, then
-	// call Stream.Resumed.
+	// Resume: ask Target to continue Attempt after event LastSeq, then
+	// call Stream.BeginResume.
 	Resume
 	// Redispatch: send the request to a target not in Tried, then call
 	// Stream.Dispatch, or Stream.NoTarget when there is none or the retry
 	// budget is spent.
 	Redispatch
-	// EndOK: the answer is whole; for Stream.Answer, Data is its body.
+	// EndOK: the response is complete. After Stream.FullResponse, Data is its body.
 	EndOK
-	// EndError: tell the caller Outcome and Cause; see ErrorBody.
+	// EndError: report Outcome and Cause to the caller; see ErrorBody.
 	EndError
 )
 
-// Outcome says whether a request that failed ran.
+// Outcome tells whether a failed request was executed.
 type Outcome string
 
-// The outcomes of a failed request.
+// Outcomes of a failed request.
 const (
-	// NotRun: no byte may have reached a target, or each target that got
-	// one refused the request as a whole.
+	// NotRun: no byte of the request can have reached a target, or each target that
+	// received one refused the request as a whole.
 	NotRun Outcome = "not_run"
-	// MayHaveRun: a target may have run it, in part or as a whole.
+	// MayHaveRun: a target may have executed the request, at least in part.
 	MayHaveRun Outcome = "may_have_run"
 )
 
-// Cause is why a connection to a target or a whole request ended early.
+// Cause is the reason why a connection to a target or a whole request failed.
 type Cause string
 
-// The causes.
+// Causes of failures.
 const (
-	CauseClosed        Cause = "closed"
-	CauseReset         Cause = "reset"
-	CauseMalformed     Cause = "malformed"
-	CauseIdle          Cause = "idle"
-	CauseGap           Cause = "sequence_gap"
-	CauseCrossed       Cause = "crossed_answer"
-	CauseIncarnation   Cause = "incarnation_changed"
-	CauseVersion       Cause = "version_changed"
+	// CauseClosed: the connection was closed cleanly before the response was complete.
+	CauseClosed      Cause = "closed"
+	CauseReset       Cause = "reset"
+	CauseMalformed   Cause = "malformed"
+	CauseIdle        Cause = "idle"
+	CauseSequenceGap Cause = "sequence_gap"
+	// CauseCrossed: the response, or a chunk of it, has the id of another attempt.
+	CauseCrossed            Cause = "crossed_answer"
+	CauseIncarnationChanged Cause = "incarnation_changed"
+	CauseVersionChanged     Cause = "version_changed"
+	// CauseUnknownStream: the engine can't resume the stream.
 	CauseUnknownStream Cause = "unknown_stream"
-	CauseDiverged      Cause = "replay_diverged"
-	CauseDial          Cause = "dial"
-	CauseRejected      Cause = "rejected"
-	CauseNoTarget      Cause = "no_target"
-	CauseCaller        Cause = "caller_gone"
+	// CauseReplayDiverged: the response to a new attempt differs from what was relayed
+	// or is shorter.
+	CauseReplayDiverged Cause = "replay_diverged"
+	CauseDial           Cause = "dial"
+	CauseRejected       Cause = "rejected"
+	CauseNoTarget       Cause = "no_target"
+	CauseCallerGone     Cause = "caller_gone"
 )
 
-// Action is what the caller of a Stream has to do next.
+// Action is what the user of a Stream has to do next.
 type Action struct {
 	Kind Kind
-	// Seq and Data with Relay. Data is valid until the next call.
+	// Seq and Data are set with Relay. Data is valid until the next call.
 	Seq  int64
 	Data []byte
-	// Done is set with the Relay of the event that ends the stream; EndOK
-	// is implied after it.
+	// Done is set with the Relay of the event that ends the stream. It implies EndOK.
 	Done bool
-	// Target, Attempt and LastSeq with Resume; LastSeq -1 asks for all.
+	// Target, Attempt and LastSeq are set with Resume. LastSeq -1 requests all events.
 	Target  string
 	Attempt string
 	LastSeq int64
-	// Tried lists the targets used so far, with Redispatch.
+	// Tried lists the targets used so far. It is set with Redispatch.
 	Tried []string
-	// Cancel, when set, names an attempt that a target may still be working
-	// on for nothing.
+	// Cancel is an attempt whose result is no longer needed but that a target may
+	// still be executing, or nil.
 	Cancel *Ref
-	// Outcome and Cause with EndError. Partial says that the caller has got
-	// a part of the answer.
+	// Outcome, Cause and Partial are set with EndError. Partial means that the caller
+	// has received a part of the response.
 	Outcome Outcome
 	Cause   Cause
 	Partial bool
 }
 
-// Ref is an attempt at a target.
+// Ref identifies an attempt at a target.
 type Ref struct {
 	Attempt string
 	Target  string
--- a/internal/attempt/chunk.go
+++ b/internal/attempt/chunk.go
@@ -8,49 +8,49 @@
 	"github.com/cockroachdb/errors"
 )
 
-// idPrefix goes before the attempt id in the JSON id of each chunk.
+// idPrefix precedes the attempt id in the "id" field of each chunk.
 const idPrefix = "cmpl-"
 
 // doneData is the data of the event that ends a stream.
 const doneData = "[DONE]"
 
-// ErrForeign is returned for an answer that belongs to another attempt.
-var ErrForeign = errors.New("attempt: answer of another attempt")
+// ErrWrongAttempt is returned for a response that belongs to another attempt.
+var ErrWrongAttempt = errors.New("attempt: response to another attempt")
 
-// chunk is what has to be known of one event of an answer.
+// chunk holds the fields of a response chunk that the relay depends on.
 type chunk struct {
 	ID      string          `json:"id"`
 	Choices json.RawMessage `json:"choices"`
 }
 
-// parseChunk checks that the chunk belongs to the attempt. A crossed answer
-// on a reused connection would otherwise reach the wrong caller.
+// parseChunk decodes a chunk and checks that it belongs to the attempt. On a reused
+// connection, the response to another request could otherwise reach the caller.
 func parseChunk(attempt string, data []byte) (chunk, error) {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return c, errors.Wrap(err, "decode chunk")
 	}
 	if c.ID != idPrefix+attempt {
-		return c, errors.Wrapf(ErrForeign, "attempt=%s", attempt)
+		return c, errors.Wrapf(ErrWrongAttempt, "attempt=%s", attempt)
 	}
 	return c, nil
 }
 
-// rename puts the request's id in place of the attempt's, so that an answer
-// that two targets gave parts of reads as one.
-func rename(dst, data []byte, attempt, request string) ([]byte, error) {
-	old := []byte(`"` + idPrefix + attempt + `"`)
-	at := bytes.Index(data, old)
-	if at >= 0 && bytes.LastIndex(data, old) == at {
+// replaceID replaces the attempt's id by the request's, so that a response with parts from
+// two targets has one id.
+func replaceID(dst, data []byte, attempt, request string) ([]byte, error) {
+	quotedID := []byte(`"` + idPrefix + attempt + `"`)
+	at := bytes.Index(data, quotedID)
+	if at >= 0 && bytes.LastIndex(data, quotedID) == at {
 		dst = append(dst[:0], data[:at]...)
 		dst = append(append(append(dst, '"'), idPrefix+request...), '"')
-		return append(dst, data[at+len(old):]...), nil
+		return append(dst, data[at+len(quotedID):]...), nil
 	}
-	return renameField(data, request)
+	return replaceIDField(data, request)
 }
 
-// renameField is the slow way, for a chunk whose text repeats the id.
-func renameField(data []byte, request string) ([]byte, error) {
+// replaceIDField is the slow path, for a chunk in which the id occurs more than once.
+func replaceIDField(data []byte, request string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return nil, errors.Wrap(err, "decode chunk")
@@ -64,16 +64,16 @@
 	return out, errors.Wrap(err, "encode chunk")
 }
 
-// chain adds one chunk's choices to the running hash of an answer.
-func chain(prev uint64, choices []byte) uint64 {
+// hashChunk extends the running hash of a response by a chunk's choices.
+func hashChunk(prev uint64, choices []byte) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(prev)
 	_, _ = d.Write(choices)
 	return d.Sum64()
 }
 
-// ErrorBody is the data of the error event, or the body of the error answer,
-// that a caller gets for an EndError.
+// ErrorBody returns the data of the error event, or the body of the error response, for
+// an EndError.
 func ErrorBody(request string, a Action) []byte {
 	code := "upstream_failed"
 	if a.Partial {
--- a/internal/attempt/doc.go
+++ b/internal/attempt/doc.go
@@ -1,5 +1,6 @@
-// Package attempt relays one request's answer from targets to its caller, so
-// that the caller gets the whole answer to its own request or an explicit
-// error. It is pure: Stream takes what happens on connections and says what
-// to do next.
+// Package attempt relays the response to one request from targets to its caller. The
+// caller gets either the complete response to its own request or an explicit error.
+//
+// The package is pure: Stream takes the events of connections and returns the next
+// action to take.
 package attempt
--- a/internal/attempt/event_test.go
+++ b/internal/attempt/event_test.go
@@ -10,26 +10,26 @@
 
 func BenchmarkEvent(b *testing.B) {
 	s := NewStream(Policy{RequestID: "req"})
-	no := s.Dispatch(0, "a1", "t1")
+	leg := s.Dispatch(0, "a1", "t1")
 	e := event("a1", 0, "word")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		e.ID = strconv.Itoa(i)
-		if s.Event(0, no, e).Kind != Relay {
+		if s.Event(0, leg, e).Kind != Relay {
 			b.Fatal("not relayed")
 		}
 	}
 }
 
-// Whatever a target sends as a chunk, the relay does not fail, and what it
-// relays is JSON under the request's id.
+// For any chunk from a target, the relay does not panic, and what it relays is JSON with
+// the request's id.
 func FuzzEvent(f *testing.F) {
 	f.Add([]byte(`{"id":"cmpl-a1","choices":[]}`))
 	f.Add([]byte(`{"x":"cmpl-a1","id":"cmpl-a1","id":"cmpl-a1"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := NewStream(Policy{RequestID: "req"})
-		no := s.Dispatch(0, "a1", "t1")
-		a := s.Event(0, no, sse.Event{ID: "0", HasID: true, Data: data})
+		leg := s.Dispatch(0, "a1", "t1")
+		a := s.Event(0, leg, sse.Event{ID: "0", HasID: true, Data: data})
 		if a.Kind != Relay || a.Done {
 			return
 		}
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -7,88 +7,91 @@
 	"github.com/mastictray/mastictray/internal/sse"
 )
 
-// Event takes one event of an engine's stream.
+// Event handles one event of an engine's stream.
 func (s *Stream) Event(now time.Duration, leg int, e sse.Event) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
-	s.last = now
+	s.lastReceived = now
 	seq, err := strconv.ParseInt(e.ID, 10, 64)
 	if !e.HasID || err != nil || seq < 0 {
-		return s.breakUp(CauseMalformed)
+		return s.legFailed(CauseMalformed)
 	}
 	switch {
-	case seq < s.next:
-		// A duplicate, such as a resume that starts too early.
+	case seq < s.nextSeq:
+		// A duplicate, for example because a resumed stream starts too early.
 		return Action{}
-	case seq > s.next:
-		// Relaying past a gap would cut a piece out of the answer.
-		return s.breakUp(CauseGap)
+	case seq > s.nextSeq:
+		// Events are missing: relaying this one would leave a gap in the response.
+		return s.legFailed(CauseSequenceGap)
 	case string(e.Data) == doneData:
-		return s.done()
+		return s.relayDone()
 	}
-	return s.chunk(e.Data)
+	return s.relayChunk(e.Data)
 }
 
-func (s *Stream) chunk(data []byte) Action {
+// relayChunk relays a chunk, unless the caller has it from an earlier attempt.
+func (s *Stream) relayChunk(data []byte) Action {
 	c, err := parseChunk(s.attempt, data)
 	if err != nil {
-		return s.breakUp(CauseCrossed)
+		return s.legFailed(CauseCrossed)
 	}
-	s.next++
-	s.seen++
-	s.hash = chain(s.hash, c.Choices)
-	if s.seen <= s.relayed {
-		return s.skip()
+	s.nextSeq++
+	s.received++
+	s.receivedHash = hashChunk(s.receivedHash, c.Choices)
+	if s.received <= s.relayed {
+		return s.skipReplayed()
 	}
-	s.buf, err = rename(s.buf, data, s.attempt, s.p.RequestID)
+	s.buf, err = replaceID(s.buf, data, s.attempt, s.policy.RequestID)
 	if err != nil {
-		return s.breakUp(CauseMalformed)
+		return s.legFailed(CauseMalformed)
 	}
-	s.relayed, s.relayedHash = s.seen, s.hash
+	s.relayed, s.relayedHash = s.received, s.receivedHash
 	return Action{Kind: Relay, Seq: s.relayed - 1, Data: s.buf}
 }
 
-// skip drops a replayed chunk that the caller has already. Nothing new is
-// relayed before the hash over all of them has matched: a target that answers
-// differently would otherwise continue another text.
-func (s *Stream) skip() Action {
-	if s.seen == s.relayed && s.hash != s.relayedHash {
-		return s.breakUp(CauseDiverged)
+// skipReplayed drops a replayed chunk that the caller already has. No new chunk is relayed
+// before the hash of all replayed ones has matched; otherwise the caller could get the
+// continuation of a different response.
+func (s *Stream) skipReplayed() Action {
+	if s.received == s.relayed && s.receivedHash != s.relayedHash {
+		return s.legFailed(CauseReplayDiverged)
 	}
 	return Action{}
 }
 
-func (s *Stream) done() Action {
-	if s.seen < s.relayed {
-		return s.breakUp(CauseDiverged)
+// relayDone relays the event that ends the stream.
+func (s *Stream) relayDone() Action {
+	if s.received < s.relayed {
+		return s.legFailed(CauseReplayDiverged)
 	}
-	s.next++
-	s.open, s.over = false, true
+	s.nextSeq++
+	s.connected, s.finished = false, true
 	return Action{Kind: Relay, Seq: s.relayed, Data: []byte(doneData), Done: true}
 }
 
-// FullResponse takes the whole body of an engine's answer without a stream.
+// FullResponse handles the body of an engine's response that is not a stream.
 func (s *Stream) FullResponse(leg int, body []byte) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
 	if _, err := parseChunk(s.attempt, body); err != nil {
-		return s.breakUp(CauseCrossed)
+		return s.legFailed(CauseCrossed)
 	}
-	renamed, err := rename(nil, body, s.attempt, s.p.RequestID)
+	data, err := replaceID(nil, body, s.attempt, s.policy.RequestID)
 	if err != nil {
-		return s.breakUp(CauseMalformed)
+		return s.legFailed(CauseMalformed)
 	}
-	s.open, s.over = false, true
-	return Action{Kind: EndOK, Data: renamed}
+	s.connected, s.finished = false, true
+	return Action{Kind: EndOK, Data: data}
 }
 
-// Complete tells that a plain service's answer has arrived as a whole.
+// Complete handles the end of a response from a service pool, which was received
+// completely.
 func (s *Stream) Complete(leg int) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
-	s.open, s.over = false, true
+	s.connected, s.finished = false, true
 	return Action{Kind: EndOK}
 }
--- a/internal/attempt/stream.go
+++ b/internal/attempt/stream.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// Policy says what may be done for one request. Zero fields take defaults.
+// Policy limits what may be done for one request. Limits that are zero take defaults.
 type Policy struct {
-	// RequestID is the request's id; the caller sees it in each chunk.
+	// RequestID is the id that the caller gets in each chunk.
 	RequestID string
-	// Idempotent requests may be sent again after a byte was sent.
+	// Idempotent requests may be sent again after a byte may have reached a target.
 	Idempotent bool
-	// MaxDispatches bounds the targets tried, the first included; default 3.
-	// Targets that could not be connected to do not count, up to a bound of
-	// their own: nothing of the request reached them, and after a crash
-	// several may be gone that this instance has not missed yet.
+	// MaxDispatches bounds the number of targets tried, including the first; the
+	// default is 3. Failures to connect do not count, up to maxUncountedDialFailures:
+	// nothing of the request reached those targets, and after a crash there may be
+	// several that this instance has not yet found to be down.
 	MaxDispatches int
-	// MaxResumes bounds the resumptions over all attempts; default 3.
+	// MaxResumes bounds the number of resumes over all attempts; the default is 3.
 	MaxResumes int
-	// IdleTimeout breaks a connection that brings nothing; default 30s.
+	// IdleTimeout is the time without data after which a connection counts as failed;
+	// the default is 30s.
 	IdleTimeout time.Duration
 }
 
 const (
 	defaultMaxDispatches = 3
-	// maxUnreached bounds the targets that did not take a connection.
-	maxUnreached       = 6
-	defaultMaxResumes  = 3
-	defaultIdleTimeout = 30 * time.Second
+	// maxUncountedDialFailures is the number of failures to connect that do not count
+	// as dispatches.
+	maxUncountedDialFailures = 6
+	defaultMaxResumes        = 3
+	defaultIdleTimeout       = 30 * time.Second
 )
 
-// ResponseHead is the head of a target's answer.
+// ResponseHead holds the headers of a target's response that the relay depends on.
 type ResponseHead struct {
 	// Attempt, Incarnation and Version are the X-Request-Id,
 	// X-Engine-Incarnation and X-Weights-Version headers.
@@ -39,42 +41,44 @@
 	Version     string
 }
 
-// Stream is one request on its way. It is not safe for concurrent use.
+// Stream is the state of one request and its response. It is not safe for concurrent use.
 //
-// Each connection to a target is a leg with a number. What arrives for an
-// earlier leg is late and changes nothing.
+// Each connection to a target is numbered; the number is called leg. Whatever arrives on
+// an earlier connection than the current one is ignored.
 type Stream struct {
-	p   Policy
-	leg int
-	// attempt and target are those of the present leg.
-	attempt   string
-	target    string
-	tried     []string
-	unreached int // dispatches whose target took no connection
-	resumes   int
-	// sent: a byte of the present attempt may have reached its target.
-	// mayRun: the same of an earlier attempt.
-	sent   bool
-	mayRun bool
-	open   bool
-	over   bool
-	// incarnation and version are those of the present attempt's target.
+	policy Policy
+	leg    int
+	// attempt and target belong to the current leg.
+	attempt      string
+	target       string
+	tried        []string
+	dialFailures int // dispatches that failed to connect
+	resumes      int
+	// sent is set if a byte of the current attempt may have reached its target,
+	// sentEarlier if one of an earlier attempt may have.
+	sent        bool
+	sentEarlier bool
+	connected   bool
+	finished    bool
+	// incarnation and version are those of the current attempt's target, empty until
+	// its response has started.
 	incarnation string
 	version     string
-	// next is the sequence number expected from the target; hash runs over
-	// the seen chunks of the present attempt.
-	next int64
-	seen int64
-	hash uint64
-	// relayed and relayedHash are those of the chunks the caller has.
-	relayed     int64
-	relayedHash uint64
-	passed      bool
-	last        time.Duration
-	buf         []byte
+	// nextSeq is the expected sequence number. received and receivedHash are the number
+	// and the hash of the current attempt's chunks.
+	nextSeq      int64
+	received     int64
+	receivedHash uint64
+	// relayed and relayedHash are the number and the hash of the chunks that were
+	// relayed to the caller.
+	relayed      int64
+	relayedHash  uint64
+	bytesRelayed bool
+	lastReceived time.Duration
+	buf          []byte
 }
 
-// NewStream makes the state for one request.
+// NewStream returns the state of a new request.
 func NewStream(p Policy) *Stream {
 	if p.MaxDispatches <= 0 {
 		p.MaxDispatches = defaultMaxDispatches
@@ -85,177 +89,179 @@
 	if p.IdleTimeout <= 0 {
 		p.IdleTimeout = defaultIdleTimeout
 	}
-	return &Stream{p: p}
+	return &Stream{policy: p}
 }
 
-// Dispatch begins a new attempt at a target, before any byte is sent, and
-// returns its leg. The attempt id must be unique.
+// Dispatch begins a new attempt at a target and returns its leg. It must be called before
+// any byte is sent, with a unique attempt id.
 func (s *Stream) Dispatch(now time.Duration, attempt, target string) (leg int) {
-	s.mayRun = s.mayRun || s.sent
+	s.sentEarlier = s.sentEarlier || s.sent
 	s.attempt, s.target, s.sent = attempt, target, false
 	s.tried = append(s.tried, target)
 	s.incarnation, s.version = "", ""
-	s.next, s.seen, s.hash = 0, 0, 0
-	return s.newLeg(now)
+	s.nextSeq, s.received, s.receivedHash = 0, 0, 0
+	return s.startLeg(now)
 }
 
-// BeginResume begins a new leg of the same attempt, after a BeginResume action.
+// BeginResume begins a new leg of the same attempt after the action Resume.
 func (s *Stream) BeginResume(now time.Duration) (leg int) {
-	return s.newLeg(now)
+	return s.startLeg(now)
 }
 
-func (s *Stream) newLeg(now time.Duration) int {
+func (s *Stream) startLeg(now time.Duration) int {
 	s.leg++
-	s.open, s.last = true, now
+	s.connected, s.lastReceived = true, now
 	return s.leg
 }
 
-// SendStarted tells that a byte of the request may reach the target from now on.
-// Call it before the first write, not after: a write that fails may still
-// have sent something.
+// SendStarted records that a byte of the request may reach the target from now on. It must
+// be called before the first write, since a write that fails may still have sent data.
 func (s *Stream) SendStarted(leg int) {
 	if s.current(leg) {
 		s.sent = true
 	}
 }
 
-// BytesRelayed tells that bytes of a plain service's answer have gone to the
-// caller: from then on nothing may be replayed.
+// BytesRelayed records that a part of a service pool's response was sent to the caller.
+// From then on the request can't be sent to another target.
 func (s *Stream) BytesRelayed(leg int) {
 	if s.current(leg) {
-		s.passed = true
+		s.bytesRelayed = true
 	}
 }
 
+// current reports whether leg is the current leg and still open.
 func (s *Stream) current(leg int) bool {
-	return s.open && !s.over && leg == s.leg
+	return s.connected && !s.finished && leg == s.leg
 }
 
-// ResponseStarted takes the head of the target's answer.
+// ResponseStarted handles the head of the target's response.
 func (s *Stream) ResponseStarted(now time.Duration, leg int, h ResponseHead) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
-	s.last = now
+	s.lastReceived = now
 	switch {
 	case h.Attempt != s.attempt:
-		return s.breakUp(CauseCrossed)
+		return s.legFailed(CauseCrossed)
 	case s.incarnation != "" && h.Incarnation != s.incarnation:
-		// A restarted engine knows nothing of the attempt: what it sends
-		// under the attempt's id is no continuation.
-		return s.breakUp(CauseIncarnation)
+		// A restarted engine has no state of the attempt, so what it sends with
+		// the attempt's id is not the continuation of the response.
+		return s.legFailed(CauseIncarnationChanged)
 	case s.version != "" && h.Version != s.version:
-		return s.breakUp(CauseVersion)
+		return s.legFailed(CauseVersionChanged)
 	}
 	s.incarnation, s.version = h.Incarnation, h.Version
 	return Action{}
 }
 
-// Tick breaks a leg that has brought nothing for the idle timeout.
+// Tick fails the current leg if no data arrived for the idle timeout.
 func (s *Stream) Tick(now time.Duration) Action {
-	if !s.open || s.over || now-s.last < s.p.IdleTimeout {
+	if !s.connected || s.finished || now-s.lastReceived < s.policy.IdleTimeout {
 		return Action{}
 	}
-	return s.breakUp(CauseIdle)
+	return s.legFailed(CauseIdle)
 }
 
-// ConnectionFailed tells that a leg ended before its answer did: also a clean end of
-// the connection without the closing event.
+// ConnectionFailed records that a leg ended before the response was complete. That includes
+// a connection that was closed cleanly without the final event.
 func (s *Stream) ConnectionFailed(leg int, cause Cause) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
-	return s.breakUp(cause)
+	return s.legFailed(cause)
 }
 
-// Rejected tells that the target refused the request as a whole and says
-// that it did not run, such as a 409 for a wrong version.
+// Rejected records that the target refused the request and stated that it did not run,
+// such as with a 409 for a wrong version.
 func (s *Stream) Rejected(leg int) Action {
 	if !s.current(leg) {
 		return Action{}
 	}
 	s.sent = false
-	return s.breakUp(CauseRejected)
+	return s.legFailed(CauseRejected)
 }
 
-// NoTarget answers a Redispatch that can't be done.
+// NoTarget records that a Redispatch is not possible.
 func (s *Stream) NoTarget() Action {
-	if s.over {
+	if s.finished {
 		return Action{}
 	}
 	return s.fail(CauseNoTarget)
 }
 
-// Abort ends the request because its caller has gone.
+// Abort ends the request because its caller has disconnected.
 func (s *Stream) Abort() Action {
-	if s.over {
+	if s.finished {
 		return Action{}
 	}
-	return s.fail(CauseCaller)
+	return s.fail(CauseCallerGone)
 }
 
-// breakUp closes the leg and finds the next best thing to do. The order is by
-// cost: going on at the same engine recomputes nothing.
-func (s *Stream) breakUp(cause Cause) Action {
-	s.open = false
+// legFailed ends the current leg and chooses the cheapest way to continue: resuming at the
+// same engine recomputes nothing.
+func (s *Stream) legFailed(cause Cause) Action {
+	s.connected = false
 	if cause == CauseDial && !s.sent {
-		s.unreached++
+		s.dialFailures++
 	}
 	switch {
-	case s.mayResume(cause):
+	case s.canResume(cause):
 		s.resumes++
-		return Action{Kind: Resume, Target: s.target, Attempt: s.attempt, LastSeq: s.next - 1}
-	case s.mayRedispatch():
-		return Action{Kind: Redispatch, Tried: slices.Clone(s.tried), Cancel: s.running(cause)}
+		return Action{Kind: Resume, Target: s.target, Attempt: s.attempt, LastSeq: s.nextSeq - 1}
+	case s.canRedispatch():
+		return Action{Kind: Redispatch, Tried: slices.Clone(s.tried), Cancel: s.attemptToCancel(cause)}
 	}
 	return s.fail(cause)
 }
 
-// mayResume: only the engine incarnation that began the attempt can go on
-// with it. A foreign chunk says nothing about the engine's own stream.
-func (s *Stream) mayResume(cause Cause) bool {
+// canResume reports whether the current attempt can be resumed. Only the incarnation of the
+// engine that began the attempt can continue it. A chunk of another attempt does not mean
+// that the engine's stream is lost.
+func (s *Stream) canResume(cause Cause) bool {
 	switch cause {
-	case CauseIncarnation, CauseVersion, CauseUnknownStream, CauseDiverged, CauseRejected:
+	case CauseIncarnationChanged, CauseVersionChanged, CauseUnknownStream, CauseReplayDiverged, CauseRejected:
 		return false
 	case CauseDial:
-		// The engine may be cut off for a moment only. Waiting for it is
-		// worth it where there is no other way.
-		if s.p.Idempotent {
+		// The engine may be unreachable only briefly, but trying it again is
+		// useful only if the request can't be sent to another target.
+		if s.policy.Idempotent {
 			return false
 		}
 	}
-	return s.incarnation != "" && s.resumes < s.p.MaxResumes
+	return s.incarnation != "" && s.resumes < s.policy.MaxResumes
 }
 
-// mayRedispatch: a request that may not be repeated is sent again only if no
-// byte of it may have reached any target.
-func (s *Stream) mayRedispatch() bool {
-	if len(s.tried)-min(s.unreached, maxUnreached) >= s.p.MaxDispatches || s.passed {
+// canRedispatch reports whether the request may be sent to another target. A
+// non-idempotent request may be only if no byte of it can have reached any target.
+func (s *Stream) canRedispatch() bool {
+	if len(s.tried)-min(s.dialFailures, maxUncountedDialFailures) >= s.policy.MaxDispatches || s.bytesRelayed {
 		return false
 	}
-	return s.p.Idempotent || !s.sent && !s.mayRun
+	return s.policy.Idempotent || !s.sent && !s.sentEarlier
 }
 
-// running is the attempt to cancel when it is left behind.
-func (s *Stream) running(cause Cause) *Ref {
-	if !s.sent || cause == CauseUnknownStream || cause == CauseIncarnation {
+// attemptToCancel returns the current attempt if its target may still be executing it.
+func (s *Stream) attemptToCancel(cause Cause) *Ref {
+	if !s.sent || cause == CauseUnknownStream || cause == CauseIncarnationChanged {
 		return nil
 	}
 	return &Ref{Attempt: s.attempt, Target: s.target}
 }
 
+// fail ends the request with an error.
 func (s *Stream) fail(cause Cause) Action {
-	a := Action{Kind: EndError, Cause: cause, Outcome: s.Outcome(), Partial: s.relayed > 0 || s.passed}
+	a := Action{Kind: EndError, Cause: cause, Outcome: s.Outcome(), Partial: s.relayed > 0 || s.bytesRelayed}
 	if s.attempt != "" {
-		a.Cancel = s.running(cause)
+		a.Cancel = s.attemptToCancel(cause)
 	}
-	s.open, s.over = false, true
+	s.connected, s.finished = false, true
 	return a
 }
 
-// Outcome is what a failure now would have to say about the request.
+// Outcome returns the outcome to report if the request fails now.
 func (s *Stream) Outcome() Outcome {
-	if s.sent || s.mayRun {
+	if s.sent || s.sentEarlier {
 		return MayHaveRun
 	}
 	return NotRun
