--- a/internal/claim/search_test.go
+++ b/internal/claim/search_test.go
@@ -40,24 +40,24 @@
 
 // actions lists what can happen next. The name of an action is used in reports; a faulty
 // one uses up one of the faults allowed by budget.
-func (w *searchState) actions(budget int) []action {
+func (st *searchState) actions(budget int) []action {
 	var out []action
 	add := func(name string, faulty bool, do func(*searchState)) {
-		if !faulty || w.faults < budget {
+		if !faulty || st.faults < budget {
 			out = append(out, action{name, faulty, do})
 		}
 	}
-	if w.callsBegun < len(callers) {
-		add("begin", false, func(w *searchState) {
-			w.callsBegun++
-			w.begin(callers[w.callsBegun-1], fmt.Sprintf("r%d", w.callsBegun), "key", false)
+	if st.callsBegun < len(callers) {
+		add("begin", false, func(st *searchState) {
+			st.callsBegun++
+			st.begin(callers[st.callsBegun-1], fmt.Sprintf("r%d", st.callsBegun), "key", false)
 		})
 	}
-	if len(w.lateAppends) > 0 {
-		add("store late append", false, func(w *searchState) { w.storeLateAppend() })
+	if len(st.lateAppends) > 0 {
+		add("store late append", false, func(st *searchState) { st.storeLateAppend() })
 	}
-	for i := range w.nodes {
-		w.nodeActions(i, add)
+	for i := range st.nodes {
+		st.nodeActions(i, add)
 	}
 	return out
 }
@@ -68,56 +68,56 @@
 	do     func(*searchState)
 }
 
-func (w *searchState) nodeActions(i int, add func(string, bool, func(*searchState))) {
-	n := w.nodes[i]
+func (st *searchState) nodeActions(i int, add func(string, bool, func(*searchState))) {
+	n := st.nodes[i]
 	on := func(name string, faulty bool, do func(*searchState, *node)) {
-		add(fmt.Sprintf("%s %d", name, i), faulty, func(w *searchState) { do(w, w.nodes[i]) })
+		add(fmt.Sprintf("%s %d", name, i), faulty, func(st *searchState) { do(st, st.nodes[i]) })
 	}
 	if len(n.pending) > 0 {
 		for outcome, name := range []string{"stored", "answer lost", "refused", "lost", "late"} {
-			on(name, appendOutcome(outcome) != appendStored, func(w *searchState, n *node) { w.append(n, appendOutcome(outcome)) })
+			on(name, appendOutcome(outcome) != appendStored, func(st *searchState, n *node) { st.append(n, appendOutcome(outcome)) })
 		}
 	}
-	if int(n.machine.ReadFrom()) < len(w.log) {
-		on("read", false, func(w *searchState, n *node) { w.read(n, 1) })
+	if int(n.machine.ReadFrom()) < len(st.log) {
+		on("read", false, func(st *searchState, n *node) { st.read(n, 1) })
 	}
 	if len(n.toDispatch) > 0 {
-		on("dispatch", false, func(w *searchState, n *node) { w.dispatch(n) })
+		on("dispatch", false, func(st *searchState, n *node) { st.dispatch(n) })
 	}
 	if len(n.dispatched) > 0 {
-		on("finish", false, func(w *searchState, n *node) { w.finish(n, answered) })
-		on("outcome unknown", true, func(w *searchState, n *node) { w.finish(n, outcomeUnknown) })
-		on("not sent", true, func(w *searchState, n *node) { w.finish(n, neverSent) })
+		on("finish", false, func(st *searchState, n *node) { st.finish(n, answered) })
+		on("outcome unknown", true, func(st *searchState, n *node) { st.finish(n, outcomeUnknown) })
+		on("not sent", true, func(st *searchState, n *node) { st.finish(n, neverSent) })
 	}
-	on("kill", true, func(w *searchState, _ *node) { w.kill(i) })
+	on("kill", true, func(st *searchState, _ *node) { st.kill(i) })
 	on("pause", true, func(_ *searchState, n *node) { n.now += 20 * time.Second })
 	if n.now > 0 {
-		on("tick", false, func(w *searchState, n *node) { w.tick(n) })
+		on("tick", false, func(st *searchState, n *node) { st.tick(n) })
 	}
 }
 
 // walk replays the path and then tries each possible next action. Replaying takes more
 // steps than copying the state, but needs no copies of the machines.
 func (s *searcher) walk(path []int, names []string) {
-	w := newSearchState()
+	st := newSearchState()
 	for _, a := range path {
-		act := w.actions(s.faults)[a]
+		act := st.actions(s.faults)[a]
 		if act.faulty {
-			w.faults++
+			st.faults++
 		}
-		act.do(w)
+		act.do(st)
 		s.steps++
 	}
-	if violation := w.violation(); violation != "" {
+	if violation := st.violation(); violation != "" {
 		s.failure = fmt.Sprintf("%s after %v", violation, names)
 		return
 	}
-	sum := sha256.Sum256([]byte(fmt.Sprint(w.callsBegun, w.faults, w.dump())))
+	sum := sha256.Sum256([]byte(fmt.Sprint(st.callsBegun, st.faults, st.dump())))
 	if s.seen[sum] {
 		return
 	}
 	s.seen[sum] = true
-	for i, a := range w.actions(s.faults) {
+	for i, a := range st.actions(s.faults) {
 		s.walk(append(path[:len(path):len(path)], i), append(names[:len(names):len(names)], a.name))
 		if s.failure != "" {
 			return
