--- a/internal/attempt/dial_test.go
+++ b/internal/attempt/dial_test.go
@@ -22,7 +22,7 @@
 		a = s.ConnectionFailed(s.Dispatch(0, fmt.Sprint("a", n), "dead"), CauseDial)
 	}
 	is.Equal(a.Kind, Redispatch)
-	working := s.Dispatch(0, "b", "working")
+	working := s.Dispatch(0, "b", "live")
 	s.SendStarted(working)
 	s.ResponseStarted(0, working, ResponseHead{Attempt: "b", Incarnation: "i"})
 	is.Equal(s.Event(0, working, event("b", 0, "x")).Kind, Relay)
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -207,8 +207,8 @@
 		f.ready(n)
 		f.append(n, appendRefused)
 	}
-	f.begin(0, "default", "k1", false)
-	is.True(f.notRun["default"])
+	f.begin(0, "safe", "k1", false)
+	is.True(f.notRun["safe"])
 	f.begin(0, "unclaimed", "k2", true)
 	f.begin(0, "retry", "k2", true)
 	f.dispatch(n)
