--- a/internal/claim/batcher.go
+++ b/internal/claim/batcher.go
@@ -54,8 +54,8 @@
 
 func (b *batcher) queueFull() bool { return len(b.queue) >= b.cfg.MaxQueue }
 
-// reserveFull applies to results and abandons. They complete claims that were made
-// and may therefore use as much space again as claims may fill.
+// reserveFull is the limit for results and abandons. They complete claims that were
+// already made, so they may fill the queue to twice its normal size.
 func (b *batcher) reserveFull() bool { return len(b.queue) >= 2*b.cfg.MaxQueue }
 
 // logDown reports whether appends keep failing and none is due that would test
--- a/internal/claim/machine.go
+++ b/internal/claim/machine.go
@@ -22,13 +22,14 @@
 	byAttempt map[string]*request
 	// byKey holds the unfinished requests of each key, oldest first.
 	byKey map[KeyHash][]*request
-	// orphans holds the attempts of released claims that may still reach the log. One
-	// that takes its key is abandoned. orphanOrder lists them oldest first.
+	// orphans maps the attempts of released claims that may still reach the log to their
+	// keys. One that takes its key is abandoned. orphanOrder lists them oldest first.
 	orphans     map[string]KeyHash
 	orphanOrder []string
 	// localRuns holds runs of this instance that are not in the table yet.
 	localRuns map[KeyHash]*Holder
-	// endedProcesses holds incarnations that have ended, endedOrder in order.
+	// endedProcesses holds the incarnations that have ended. endedOrder lists them oldest
+	// first.
 	endedProcesses map[string]bool
 	endedOrder     []string
 	answers        []Answer
--- a/internal/claim/request.go
+++ b/internal/claim/request.go
@@ -22,7 +22,7 @@
 	Account     string
 	Key         string
 	RequestHash RequestHash
-	// Deadline is the latest time for an answer, on the clock of the machine's now.
+	// Deadline is the latest time for an answer, on the clock of the argument now.
 	Deadline time.Duration
 	// RunWhenLogDown lets the request run without a claim while the log is down.
 	RunWhenLogDown bool
