--- a/cmd/mastictray-bench/main.go
+++ b/cmd/mastictray-bench/main.go
@@ -42,15 +42,15 @@
 // tuning is the product's, with what the command line varies.
 func (c *policiesCmd) tuning() experiment.Tuning {
 	t := experiment.DefaultTuning()
-	vary(&t.Placement.HomeTrust, c.Trust)
+	vary(&t.Placement.HomeCachedFraction, c.Trust)
 	vary(&t.Dispatch.RecomputeFactor, c.Factor)
-	vary(&t.Dispatch.BacklogFactor, c.Backlog)
-	vary(&t.Placement.UnseenTrust, c.Unseen)
+	vary(&t.Dispatch.AccountBacklogFactor, c.Backlog)
+	vary(&t.Placement.UnobservedHomeCachedFraction, c.Unseen)
 	vary(&t.Placement.NearTie, c.NearTie)
-	vary(&t.Placement.AnchorPieces, c.Anchor)
+	vary(&t.Placement.AffinityPieces, c.Anchor)
 	vary(&t.Placement.TransferTokensPerSecond, c.Transfer)
-	vary(&t.Dispatch.BacklogGrace, c.Grace)
-	vary(&t.Dispatch.Window, c.Window)
+	vary(&t.Dispatch.AccountBacklogGrace, c.Grace)
+	vary(&t.Dispatch.MaxTargetBacklog, c.Window)
 	return t
 }
 
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -48,12 +48,12 @@
 // not known, and nothing is taken for evicted by its age.
 func (x *Index) SetCapacity(tokens float64) { x.capacity = tokens }
 
-// Took counts tokens that a request has put into the target's cache. Targets
+// AddInsertedTokens counts tokens that a request has put into the target's cache. Targets
 // evict what was used least recently, mostly by the own parts of prompts, which
 // nobody asks for again: a piece after whose last use a whole cache was filled
 // is gone. Were it still counted on, requests would be sent there for it and
 // compute it anew, though another target or a store holds it.
-func (x *Index) Took(id Identity, tokens float64) {
+func (x *Index) AddInsertedTokens(id Identity, tokens float64) {
 	if h := x.current(id); h != nil {
 		h.taken += max(0, tokens)
 	}
@@ -94,8 +94,8 @@
 	return Ref(h.generation)
 }
 
-// Forget drops a target that left the configuration.
-func (x *Index) Forget(target string) {
+// RemoveTarget drops a target that left the configuration.
+func (x *Index) RemoveTarget(target string) {
 	if h := x.holders[target]; h != nil {
 		x.drop(h)
 		delete(x.holders, target)
@@ -121,10 +121,10 @@
 // Stamp is before all uses.
 type Stamp uint64
 
-// Expect records the pieces that a request on its way to the target will
+// AddExpected records the pieces that a request on its way to the target will
 // leave there. It gives the stamp of the least recent use among those already
 // known, for Missed.
-func (x *Index) Expect(id Identity, chain []prefix.Hash) Stamp {
+func (x *Index) AddExpected(id Identity, chain []prefix.Hash) Stamp {
 	h := x.current(id)
 	if h == nil {
 		return 0
@@ -149,10 +149,10 @@
 	return Stamp(least)
 }
 
-// Missed takes in that a target had evicted pieces of a chain that Expect gave
+// RecordMiss takes in that a target had evicted pieces of a chain that Expect gave
 // the stamp for. Engines evict what was used least recently, so all that was
 // not used since is gone too.
-func (x *Index) Missed(id Identity, stamp Stamp) {
+func (x *Index) RecordMiss(id Identity, stamp Stamp) {
 	h := x.current(id)
 	if h == nil {
 		return
@@ -170,7 +170,7 @@
 // Answered takes in an answer: the target prefilled the whole prompt, so it
 // holds the whole chain now.
 func (x *Index) Answered(id Identity, chain []prefix.Hash) {
-	x.Expect(id, chain)
+	x.AddExpected(id, chain)
 }
 
 // Failed takes back what Expect recorded for a request that the target did
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -66,7 +66,7 @@
 	id := Identity{"t1", "i1", "v1"}
 	ref := s.Observe(1, id)
 	s.Answered(id, chain[:1])
-	s.Expect(id, chain)
+	s.AddExpected(id, chain)
 	s.Failed(id, chain, 1)
 	is.Equal(s.Cached(ref, chain), 1)
 }
@@ -93,8 +93,8 @@
 	s.Answered(id, []prefix.Hash{10})
 	s.Answered(id, chain)
 	s.Answered(id, []prefix.Hash{20})
-	stamp := s.Expect(id, chain)
-	s.Missed(id, stamp)
+	stamp := s.AddExpected(id, chain)
+	s.RecordMiss(id, stamp)
 	is.Equal(s.Cached(ref, []prefix.Hash{10}), 0)
 	is.Equal(s.Cached(ref, []prefix.Hash{20}), 1)
 	is.Equal(s.Cached(ref, chain), 3) // prefilled again by this request
@@ -162,15 +162,15 @@
 	id := Identity{Target: "t", Incarnation: "i", Version: "v"}
 	ref := s.Observe(0, id)
 	old, fresh := []prefix.Hash{1, 2}, []prefix.Hash{3}
-	s.Expect(id, old)
-	s.Took(id, 600)
-	s.Expect(id, fresh)
-	s.Took(id, 600)
+	s.AddExpected(id, old)
+	s.AddInsertedTokens(id, 600)
+	s.AddExpected(id, fresh)
+	s.AddInsertedTokens(id, 600)
 	is.Equal(s.Cached(ref, old), 0)
 	is.Equal(s.Cached(ref, fresh), 1)
-	s.Expect(id, old) // computed anew
+	s.AddExpected(id, old) // computed anew
 	is.Equal(s.Cached(ref, old), 2)
 	s.SetCapacity(0) // a target whose memory is not known evicts by nobody's count
-	s.Took(id, 1e9)
+	s.AddInsertedTokens(id, 1e9)
 	is.Equal(s.Cached(ref, old), 2)
 }
--- a/internal/directory/changes.go
+++ b/internal/directory/changes.go
@@ -1,9 +1,9 @@
 package directory
 
-// Changes are the events that recent reads of the registrations have brought,
+// ChangeLog are the events that recent reads of the registrations have brought,
 // without mere heartbeats, for instances that do not read by themselves. It is
 // not safe for concurrent use.
-type Changes struct {
+type ChangeLog struct {
 	batches []batch
 	end     int64
 }
@@ -18,8 +18,8 @@
 // that lacks more reads by itself.
 const maxBatches = 48
 
-// Restart forgets all; what comes from the place on will be known.
-func (c *Changes) Restart(at int64) {
+// Reset forgets all; what comes from the place on will be known.
+func (c *ChangeLog) Reset(at int64) {
 	c.batches, c.end = nil, at
 }
 
@@ -27,9 +27,9 @@
 // read that begins behind the end of the last one leaves a gap, and nothing
 // before it can be told any more. One that begins before that end changes
 // nothing up to there, since that was taken in already: it adds only the rest.
-func (c *Changes) Add(from, next int64, events []Event) {
+func (c *ChangeLog) Add(from, next int64, events []Event) {
 	if from > c.end {
-		c.Restart(from)
+		c.Reset(from)
 	}
 	from = c.end
 	c.end = next
@@ -46,7 +46,7 @@
 // Since gives the events from a place on, in order; false when some of them are
 // not remembered. A batch that the place lies in is given whole: taking its
 // beginning in again changes nothing in the end.
-func (c *Changes) Since(place int64) ([]Event, bool) {
+func (c *ChangeLog) Since(place int64) ([]Event, bool) {
 	if place == c.end {
 		return nil, true
 	}
--- a/internal/directory/changes_test.go
+++ b/internal/directory/changes_test.go
@@ -11,8 +11,8 @@
 
 func TestChangesSince(t *testing.T) {
 	is := is.New(t)
-	var c Changes
-	c.Restart(10)
+	var c ChangeLog
+	c.Reset(10)
 	c.Add(10, 20, []Event{gone("a")})
 	c.Add(20, 30, nil)
 	c.Add(30, 40, []Event{gone("b")})
@@ -37,8 +37,8 @@
 // would go on sending to it.
 func TestOverlappingReadsLoseNoChange(t *testing.T) {
 	is := is.New(t)
-	var c Changes
-	c.Restart(0)
+	var c ChangeLog
+	c.Reset(0)
 	c.Add(0, 10, []Event{put("a", 1, 2, Draining)}) // its own read
 	c.Add(0, 20, []Event{gone("b")})                // the answer
 	events, ok := c.Since(5)
@@ -81,7 +81,7 @@
 	rng              *rand.Rand
 	log              []Event
 	reader, follower *Directory
-	changes          Changes
+	changes          ChangeLog
 	readTo, heardTo  int
 	seq              int64
 }
@@ -102,7 +102,7 @@
 }
 
 func (w *followed) read(now time.Duration) {
-	changed := w.reader.Read(now, w.log[w.readTo:])
+	changed := w.reader.ApplyEvents(now, w.log[w.readTo:])
 	w.changes.Add(int64(w.readTo), int64(len(w.log)), changed)
 	w.readTo = len(w.log)
 }
@@ -110,13 +110,13 @@
 // followerReads lets the follower read a part of what it lacks.
 func (w *followed) followerReads(now time.Duration) {
 	to := w.heardTo + w.rng.IntN(len(w.log)-w.heardTo+1)
-	w.follower.Read(now, w.log[w.heardTo:to])
+	w.follower.ApplyEvents(now, w.log[w.heardTo:to])
 	w.heardTo = to
 }
 
 func (w *followed) tell(now time.Duration) bool {
 	events, ok := w.changes.Since(int64(w.heardTo))
-	w.follower.Read(now, events)
+	w.follower.ApplyEvents(now, events)
 	w.heardTo = len(w.log)
 	return ok
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -31,10 +31,10 @@
 	Domain  string
 	State   State
 	Slots   int
-	// ColdFor is how much longer the target is slow after its start.
-	ColdFor time.Duration
-	// Born is the Unix millisecond of the target's start.
-	Born int64
+	// WarmupRemaining is how much longer the target is slow after its start.
+	WarmupRemaining time.Duration `msgpack:"ColdFor"`
+	// StartedMs is the Unix millisecond of the target's start.
+	StartedMs int64 `msgpack:"Born"`
 	// Seq grows with each record of one incarnation.
 	Seq int64
 	// Versions are the weights versions of its models.
@@ -43,12 +43,12 @@
 
 // Incarnation tells two starts of one target apart.
 type Incarnation struct {
-	ID   string
-	Born int64
+	ID        string
+	StartedMs int64
 }
 
 // Incarnation names this start of the target.
-func (r Registration) Incarnation() Incarnation { return Incarnation{r.ID, r.Born} }
+func (r Registration) Incarnation() Incarnation { return Incarnation{r.ID, r.StartedMs} }
 
 // Event is one change of the registrations; a nil Registration removes ID.
 type Event struct {
@@ -56,16 +56,16 @@
 	Registration *Registration
 }
 
-// ReturnGrace is how long a target whose record is missing after the store
+// StoreRecoveryGrace is how long a target whose record is missing after the store
 // was away is still used: records that lapsed meanwhile are back within about
 // two seconds of the store's return when their target lives.
-const ReturnGrace = 2500 * time.Millisecond
+const StoreRecoveryGrace = 2500 * time.Millisecond
 
-// AwayAfter is the silence of the store after which records may have lapsed
+// StoreOutageThreshold is the silence of the store after which records may have lapsed
 // without their target being at fault. It is over the usual time between two
 // words on the registrations, by an own read or a peer's, and well under the
 // three heartbeats after which a record lapses.
-const AwayAfter = 2200 * time.Millisecond
+const StoreOutageThreshold = 2200 * time.Millisecond
 
 // Directory is the registered targets. It is not safe for concurrent use.
 type Directory struct {
@@ -91,10 +91,10 @@
 // sequence number.
 func (d *Directory) Revision() int64 { return d.revision }
 
-// Read takes in the records that the store held at the time. It gives those
+// ApplyEvents takes in the records that the store held at the time. It gives those
 // that changed more than a target's sequence number.
-func (d *Directory) Read(now time.Duration, events []Event) []Event {
-	if d.lastRead > 0 && now-d.lastRead > AwayAfter {
+func (d *Directory) ApplyEvents(now time.Duration, events []Event) []Event {
+	if d.lastRead > 0 && now-d.lastRead > StoreOutageThreshold {
 		d.returnedAt, d.wasAway = now, true
 	}
 	d.lastRead = now
@@ -110,9 +110,9 @@
 	return changes
 }
 
-// Replace takes in the whole of the records, as read after the store's
+// ReplaceAll takes in the whole of the records, as read after the store's
 // history was lost: what is not among them is gone.
-func (d *Directory) Replace(now time.Duration, all []Event) []Event {
+func (d *Directory) ReplaceAll(now time.Duration, all []Event) []Event {
 	there := make(map[string]bool, len(all))
 	for _, e := range all {
 		there[e.ID] = true
@@ -122,7 +122,7 @@
 			all = append(all, Event{ID: id})
 		}
 	}
-	return d.Read(now, all)
+	return d.ApplyEvents(now, all)
 }
 
 func (d *Directory) apply(now time.Duration, e Event) {
@@ -144,14 +144,14 @@
 // outdated says that a record is older than the known one: a copy that was
 // held up on its way would bring back an incarnation that has ended.
 func outdated(next, known *Registration) bool {
-	if next.Born != known.Born {
-		return next.Born < known.Born
+	if next.StartedMs != known.StartedMs {
+		return next.StartedMs < known.StartedMs
 	}
 	return next.Seq < known.Seq
 }
 
 func differs(a, b *Registration) bool {
-	if a.Born != b.Born || a.State != b.State || a.Address != b.Address || a.Service != b.Service || len(a.Versions) != len(b.Versions) {
+	if a.StartedMs != b.StartedMs || a.State != b.State || a.Address != b.Address || a.Service != b.Service || len(a.Versions) != len(b.Versions) {
 		return true
 	}
 	for model, v := range a.Versions {
@@ -177,7 +177,7 @@
 }
 
 func (d *Directory) inGrace(now time.Duration) bool {
-	return d.wasAway && now-d.returnedAt < ReturnGrace
+	return d.wasAway && now-d.returnedAt < StoreRecoveryGrace
 }
 
 // expire drops the targets whose record did not come back in time.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -9,7 +9,7 @@
 
 func put(id string, born, seq int64, state State) Event {
 	return Event{ID: id, Registration: &Registration{
-		ID: id, Service: "s", Address: "10.0.0.1:80", State: state, Born: born, Seq: seq,
+		ID: id, Service: "s", Address: "10.0.0.1:80", State: state, StartedMs: born, Seq: seq,
 	}}
 }
 
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := New()
-			d.Read(time.Second, c.events)
+			d.ApplyEvents(time.Second, c.events)
 			is.Equal(usable(d), c.want)
 		})
 	}
@@ -53,12 +53,12 @@
 func TestRecordsThatLapsedWhileTheStoreWasAway(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.Read(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready), put("c", 1, 1, Draining)})
-	d.Read(6*time.Second, []Event{gone("a"), gone("b"), gone("c")})
+	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready), put("c", 1, 1, Draining)})
+	d.ApplyEvents(6*time.Second, []Event{gone("a"), gone("b"), gone("c")})
 	is.Equal(usable(d), []string{"a", "b"})
-	d.Read(7*time.Second, []Event{put("a", 1, 2, Ready)})
+	d.ApplyEvents(7*time.Second, []Event{put("a", 1, 2, Ready)})
 	is.Equal(usable(d), []string{"a", "b"})
-	d.Read(6*time.Second+ReturnGrace, nil)
+	d.ApplyEvents(6*time.Second+StoreRecoveryGrace, nil)
 	is.Equal(usable(d), []string{"a"}) // b did not come back: it is gone
 }
 
@@ -67,8 +67,8 @@
 func TestRemovalCountsAtOnceWhileTheStoreAnswers(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.Read(1*time.Second, []Event{put("a", 1, 1, Ready)})
-	d.Read(2*time.Second, []Event{gone("a")})
+	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready)})
+	d.ApplyEvents(2*time.Second, []Event{gone("a")})
 	is.Equal(usable(d), []string{})
 }
 
@@ -77,19 +77,19 @@
 func TestReplaceDropsWhatIsMissing(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.Read(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready)})
-	d.Replace(2*time.Second, []Event{put("b", 1, 2, Ready)})
+	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready)})
+	d.ReplaceAll(2*time.Second, []Event{put("b", 1, 2, Ready)})
 	is.Equal(usable(d), []string{"b"})
 }
 
 func TestRevisionFollowsWhatMatters(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.Read(1*time.Second, []Event{put("a", 1, 1, Ready)})
+	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready)})
 	first := d.Revision()
-	d.Read(2*time.Second, []Event{put("a", 1, 2, Ready)}) // a heartbeat
+	d.ApplyEvents(2*time.Second, []Event{put("a", 1, 2, Ready)}) // a heartbeat
 	is.Equal(d.Revision(), first)
-	d.Read(3*time.Second, []Event{put("a", 1, 3, Draining)})
+	d.ApplyEvents(3*time.Second, []Event{put("a", 1, 3, Draining)})
 	is.True(d.Revision() > first)
 	r, ok := d.Find("a")
 	is.True(ok)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -11,24 +11,24 @@
 
 // Options tune a dispatcher.
 type Options struct {
-	// Window is the time of work that a target may have before further
+	// MaxTargetBacklog is the time of work that a target may have before further
 	// requests for it are held.
-	Window time.Duration
+	MaxTargetBacklog time.Duration
 	// ScanLimit bounds the waiting requests looked at in one step.
 	ScanLimit int
 	// RecomputeFactor weighs a recomputed token against a waiting one. Over
 	// 1, because prefill that a cached copy elsewhere would have saved
 	// delays the requests behind it too.
 	RecomputeFactor float64
-	// PressureUnit, if set, makes that weight follow the load: 1 while targets
+	// RecomputeBacklogUnit, if set, makes that weight follow the load: 1 while targets
 	// are idle, and one more for each such time of work that they have on
 	// average, up to MaxRecompute.
-	PressureUnit time.Duration
-	MaxRecompute float64
-	// BacklogFactor is added to it for each second of the account's backlog
+	RecomputeBacklogUnit time.Duration
+	MaxRecomputeFactor   float64
+	// AccountBacklogFactor is added to it for each second of the account's backlog
 	// over BacklogGrace.
-	BacklogFactor float64
-	BacklogGrace  time.Duration
+	AccountBacklogFactor float64
+	AccountBacklogGrace  time.Duration
 	// Queue bounds the fair queue.
 	Queue fairqueue.Options
 }
@@ -36,13 +36,13 @@
 // DefaultOptions are the measured defaults; docs/measurements has the runs.
 func DefaultOptions() Options {
 	return Options{
-		Window:    150 * time.Millisecond,
-		ScanLimit: 64,
+		MaxTargetBacklog: 150 * time.Millisecond,
+		ScanLimit:        64,
 
-		RecomputeFactor: placement.DefaultOptions().RecomputeFactor,
-		BacklogFactor:   20,
-		BacklogGrace:    100 * time.Millisecond,
-		Queue:           fairqueue.Options{MaxItems: 2000},
+		RecomputeFactor:      placement.DefaultOptions().RecomputeFactor,
+		AccountBacklogFactor: 20,
+		AccountBacklogGrace:  100 * time.Millisecond,
+		Queue:                fairqueue.Options{MaxItems: 2000},
 	}
 }
 
@@ -57,7 +57,7 @@
 	// Objective is when the first byte is worth most, at the latest; 0 for
 	// always.
 	Objective time.Duration
-	Place     placement.Request
+	Placement placement.Request
 	Value     T
 }
 
@@ -113,17 +113,17 @@
 	}
 }
 
-// Replace puts another pool and its picker in place, after a change of
+// ReplacePool puts another pool and its picker in place, after a change of
 // configuration. Waiting requests stay.
-func (d *Dispatcher[T]) Replace(pool *placement.Pool, picker *placement.Picker) {
+func (d *Dispatcher[T]) ReplacePool(pool *placement.Pool, picker *placement.Picker) {
 	d.pool, d.picker = pool, picker
 }
 
-// SetWindow changes the time of work that a target may have before further
+// SetMaxTargetBacklog changes the time of work that a target may have before further
 // requests for it are held. What is known of other instances' work is old in a
 // large fleet: a short window would hold requests back from targets that have
 // become idle meanwhile.
-func (d *Dispatcher[T]) SetWindow(w time.Duration) { d.options.Window = w }
+func (d *Dispatcher[T]) SetMaxTargetBacklog(w time.Duration) { d.options.MaxTargetBacklog = w }
 
 // Waiting is the number of requests held.
 func (d *Dispatcher[T]) Waiting() int { return d.queue.Len() }
@@ -138,7 +138,7 @@
 	}
 	refused := d.queue.Push(now, fairqueue.Item[*Request[T]]{
 		ID: r.ID, Account: r.Account, Weight: r.Weight, Priority: r.Priority,
-		Cost: cost, Deadline: r.Deadline, Best: d.best(r, cost), Value: r,
+		Cost: cost, Deadline: r.Deadline, SoftDeadline: d.best(r, cost), Value: r,
 	})
 	d.refuse(refused)
 	d.scan(now, rng)
@@ -168,7 +168,7 @@
 // share the targets' work, not the length of their prompts: a cached prompt
 // costs the others nothing.
 func (d *Dispatcher[T]) cost(now time.Duration, r *Request[T], rng *rand.Rand) (float64, error) {
-	choice, err := d.picker.Pick(now, &r.Place, rng)
+	choice, err := d.picker.Pick(now, &r.Placement, rng)
 	return max(minCost, choice.UncachedTokens), err
 }
 
@@ -196,8 +196,8 @@
 	}
 	d.reset()
 	t := d.pool.Target(i)
-	cached := d.index.Cached(t.Cache, r.Place.Chain)
-	uncached := max(0, r.Place.PromptTokens-r.Place.LeadingTokens(cached))
+	cached := d.index.Cached(t.Cache, r.Placement.Chain)
+	uncached := max(0, r.Placement.PromptTokens-r.Placement.LeadingTokens(cached))
 	d.send(now, r, t, placement.Decision{Index: i, CachedPieces: cached, UncachedTokens: float64(uncached)})
 	return d.out.Sends[0], true
 }
@@ -205,27 +205,27 @@
 // Answered takes in the first token of an answer. Call it or Failed once for
 // each send.
 func (d *Dispatcher[T]) Answered(s *Send[T]) {
-	d.index.Answered(s.Identity, s.Request.Place.Chain)
+	d.index.Answered(s.Identity, s.Request.Placement.Chain)
 	if t, ok := d.sentTo(s); ok {
 		t.Load.Answered(s.SentAt, s.Decision.UncachedTokens)
 	}
 }
 
-// Counted takes in the cached-token count of an answer, which comes at its
+// RecordCachedTokens takes in the cached-token count of an answer, which comes at its
 // end. A count below what was expected tells that the target evicts more than
 // is known here. Where cache events are followed they tell better.
-func (d *Dispatcher[T]) Counted(s *Send[T], cachedTokens int) {
-	if d.picker.KnowsCaches() {
+func (d *Dispatcher[T]) RecordCachedTokens(s *Send[T], cachedTokens int) {
+	if d.picker.CacheStateKnown() {
 		return
 	}
-	if cachedTokens < s.Request.Place.LeadingTokens(s.Decision.CachedPieces) {
-		d.index.Missed(s.Identity, s.stamp)
+	if cachedTokens < s.Request.Placement.LeadingTokens(s.Decision.CachedPieces) {
+		d.index.RecordMiss(s.Identity, s.stamp)
 	}
 }
 
 // Failed takes in an attempt that the target did not prefill.
 func (d *Dispatcher[T]) Failed(s *Send[T]) {
-	d.index.Failed(s.Identity, s.Request.Place.Chain, s.Decision.CachedPieces)
+	d.index.Failed(s.Identity, s.Request.Placement.Chain, s.Decision.CachedPieces)
 	if t, ok := d.sentTo(s); ok {
 		t.Load.Failed(s.Decision.UncachedTokens)
 	}
@@ -259,38 +259,38 @@
 	if d.queue.Len() == 0 {
 		return
 	}
-	d.pool.Unpark()
+	d.pool.ClearPending()
 	d.setBaseFactor(now)
 	d.queue.Scan(now, d.options.ScanLimit, func(it *fairqueue.Item[*Request[T]]) fairqueue.Verdict {
 		return d.visit(now, it.Value, rng)
 	})
-	d.pool.Unpark()
+	d.pool.ClearPending()
 }
 
 // setBaseFactor sets the weight of a recomputed token for the next decisions.
 func (d *Dispatcher[T]) setBaseFactor(now time.Duration) {
 	d.baseFactor = d.options.RecomputeFactor
-	if d.options.PressureUnit > 0 {
-		pressure := float64(d.pool.MeanBacklog(now)) / float64(d.options.PressureUnit)
-		d.baseFactor = min(d.options.MaxRecompute, 1+pressure)
+	if d.options.RecomputeBacklogUnit > 0 {
+		pressure := float64(d.pool.MeanBacklog(now)) / float64(d.options.RecomputeBacklogUnit)
+		d.baseFactor = min(d.options.MaxRecomputeFactor, 1+pressure)
 	}
 }
 
 // visit places one waiting request, as if all before it had been sent.
 func (d *Dispatcher[T]) visit(now time.Duration, r *Request[T], rng *rand.Rand) fairqueue.Verdict {
-	r.Place.RecomputeFactor = d.recomputeFactor(r)
-	choice, err := d.picker.Pick(now, &r.Place, rng)
+	r.Placement.RecomputeFactor = d.recomputeFactor(r)
+	choice, err := d.picker.Pick(now, &r.Placement, rng)
 	if err != nil {
 		d.refuseNoTarget(r)
 		return fairqueue.Refuse
 	}
 	t := d.pool.Target(choice.Index)
-	if t.Full() || d.pool.Backlog(choice.Index, now) >= d.options.Window {
-		t.Load.Park(choice.UncachedTokens)
+	if t.Full() || d.pool.Backlog(choice.Index, now) >= d.options.MaxTargetBacklog {
+		t.Load.AddPending(choice.UncachedTokens)
 		return fairqueue.Skip
 	}
 	d.send(now, r, t, choice)
-	return fairqueue.Take
+	return fairqueue.Serve
 }
 
 // recomputeFactor grows with the backlog of the request's account. An account
@@ -298,8 +298,8 @@
 // waiting requests recompute what a cache holds, evict what others need, and
 // so slow the pool down further.
 func (d *Dispatcher[T]) recomputeFactor(r *Request[T]) float64 {
-	backlog := d.queue.Backlog(r.Account, r.Weight) - d.options.BacklogGrace
-	return d.baseFactor + d.options.BacklogFactor*max(0, backlog.Seconds())
+	backlog := d.queue.Backlog(r.Account, r.Weight) - d.options.AccountBacklogGrace
+	return d.baseFactor + d.options.AccountBacklogFactor*max(0, backlog.Seconds())
 }
 
 func (d *Dispatcher[T]) refuseNoTarget(r *Request[T]) {
@@ -315,11 +315,11 @@
 	t.Load.Sent(now, choice.UncachedTokens)
 	if t.RateLimited {
 		t.OverRate = true
-		d.pool.Changed(choice.Index)
+		d.pool.ApplyFilters(choice.Index)
 	}
 	t.InFlight++
-	t.HeldTokens += r.Place.HeldTokens
-	stamp := d.index.Expect(id, r.Place.Chain)
+	t.HeldTokens += r.Placement.HeldTokens
+	stamp := d.index.AddExpected(id, r.Placement.Chain)
 	d.out.Sends = append(d.out.Sends, Send[T]{
 		Request: r, Target: choice.Index, Identity: id, SentAt: now, Decision: choice, stamp: stamp,
 	})
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -33,12 +33,12 @@
 	pool := placement.NewPool(list, "v1", placement.DefaultFilters())
 	place := placement.DefaultOptions()
 	o := DefaultOptions()
-	o.Queue.FloorRate = 10000
+	o.Queue.MinRate = 10000
 	for _, s := range set {
 		s(&o, &place)
 	}
 	picker := placement.NewPicker(pool, index, place)
-	picker.CaughtUp()
+	picker.SetCacheStateKnown()
 	d := New[string](pool, index, picker, o)
 	return &fixture{Dispatcher: d, pool: pool, rng: rand.New(rand.NewPCG(1, 1))}
 }
@@ -46,7 +46,7 @@
 func (f *fixture) push(account string, piece prefix.Hash, due time.Duration) Step[string] {
 	f.id++
 	r := &Request[string]{ID: f.id, Account: account, Deadline: due, Value: account}
-	r.Place = placement.Request{Chain: []prefix.Hash{piece}, PieceTokens: pieceTokens, PromptTokens: pieceTokens + 100}
+	r.Placement = placement.Request{Chain: []prefix.Hash{piece}, PieceTokens: pieceTokens, PromptTokens: pieceTokens + 100}
 	return f.Push(0, r, f.rng)
 }
 
@@ -101,7 +101,7 @@
 	is.Equal(late[0].Reason, fairqueue.ReasonDeadline)
 	is.True(late[0].RetryAfter > 0)
 	f.pool.Target(0).Draining = true
-	f.pool.Changed(0)
+	f.pool.ApplyFilters(0)
 	none := f.push("b", 9, 0).Refusals
 	is.Equal(none[len(none)-1].Reason, ReasonNoTarget)
 }
@@ -117,7 +117,7 @@
 	target.Load.Reset(0)
 	target.Load.Sent(0, 500)
 	f.Failed(&s)
-	is.Equal(target.Load.Given(0, 10000), 500.0)
+	is.Equal(target.Load.QueuedAtTarget(0, 10000), 500.0)
 }
 
 // In a large fleet the word on other instances' work is a second old. With a
@@ -125,9 +125,9 @@
 func TestWindowMayGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
-	f.pool.Target(0).Load.Peers(5000) // half a second of work, as peers told
+	f.pool.Target(0).Load.SetPeerUnanswered(5000) // half a second of work, as peers told
 	is.Equal(len(f.push("a", 1, 0).Sends), 0)
-	f.SetWindow(time.Second)
+	f.SetMaxTargetBacklog(time.Second)
 	is.Equal(len(f.Step(0, f.rng).Sends), 1)
 }
 
@@ -144,13 +144,13 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFixture(2, func(o *Options, place *placement.Options) {
-				o.PressureUnit, o.MaxRecompute = 50*time.Millisecond, 3
-				place.OutdatedPenalty, place.HomeTrust = 500*time.Millisecond, 0
+				o.RecomputeBacklogUnit, o.MaxRecomputeFactor = 50*time.Millisecond, 3
+				place.OutdatedPenalty, place.HomeCachedFraction = 500*time.Millisecond, 0
 			})
 			f.pool.Target(0).Outdated = true
 			f.index.Answered(cacheindex.Identity{Target: "t0", Incarnation: "i1", Version: "v1"}, []prefix.Hash{1})
 			for i := range 2 {
-				f.pool.Target(i).Load.Peers(c.work)
+				f.pool.Target(i).Load.SetPeerUnanswered(c.work)
 			}
 			step := f.push("a", 1, 0)
 			is.Equal(len(step.Sends), 1)
@@ -168,7 +168,7 @@
 	push := func(name string, objective time.Duration) {
 		f.id++
 		r := &Request[string]{ID: f.id, Account: "a", Priority: 5, Value: name, Objective: objective}
-		r.Place = placement.Request{Chain: []prefix.Hash{prefix.Hash(f.id)}, PieceTokens: pieceTokens, PromptTokens: pieceTokens}
+		r.Placement = placement.Request{Chain: []prefix.Hash{prefix.Hash(f.id)}, PieceTokens: pieceTokens, PromptTokens: pieceTokens}
 		f.Push(0, r, f.rng)
 	}
 	push("old", time.Second)
--- a/internal/entry/breakers.go
+++ b/internal/entry/breakers.go
@@ -123,7 +123,7 @@
 	t.Limit, t.InFlight = b.Limit(), b.InFlight()
 	if shut := b.shut(p.clock.now()); shut != t.BreakerOpen {
 		t.BreakerOpen = shut
-		p.pool.Changed(i)
+		p.pool.ApplyFilters(i)
 		p.activate()
 	}
 }
@@ -174,7 +174,7 @@
 		return
 	}
 	b.silent = false
-	b.Returned()
+	b.Restarted()
 	p.refreshBreaker(name)
 }
 
--- a/internal/entry/cacheevents.go
+++ b/internal/entry/cacheevents.go
@@ -121,14 +121,14 @@
 			return
 		}
 	}
-	p.picker.CaughtUp()
+	p.picker.SetCacheStateKnown()
 }
 
 // counted takes in the cached-token count at the end of an answer.
 func (p *enginePool) counted(pl placed, cachedTokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.Counted(&pl.sending, cachedTokens)
+	p.dispatcher.RecordCachedTokens(&pl.sending, cachedTokens)
 }
 
 func parsePieces(list []string) ([]prefix.Hash, error) {
--- a/internal/entry/enginepool.go
+++ b/internal/entry/enginepool.go
@@ -109,12 +109,12 @@
 	p.activate()
 	p.checkFollowed()
 	if p.dispatcher != nil {
-		p.dispatcher.Replace(p.pool, p.picker)
+		p.dispatcher.ReplacePool(p.pool, p.picker)
 		return
 	}
 	o := dispatch.DefaultOptions()
 	o.Queue.MaxItems = maxQueuedRequests
-	o.Queue.FloorRate = cfg.PrefillTokensPerSecond * float64(len(targets)) / float64(max(routers, 1))
+	o.Queue.MinRate = cfg.PrefillTokensPerSecond * float64(len(targets)) / float64(max(routers, 1))
 	p.dispatcher = dispatch.New[chan placedOrError](p.pool, p.index, p.picker, o)
 }
 
@@ -128,7 +128,7 @@
 		PrefillTokensPerSecond: cfg.PrefillTokensPerSecond,
 	}
 	if p.pool == nil || p.address[t.Name] != t.Address {
-		p.index.Forget(t.Name)
+		p.index.RemoveTarget(t.Name)
 		return fresh
 	}
 	i, ok := p.pool.Find(t.Name)
@@ -152,7 +152,7 @@
 		}
 	}
 	p.active = placement.ActiveVersion(served, p.model.Version, p.cfg.ServingFloor)
-	p.pool.Want(p.active)
+	p.pool.SetDesiredVersion(p.active)
 }
 
 // activeVersion is the version that a new request counts on.
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -69,7 +69,7 @@
 }
 
 func (r *engineRun) loop() error {
-	r.s.budget.Request()
+	r.s.budget.AddRequest()
 	act, err := r.dispatch()
 	for err == nil {
 		if act.Cancel != nil {
@@ -157,7 +157,7 @@
 	}
 	r.e.place.Exclude = r.at.target
 	r.release()
-	if (r.s.clock.now() >= r.e.due && !r.e.wrote) || !r.s.budget.Repeat() {
+	if (r.s.clock.now() >= r.e.due && !r.e.wrote) || !r.s.budget.TakeRetry() {
 		return r.stream.NoTarget(), nil
 	}
 	act, err := r.dispatch()
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -114,7 +114,7 @@
 func (e *engineCall) queued() *request {
 	return &request{
 		Account: e.account.Name, Weight: e.account.Weight, Priority: e.route.Priority,
-		Deadline: e.due, Place: e.place,
+		Deadline: e.due, Placement: e.place,
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -98,7 +98,7 @@
 	e.members.poison, e.members.claims, e.members.replaced = e.poison, e.claims, e.Drain
 	e.pools.poller.observed = e.members.observed
 	e.server = &server{
-		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedBudget(overload.DefaultRatio, overload.DefaultReserve, overload.DefaultStart),
+		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
 		targets: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
 	}
 	e.callers = newCallerServer(s, e.server, secure.callers)
--- a/internal/entry/poolreports.go
+++ b/internal/entry/poolreports.go
@@ -18,7 +18,7 @@
 		t := p.pool.Target(i)
 		if drain := leaving(t.Name); drain != t.Draining {
 			t.Draining = drain
-			p.pool.Changed(i)
+			p.pool.ApplyFilters(i)
 		}
 	}
 	p.activate()
@@ -56,11 +56,11 @@
 		}
 		t.Load.Reset(asOf)
 		t.Incarnation, t.Version = r.Incarnation, r.Version
-		p.pool.Changed(i)
+		p.pool.ApplyFilters(i)
 		p.activate()
 	}
 	if at, ok := p.returned[name]; ok {
-		t.SlowStart = placement.SlowStart(asked - at)
+		t.SlowStartFactor = placement.SlowStartFactor(asked - at)
 	}
 	t.Load.Report(asOf, r.QueuedPrefillTokens)
 	p.answersQuestions(name, back)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -28,7 +28,7 @@
 	claims  *claimDriver
 	pools   *pools
 	poison  *poisonDriver
-	budget  *overload.SharedBudget
+	budget  *overload.SharedRetryBudget
 	targets *targetClient
 	metrics *entryMetrics
 	maxBody int64
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -65,7 +65,7 @@
 // sendService tries targets until one answers. before runs right before the
 // first byte goes out.
 func (s *server) sendService(c *call, pool config.Pool, before func() error) (serviceAnswer, error) {
-	s.budget.Request()
+	s.budget.AddRequest()
 	sp := s.pools.service(pool.Name)
 	exclude := ""
 	for {
@@ -120,7 +120,7 @@
 	if c.attempts >= maxAttempts || c.r.Context().Err() != nil || s.clock.now() >= c.due {
 		return false
 	}
-	return (c.route.Idempotent || failed.Outcome == openai.NotRun) && s.budget.Repeat()
+	return (c.route.Idempotent || failed.Outcome == openai.NotRun) && s.budget.TakeRetry()
 }
 
 func (s *server) tryService(c *call, name, address string, before func() error) (serviceAnswer, error) {
--- a/internal/experiment/policy_baseline.go
+++ b/internal/experiment/policy_baseline.go
@@ -74,7 +74,7 @@
 // that is within the load bound.
 func prefixHashBounded(b *baseline, a *attempt) int {
 	chain := a.call.chain(b.r.f.w, b.r.f.wanted)
-	n := min(len(chain), placement.DefaultOptions().AnchorPieces)
+	n := min(len(chain), placement.DefaultOptions().AffinityPieces)
 	if n == 0 {
 		return leastOutstanding(b, a)
 	}
@@ -87,7 +87,7 @@
 		}
 	}
 	bound := loadBound * float64(sum) / float64(max(1, live))
-	for _, i := range placement.Order(chain[n-1], b.r.f.names, usable) {
+	for _, i := range placement.RendezvousOrder(chain[n-1], b.r.f.names, usable) {
 		if float64(b.outstanding[i]) < bound {
 			return i
 		}
--- a/internal/experiment/policy_ours.go
+++ b/internal/experiment/policy_ours.go
@@ -70,15 +70,15 @@
 	place := p.tuning.Placement
 	place.Domain, place.CrossDomainDelay = p.r.domain, w.LinkDelay
 	o := p.tuning.Dispatch
-	o.Queue.FloorRate = w.PrefillRate * float64(w.Engines) / float64(w.Routers)
+	o.Queue.MinRate = w.PrefillRate * float64(w.Engines) / float64(w.Routers)
 	p.pool = placement.NewPool(targets, p.r.f.wanted, placement.DefaultFilters())
 	p.index = cacheindex.New(cacheIndexBytes)
 	picker := placement.NewPicker(p.pool, p.index, place)
 	switch {
 	case p.r.f.c.Replay:
-		p.r.f.clock.after(2*w.LinkDelay, picker.CaughtUp)
+		p.r.f.clock.after(2*w.LinkDelay, picker.SetCacheStateKnown)
 	case p.r.f.c.EventLoss < 1:
-		p.r.f.clock.after(catchUp, picker.CaughtUp)
+		p.r.f.clock.after(catchUp, picker.SetCacheStateKnown)
 	}
 	for i, e := range p.r.f.engines {
 		p.report(i, p.r.f.clock.now, e.identity(), 0)
@@ -94,7 +94,7 @@
 	p.perform(p.dispatcher.Push(p.r.f.clock.now, &request{
 		ID: p.nextID, Account: w.Accounts[a.call.account].Name, Priority: a.call.priority,
 		Deadline: a.call.at + a.call.deadline, Value: a,
-		Place: placement.Request{Chain: a.call.chain(w, p.r.f.wanted), PieceTokens: w.PieceTokens, PromptTokens: a.call.tokens},
+		Placement: placement.Request{Chain: a.call.chain(w, p.r.f.wanted), PieceTokens: w.PieceTokens, PromptTokens: a.call.tokens},
 	}, p.r.rng))
 	p.tick()
 }
@@ -127,11 +127,11 @@
 
 // syncFlags carries what the router saw of the engines into the pool.
 func (p *product) syncFlags() {
-	p.pool.Want(p.r.f.wanted)
+	p.pool.SetDesiredVersion(p.r.f.wanted)
 	for i, ok := range p.r.up {
 		if t := p.pool.Target(i); t.BreakerOpen == ok {
 			t.BreakerOpen = !ok
-			p.pool.Changed(i)
+			p.pool.ApplyFilters(i)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	if t.Incarnation != id.Incarnation || t.Version != id.Version {
 		t.Load.Reset(asOf)
 		t.Incarnation, t.Version = id.Incarnation, id.Version
-		p.pool.Changed(e)
+		p.pool.ApplyFilters(e)
 	}
 	t.Load.Report(asOf, queued)
 }
@@ -155,7 +155,7 @@
 func (p *product) answered(_ int, a *attempt, cached int) {
 	if s, ok := p.sent[a]; ok {
 		p.dispatcher.Answered(&s)
-		p.dispatcher.Counted(&s, cached*p.r.f.w.PieceTokens)
+		p.dispatcher.RecordCachedTokens(&s, cached*p.r.f.w.PieceTokens)
 		delete(p.sent, a)
 	}
 }
--- a/internal/fairqueue/flow.go
+++ b/internal/fairqueue/flow.go
@@ -84,7 +84,7 @@
 func (f *flow[T]) demote(now time.Duration) {
 	for l := MaxPriority; l > lateLevel; l-- {
 		for i := 0; i < len(f.levels[l]); {
-			if best := f.levels[l][i].Best; best == 0 || now <= best {
+			if best := f.levels[l][i].SoftDeadline; best == 0 || now <= best {
 				i++
 				continue
 			}
--- a/internal/fairqueue/item.go
+++ b/internal/fairqueue/item.go
@@ -19,13 +19,13 @@
 	Cost float64
 	// Deadline is when the first byte of the answer is due; 0 for never.
 	Deadline time.Duration
-	// Best is until when it is worth most to be served; 0 for always. After
+	// SoftDeadline is until when it is worth most to be served; 0 for always. After
 	// that the item waits behind all others of its account: when there is
 	// more than can be served, some are served in time instead of all late.
-	Best time.Duration
-	// Service is the least time from Pop to the first byte.
-	Service time.Duration
-	Value   T
+	SoftDeadline time.Duration
+	// MinServiceTime is the least time from Pop to the first byte.
+	MinServiceTime time.Duration
+	Value          T
 }
 
 func (it *Item[T]) weight() float64 {
@@ -40,7 +40,7 @@
 // late reports whether the item misses its deadline when it is served after
 // a further wait.
 func (it *Item[T]) late(now, wait time.Duration) bool {
-	return it.Deadline > 0 && now+wait+it.Service > it.Deadline
+	return it.Deadline > 0 && now+wait+it.MinServiceTime > it.Deadline
 }
 
 // Reason says why an item was refused. A refused item was not served.
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -6,10 +6,10 @@
 type Options struct {
 	// MaxItems bounds the waiting items.
 	MaxItems int
-	// FloorRate is the tokens a second that the pool serves this instance
+	// MinRate is the tokens a second that the pool serves this instance
 	// at least. A queue that is long only because one target is hot measures
 	// less, and would refuse what other targets have time for.
-	FloorRate float64
+	MinRate float64
 }
 
 // Queue is the waiting requests of one pool. It is not safe for concurrent
@@ -27,7 +27,7 @@
 
 // New makes an empty queue.
 func New[T any](o Options) *Queue[T] {
-	return &Queue[T]{options: o, flows: map[string]*flow[T]{}, meter: newRateMeter(o.FloorRate)}
+	return &Queue[T]{options: o, flows: map[string]*flow[T]{}, meter: newRateMeter(o.MinRate)}
 }
 
 // Len is the number of waiting items.
@@ -68,7 +68,7 @@
 	found := false
 	q.Scan(now, 1, func(it *Item[T]) Verdict {
 		out, found = *it, true
-		return Take
+		return Serve
 	})
 	return out, found
 }
@@ -97,9 +97,9 @@
 	return out
 }
 
-// Done corrects what an account was charged at Pop: delta is the tokens that
+// AdjustCharge corrects what an account was charged at Pop: delta is the tokens that
 // the request used less the Cost it was popped with.
-func (q *Queue[T]) Done(account string, delta float64) {
+func (q *Queue[T]) AdjustCharge(account string, delta float64) {
 	if f := q.flows[account]; f != nil {
 		f.tag += delta / f.weight
 	}
@@ -221,5 +221,5 @@
 
 // retryAfter is when the backlog will have shrunk enough.
 func retryAfter[T any](now, wait time.Duration, it *Item[T]) time.Duration {
-	return max(minRetryAfter, now+wait+it.Service-it.Deadline)
+	return max(minRetryAfter, now+wait+it.MinServiceTime-it.Deadline)
 }
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -15,7 +15,7 @@
 type item = Item[int]
 
 func newQueue(maxItems int) *Queue[int] {
-	return New[int](Options{MaxItems: maxItems, FloorRate: 1000})
+	return New[int](Options{MaxItems: maxItems, MinRate: 1000})
 }
 
 // One account sends 5,000 small requests, or 20 huge ones, before another
@@ -80,7 +80,7 @@
 func TestSweepRemovesWhatBecameLate(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
-	q.Push(0, item{ID: 1, Account: "a", Cost: 1, Deadline: time.Second, Service: 100 * time.Millisecond})
+	q.Push(0, item{ID: 1, Account: "a", Cost: 1, Deadline: time.Second, MinServiceTime: 100 * time.Millisecond})
 	q.Push(0, item{ID: 2, Account: "a", Cost: 1, Deadline: 3 * time.Second})
 	is.Equal(len(q.Sweep(900*time.Millisecond)), 0)
 	late := q.Sweep(901 * time.Millisecond)
@@ -110,7 +110,7 @@
 		q.Push(0, item{ID: uint64(10 + i), Account: "b", Cost: 10})
 	}
 	first, _ := q.Pop(0)
-	q.Done(first.Account, 25) // it used 35, not 10
+	q.AdjustCharge(first.Account, 25) // it used 35, not 10
 	for range 3 {
 		it, _ := q.Pop(0)
 		is.True(it.Account != first.Account)
@@ -229,7 +229,7 @@
 	var visited []uint64
 	q.Scan(0, 3, func(it *item) Verdict {
 		visited = append(visited, it.ID)
-		return []Verdict{Skip, Take, Refuse}[len(visited)-1]
+		return []Verdict{Skip, Serve, Refuse}[len(visited)-1]
 	})
 	is.Equal(visited, []uint64{0, 2, 1}) // a's first is passed, its second comes after b's first
 	is.Equal(q.Len(), 2)
--- a/internal/fairqueue/scan.go
+++ b/internal/fairqueue/scan.go
@@ -9,8 +9,8 @@
 const (
 	// Skip leaves the item where it is.
 	Skip Verdict = iota
-	// Take serves the item.
-	Take
+	// Serve serves the item.
+	Serve
 	// Refuse removes the item unserved.
 	Refuse
 )
@@ -29,7 +29,7 @@
 		}
 		step := it.Cost / f.weight
 		switch visit(it) {
-		case Take:
+		case Serve:
 			q.take(now, f, it.Cost)
 			f.cursor.tag += step
 		case Refuse:
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -122,7 +122,7 @@
 // worthRepeating says that a failure of the target may be tried elsewhere.
 func (g *Gateway) worthRepeating(ctx context.Context, c *call) bool {
 	return ctx.Err() == nil && c.route.Repeatable() && c.sent < c.route.MaxAttempts && !c.wrote &&
-		g.budget(c.service.Name).Saved() >= 1
+		g.budget(c.service.Name).Available() >= 1
 }
 
 // send writes the request and waits for the head of its answer. Where the
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -156,7 +156,7 @@
 	for i := range usable {
 		usable[i] = true
 	}
-	return s.addresses[placement.Order(pieces[len(pieces)-1], s.addresses, usable)[0]]
+	return s.addresses[placement.RendezvousOrder(pieces[len(pieces)-1], s.addresses, usable)[0]]
 }
 
 // cachePlan is what a request should do with the store of its pieces.
--- a/internal/gateway/enginemarks.go
+++ b/internal/gateway/enginemarks.go
@@ -105,7 +105,7 @@
 	}
 	t := p.pool.Target(i)
 	t.Outdated, t.Loading = behind(r, p.bounds.wanted), p.resting(r)
-	p.pool.Changed(i)
+	p.pool.ApplyFilters(i)
 }
 
 // served takes in the version that an answer was made on: answers tell of it
--- a/internal/gateway/enginemove.go
+++ b/internal/gateway/enginemove.go
@@ -27,7 +27,7 @@
 	budget := g.budget(c.service.Name)
 	reserve := moveReserve * g.retryReserve(g.peers.fleetSize())
 	m.resumable = func() bool {
-		if !m.repeatable || last || g.closing.Load() || !g.mayResume(c) || !budget.RepeatAbove(reserve) {
+		if !m.repeatable || last || g.closing.Load() || !g.mayResume(c) || !budget.TakeRetryAbove(reserve) {
 			return false
 		}
 		c.prepaid.Store(true)
@@ -47,10 +47,10 @@
 	if !ok || !leadsTo(route, c.service.Name) {
 		return false
 	}
-	if !t.NeedsKey(route) {
+	if !t.RequiresKey(route) {
 		return true
 	}
-	_, ok = t.KeyHolder(c.keyHash)
+	_, ok = t.AccountByKeyHash(c.keyHash)
 	return ok
 }
 
@@ -80,7 +80,7 @@
 	now := p.now()
 	for pl := range p.running {
 		since, loads := p.loadingSince[pl.target.ID]
-		if !loads || now-since < moveAfter || !pl.prefilled || p.pool.Live() == 0 || !pl.resumable() {
+		if !loads || now-since < moveAfter || !pl.prefilled || p.pool.EligibleCount() == 0 || !pl.resumable() {
 			continue
 		}
 		logline.Info("stream_moved", "target", pl.target.ID, "ran", now-pl.send.SentAt)
--- a/internal/gateway/enginepeers.go
+++ b/internal/gateway/enginepeers.go
@@ -34,18 +34,18 @@
 func (p *enginePool) setPeers(delay time.Duration, peers map[string]load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.SetWindow(engineWindow + delay - exchangeEvery)
+	p.dispatcher.SetMaxTargetBacklog(engineWindow + delay - exchangeEvery)
 	for i := range p.pool.Len() {
 		t := p.pool.Target(i)
 		l := peers[t.Name]
 		t.PeersHeldTokens = l.Held
-		t.Load.Peers(l.Unanswered)
+		t.Load.SetPeerUnanswered(l.Unanswered)
 	}
 }
 
 // took is the tokens that the request has put into its target's cache.
 func (pl *placed) took() int {
-	return max(0, pl.held-pl.send.Request.Place.LeadingTokens(pl.send.Decision.CachedPieces))
+	return max(0, pl.held-pl.send.Request.Placement.LeadingTokens(pl.send.Decision.CachedPieces))
 }
 
 // noteCached takes in a prompt that a peer has sent to a target, and the tokens
@@ -57,6 +57,6 @@
 	if !ok || r.Incarnation() != id {
 		return
 	}
-	p.index.Took(identity(&r), float64(tokens))
+	p.index.AddInsertedTokens(identity(&r), float64(tokens))
 	p.index.Stored(identity(&r), chain)
 }
--- a/internal/gateway/enginepool.go
+++ b/internal/gateway/enginepool.go
@@ -65,7 +65,7 @@
 	regs     map[string]directory.Registration
 	memory   int
 	breakers map[string]*overload.Breaker
-	silences map[string]*overload.Silence
+	silences map[string]*overload.StallDetector
 	running  map[*placed]struct{}
 	// silentAt is when a target was found silent.
 	silentAt   map[string]time.Duration
@@ -93,17 +93,17 @@
 	p := &enginePool{
 		now: now, domain: domain, prefill: prefill, limits: limits, times: servicetime.New(prefill),
 		regs: map[string]directory.Registration{}, breakers: map[string]*overload.Breaker{},
-		silences: map[string]*overload.Silence{}, running: map[*placed]struct{}{}, silentAt: map[string]time.Duration{},
+		silences: map[string]*overload.StallDetector{}, running: map[*placed]struct{}{}, silentAt: map[string]time.Duration{},
 		index:     cacheindex.New(cacheIndexBytes),
 		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		refusedAt: map[string]time.Duration{}, loadingSince: map[string]time.Duration{},
 	}
 	p.rebuild(nil)
 	o := dispatch.DefaultOptions()
-	o.Window = engineWindow
-	o.PressureUnit, o.MaxRecompute = pressureUnit, maxRecompute
+	o.MaxTargetBacklog = engineWindow
+	o.RecomputeBacklogUnit, o.MaxRecomputeFactor = pressureUnit, maxRecompute
 	o.Queue.MaxItems = maxQueued
-	o.Queue.FloorRate = prefill
+	o.Queue.MinRate = prefill
 	p.dispatcher = dispatch.New[chan placedOrRefusal](p.pool, p.index, p.picker, o)
 	return p
 }
@@ -119,7 +119,7 @@
 		p.transfer = transferShare * e.LinkMbps * bytesPerMbit / float64(e.BytesPerToken)
 	}
 	p.rebuild(regs)
-	p.dispatcher.Replace(p.pool, p.picker)
+	p.dispatcher.ReplacePool(p.pool, p.picker)
 	p.step()
 }
 
@@ -137,10 +137,10 @@
 		}
 	}
 	p.regs = next
-	p.times.Forget(func(id string) bool { _, there := next[id]; return there })
+	p.times.Retain(func(id string) bool { _, there := next[id]; return there })
 	p.pool = placement.NewPool(targets, "", placement.DefaultFilters())
 	o := placement.DefaultOptions()
-	o.MaxCandidates, o.Work = candidates, p.times.Work
+	o.MaxCandidates, o.EquivalentTokens = candidates, p.times.EquivalentTokens
 	o.QueueSlack = queueSlack
 	o.Domain, o.OutdatedPenalty = p.domain, outdatedPenalty
 	o.TransferTokensPerSecond, o.TransferSetup = p.transfer, transferSetup
@@ -166,7 +166,7 @@
 
 // identity names what is known of a target's cache.
 func identity(r *directory.Registration) cacheindex.Identity {
-	return cacheindex.Identity{Target: r.ID, Incarnation: strconv.FormatInt(r.Born, 10), Version: versionText(r.Versions)}
+	return cacheindex.Identity{Target: r.ID, Incarnation: strconv.FormatInt(r.StartedMs, 10), Version: versionText(r.Versions)}
 }
 
 // acquire waits for a target. The refusal says why there is none.
@@ -228,9 +228,9 @@
 		b := p.breaker(send.Identity.Target)
 		pl := &placed{
 			target: p.regs[send.Identity.Target], send: send, breaker: b, ticket: b.Begin(),
-			held: send.Request.Place.HeldTokens, targets: p.pool.Live(),
+			held: send.Request.Placement.HeldTokens, targets: p.pool.EligibleCount(),
 		}
-		if from, n, ok := p.picker.Source(send.Decision, &send.Request.Place); ok {
+		if from, n, ok := p.picker.FetchSource(send.Decision, &send.Request.Placement); ok {
 			pl.source, pl.sourceHolds = p.regs[p.pool.Target(from).Name].Address, n
 		}
 		send.Request.Value <- placedOrRefusal{placed: pl}
@@ -261,7 +261,7 @@
 		t := p.pool.Target(i)
 		if open := !b.Ready(now); open != t.BreakerOpen {
 			t.BreakerOpen = open
-			p.pool.Changed(i)
+			p.pool.ApplyFilters(i)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	if i, ok := p.pool.Find(id); ok {
 		t := p.pool.Target(i)
 		t.RateLimited, t.OverRate = limited, over
-		p.pool.Changed(i)
+		p.pool.ApplyFilters(i)
 	}
 }
 
@@ -305,17 +305,17 @@
 	pl.prefilled = true
 	p.observeTime(pl)
 	p.dispatcher.Answered(&pl.send)
-	p.index.Took(pl.send.Identity, float64(pl.took()))
+	p.index.AddInsertedTokens(pl.send.Identity, float64(pl.took()))
 	p.step()
 }
 
 // observeTime learns from the first token of an answer. The caller holds p.mu.
 func (p *enginePool) observeTime(pl *placed) {
-	now, r := p.now(), &pl.send.Request.Place
+	now, r := p.now(), &pl.send.Request.Placement
 	p.times.Observe(pl.target.ID, servicetime.Sample{
-		At: now, Took: now - pl.send.SentAt, Prompt: float64(r.PromptTokens),
-		Uncached: max(0, float64(r.PromptTokens-r.LeadingTokens(max(pl.send.Decision.CachedPieces, pl.sourceHolds)))),
-		Alone:    pl.send.Decision.Queued == 0,
+		At: now, Elapsed: now - pl.send.SentAt, PromptTokens: float64(r.PromptTokens),
+		UncachedTokens: max(0, float64(r.PromptTokens-r.LeadingTokens(max(pl.send.Decision.CachedPieces, pl.sourceHolds)))),
+		NoOtherWork:    pl.send.Decision.Queued == 0,
 	})
 	if l := p.times.Latency(); l > 0 {
 		p.dispatcher.SetLatency(l)
--- a/internal/gateway/enginesilence.go
+++ b/internal/gateway/enginesilence.go
@@ -70,7 +70,7 @@
 	var gone []string
 	for id, s := range p.silences {
 		b := p.breaker(id)
-		if b.State() == overload.Open || !s.Gone(now) {
+		if b.State() == overload.Open || !s.Stalled(now) {
 			continue
 		}
 		b.Unreachable(now, p.rng)
@@ -98,10 +98,10 @@
 	p.running[pl] = struct{}{}
 }
 
-func (p *enginePool) silence(id string) *overload.Silence {
+func (p *enginePool) silence(id string) *overload.StallDetector {
 	s := p.silences[id]
 	if s == nil {
-		s = &overload.Silence{}
+		s = &overload.StallDetector{}
 		p.silences[id] = s
 	}
 	return s
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -259,7 +259,7 @@
 // saves under the scope, for the peers.
 func (p *peers) sentPrompt(pl *placed, scope string, saved []prefix.Hash) {
 	m := wire.SentPrompt{
-		Target: pl.target.ID, Born: pl.target.Born, Chain: numbers(pl.send.Request.Place.Chain), Tokens: pl.took(),
+		Target: pl.target.ID, Born: pl.target.StartedMs, Chain: numbers(pl.send.Request.Placement.Chain), Tokens: pl.took(),
 		Scope: scope, Pieces: numbers(saved),
 	}
 	p.mu.Lock()
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -57,7 +57,7 @@
 	}
 	store := &memoryStore{newest: 2, targets: onVersions(versions...)}
 	for i := range store.targets {
-		store.targets[i].ID, store.targets[i].Born, store.targets[i].State = fmt.Sprintf("t%02d", i), 1, directory.Ready
+		store.targets[i].ID, store.targets[i].StartedMs, store.targets[i].State = fmt.Sprintf("t%02d", i), 1, directory.Ready
 	}
 	return startOn(store, "edge-self")
 }
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -93,7 +93,7 @@
 	}
 	chain := hashes(s.Chain)
 	for _, pool := range pools {
-		pool.noteCached(directory.Incarnation{ID: s.Target, Born: s.Born}, chain, s.Tokens)
+		pool.noteCached(directory.Incarnation{ID: s.Target, StartedMs: s.Born}, chain, s.Tokens)
 	}
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -27,13 +27,13 @@
 
 // forward sends the request to targets until one has answered.
 func (g *Gateway) forward(ctx context.Context, c *call) *Refusal {
-	name := c.route.Choose(g.source())
+	name := c.route.ChooseService(g.source())
 	service, ok := c.table.Service(name)
 	if !ok {
 		return unavailable("no_service", notReadyRetry)
 	}
 	c.service = service
-	g.budget(name).Request()
+	g.budget(name).AddRequest()
 	s := &relay{g: g, c: c}
 	unsent := 0
 	for {
@@ -78,7 +78,7 @@
 	if c.ran && !c.route.Repeatable() {
 		return false
 	}
-	return c.prepaid.Swap(false) || g.budget(c.service.Name).Repeat()
+	return c.prepaid.Swap(false) || g.budget(c.service.Name).TakeRetry()
 }
 
 // recheck looks again at what may have changed while the request waited: the
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	registrations registrationFeed
 	engines       map[string]*enginePool
 	services      map[string]*servicePool
-	budgets       map[string]*overload.SharedBudget
+	budgets       map[string]*overload.SharedRetryBudget
 	crashes       crashCounts
 
 	feeds feedStates
@@ -111,7 +111,7 @@
 		registrations: registrationFeed{next: unread, upTo: never},
 		engines:       map[string]*enginePool{},
 		services:      map[string]*servicePool{},
-		budgets:       map[string]*overload.SharedBudget{},
+		budgets:       map[string]*overload.SharedRetryBudget{},
 		crashes:       newCrashCounts(),
 		planner:       weights.New(weights.DefaultSettings()),
 		quietSince:    never,
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -150,16 +150,16 @@
 	case c.route.LatencyObjective > 0:
 		q.Objective = c.began + c.route.LatencyObjective
 	}
-	q.Place.Exclude = c.tried
+	q.Placement.Exclude = c.tried
 	if c.account != nil && c.account.Rate > 0 {
 		q.Weight = c.account.Rate
 	}
 	if c.Prompt == nil {
 		return q
 	}
-	q.Place.PromptTokens = c.Prompt.Tokens
-	q.Place.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutput
-	q.Place.Chain, q.Place.PieceEnds = chainOf(c)
+	q.Placement.PromptTokens = c.Prompt.Tokens
+	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutput
+	q.Placement.Chain, q.Placement.PieceEnds = chainOf(c)
 	return q
 }
 
@@ -199,7 +199,7 @@
 	}
 	at, end := prefix.Scope{Account: cacheScope(c), Model: c.Prompt.Model}.Seed(), 0
 	for _, p := range pieces {
-		at = prefix.Join(at, p.Hash)
+		at = prefix.Extend(at, p.Hash)
 		end += p.Tokens
 		chain, ends = append(chain, at), append(ends, end)
 	}
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -27,7 +27,7 @@
 	// upTo is when the store held all that is known here.
 	upTo time.Duration
 	// changes are what recent reads have brought, for peers.
-	changes directory.Changes
+	changes directory.ChangeLog
 }
 
 // unread is the place in a feed of an instance that has read nothing of it.
@@ -87,10 +87,10 @@
 	before := g.directory.Revision()
 	var changes []directory.Event
 	if whole {
-		changes = g.directory.Replace(at, events)
-		f.changes.Restart(next)
+		changes = g.directory.ReplaceAll(at, events)
+		f.changes.Reset(next)
 	} else {
-		changes = g.directory.Read(at, events)
+		changes = g.directory.ApplyEvents(at, events)
 		f.changes.Add(from, next, changes)
 	}
 	first := f.next == unread
@@ -136,7 +136,7 @@
 	}
 	r := e.Registration
 	logline.Sampled("target_registered", "target", e.ID, "address", r.Address, "domain", r.Domain, "state", string(r.State),
-		"born", r.Born, "seq", r.Seq, "versions", r.Versions)
+		"born", r.StartedMs, "seq", r.Seq, "versions", r.Versions)
 }
 
 // updatePools gives each service's pool its targets. The caller holds g.mu.
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -294,7 +294,7 @@
 	var out []directory.Registration
 	for i, v := range versions {
 		out = append(out, directory.Registration{
-			ID: string(rune('a' + i)), Service: "engines", Address: "127.0.0.1:1", State: directory.Ready, Slots: 8, Born: 1, Seq: 1,
+			ID: string(rune('a' + i)), Service: "engines", Address: "127.0.0.1:1", State: directory.Ready, Slots: 8, StartedMs: 1, Seq: 1,
 			Versions: map[string]int64{"m": v},
 		})
 	}
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -6,12 +6,12 @@
 // each instance adds to its budget by its own requests, and has its part of
 // what may be saved up. A new process has saved up nothing: after a restart of
 // the whole fleet it would else be spent twice.
-func (g *Gateway) budget(service string) *overload.SharedBudget {
+func (g *Gateway) budget(service string) *overload.SharedRetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		b = overload.NewSharedBudget(g.settings.RetryRatio, g.retryReserve(g.peers.fleetSize()), startBudget)
+		b = overload.NewSharedRetryBudget(g.settings.RetryRatio, g.retryReserve(g.peers.fleetSize()), startBudget)
 		g.budgets[service] = b
 	}
 	return b
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -160,13 +160,13 @@
 // It is called when the request comes in and again right before each send: the
 // key may be withdrawn while the request waits.
 func (g *Gateway) authorize(c *call) *Refusal {
-	if !c.table.NeedsKey(c.route) {
+	if !c.table.RequiresKey(c.route) {
 		return nil
 	}
 	if c.keyHash == "" {
 		c.keyHash = routing.HashKey(c.Key)
 	}
-	account, ok := c.table.KeyHolder(c.keyHash)
+	account, ok := c.table.AccountByKeyHash(c.keyHash)
 	if !ok {
 		return g.unknown(http.StatusUnauthorized, "unknown_key")
 	}
--- a/internal/gateway/slowlink_test.go
+++ b/internal/gateway/slowlink_test.go
@@ -88,7 +88,7 @@
 		c.Routes = append(c.Routes, routing.Route{
 			Name: fmt.Sprintf("route-%05d-%x", i, i*i*2654435761), Host: fmt.Sprintf("host-%d.example", i%20), Prefix: fmt.Sprintf("/p%x/", i*i*40503),
 			Kind: routing.Idempotent, Timeout: time.Second, LatencyObjective: 100 * time.Millisecond, MaxAttempts: 2,
-			Split: []routing.Weighted{{Service: "desk", Weight: 1}},
+			Split: []routing.WeightedService{{Service: "desk", Weight: 1}},
 		})
 	}
 	return c
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -31,7 +31,7 @@
 	changed := t.l.Observe(t.now(), sent, id, limit)
 	t.mu.Unlock()
 	if changed {
-		logline.Info("target_limit", "target", id.ID, "born", id.Born, "limit", limit)
+		logline.Info("target_limit", "target", id.ID, "born", id.StartedMs, "limit", limit)
 	}
 }
 
@@ -50,7 +50,7 @@
 	}
 	reports := make([]targetlimit.Report, len(limits))
 	for i, l := range limits {
-		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, Born: l.Born}, Rate: l.Rate, Change: l.Change}
+		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, StartedMs: l.Born}, Rate: l.Rate, Change: l.Change}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +63,7 @@
 	defer t.mu.Unlock()
 	var out []wire.TargetLimit
 	for _, r := range t.l.Reports() {
-		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.Born, Rate: r.Rate, Change: r.Change})
+		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.StartedMs, Rate: r.Rate, Change: r.Change})
 	}
 	return out
 }
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -119,7 +119,7 @@
 	p.settings.RetryReserve, p.settings.RetryRatio = 6, 1
 	prompts := routing.Route{
 		Name: "prompts", Host: "h", Prefix: "/", Kind: routing.Stream, Resumable: true, MaxAttempts: 2,
-		Split: []routing.Weighted{{Service: "engines", Weight: 1}},
+		Split: []routing.WeightedService{{Service: "engines", Weight: 1}},
 	}
 	config := *p.table.Load().Config()
 	config.Routes = []routing.Route{prompts}
@@ -133,7 +133,7 @@
 	budget := p.budget("engines")
 	budget.SetReserve(6)
 	for range 100 {
-		budget.Request()
+		budget.AddRequest()
 	}
 	moved := 0
 	for range 20 {
@@ -145,13 +145,13 @@
 	}
 	is.True(moved > 0)
 	is.True(moved < 6)
-	is.True(budget.Saved() >= 1) // some are left for failures
+	is.True(budget.Available() >= 1) // some are left for failures
 	for range 100 {
-		budget.Request()
+		budget.AddRequest()
 	}
 	// Guards against a stream that is ended though its key or route is gone.
 	config.Routes = nil
 	p.table.Store(routing.NewTable(&config))
 	is.True(!p.mobility(newCall()).resumable())
-	is.Equal(budget.Saved(), 6.0)
+	is.Equal(budget.Available(), 6.0)
 }
--- a/internal/overload/breaker.go
+++ b/internal/overload/breaker.go
@@ -17,8 +17,8 @@
 	// each failed probe up to MaxWait. Defaults 250ms and 10s.
 	FirstWait time.Duration
 	MaxWait   time.Duration
-	// FullAt is how many requests in flight end the slow start; default 32.
-	FullAt int
+	// SlowStartLimit is how many requests in flight end the slow start; default 32.
+	SlowStartLimit int
 }
 
 func (c BreakerConfig) withDefaults() BreakerConfig {
@@ -27,7 +27,7 @@
 	setDefault(&c.FailureRatio, 0.5)
 	setDefault(&c.FirstWait, 250*time.Millisecond)
 	setDefault(&c.MaxWait, 10*time.Second)
-	setDefault(&c.FullAt, 32)
+	setDefault(&c.SlowStartLimit, 32)
 	return c
 }
 
@@ -163,7 +163,7 @@
 		b.state, b.limit = SlowStart, 1
 	}
 	b.limit++
-	if b.limit > b.cfg.FullAt {
+	if b.limit > b.cfg.SlowStartLimit {
 		b.state, b.wait = Closed, b.cfg.FirstWait
 		b.counts = [2]tally{}
 	}
@@ -206,9 +206,9 @@
 	}
 }
 
-// Returned tells that the target answers as a new incarnation, with an empty
+// Restarted tells that the target answers as a new incarnation, with an empty
 // cache: it starts slowly, also when it failed nobody's request.
-func (b *Breaker) Returned() {
+func (b *Breaker) Restarted() {
 	b.state, b.limit, b.inFlight = SlowStart, 1, 0
 	b.round++
 }
--- a/internal/overload/breaker_test.go
+++ b/internal/overload/breaker_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	d := newDriver(1)
 	d.run(time.Second, Succeeded)
-	d.b.Returned()
+	d.b.Restarted()
 	is.Equal(d.run(100*time.Millisecond, Succeeded), 1)
 	d.run(time.Second, Succeeded)
 	is.Equal(d.b.State(), Closed)
@@ -109,7 +109,7 @@
 func TestFewFailuresDoNotStopTheSlowStart(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
-	d.b.Returned()
+	d.b.Restarted()
 	for i := 0; i < 400 && d.b.State() != Closed; i++ {
 		r := Succeeded
 		if i%20 == 19 {
@@ -142,7 +142,7 @@
 // and never counts below zero.
 func TestBreakerKeepsItsLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := NewBreaker(BreakerConfig{FullAt: 4})
+		b := NewBreaker(BreakerConfig{SlowStartLimit: 4})
 		rng := rand.New(rand.NewPCG(1, 1))
 		var now time.Duration
 		var open []Ticket
@@ -165,7 +165,7 @@
 				now += time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond
 			case 5:
 				if rapid.Bool().Draw(rt, "returned") {
-					b.Returned()
+					b.Restarted()
 				} else {
 					b.Unreachable(now, rng)
 				}
--- a/internal/overload/sharedbudget.go
+++ b/internal/overload/sharedbudget.go
@@ -2,47 +2,47 @@
 
 import "sync"
 
-// SharedBudget is a Budget that is safe for concurrent use.
-type SharedBudget struct {
+// SharedRetryBudget is a Budget that is safe for concurrent use.
+type SharedRetryBudget struct {
 	mu sync.Mutex
-	b  *Budget
+	b  *RetryBudget
 }
 
-// NewSharedBudget makes one as NewBudget does.
-func NewSharedBudget(ratio, reserve, start float64) *SharedBudget {
-	return &SharedBudget{b: NewBudget(ratio, reserve, start)}
+// NewSharedRetryBudget makes one as NewBudget does.
+func NewSharedRetryBudget(ratio, reserve, start float64) *SharedRetryBudget {
+	return &SharedRetryBudget{b: NewRetryBudget(ratio, reserve, start)}
 }
 
-// Request counts a request at its first attempt.
-func (s *SharedBudget) Request() {
+// AddRequest counts a request at its first attempt.
+func (s *SharedRetryBudget) AddRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.b.Request()
+	s.b.AddRequest()
 }
 
-// Repeat takes one repeated attempt from the budget; false when it is spent.
-func (s *SharedBudget) Repeat() bool {
+// TakeRetry takes one repeated attempt from the budget; false when it is spent.
+func (s *SharedRetryBudget) TakeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Repeat()
+	return s.b.TakeRetry()
 }
 
-// RepeatAbove takes one repeated attempt if at least a reserve is left then.
-func (s *SharedBudget) RepeatAbove(reserve float64) bool {
+// TakeRetryAbove takes one repeated attempt if at least a reserve is left then.
+func (s *SharedRetryBudget) TakeRetryAbove(reserve float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.RepeatAbove(reserve)
+	return s.b.TakeRetryAbove(reserve)
 }
 
-// Saved is the attempts that could be repeated now.
-func (s *SharedBudget) Saved() float64 {
+// Available is the attempts that could be repeated now.
+func (s *SharedRetryBudget) Available() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Saved()
+	return s.b.Available()
 }
 
 // SetReserve changes the most that is saved up.
-func (s *SharedBudget) SetReserve(reserve float64) {
+func (s *SharedRetryBudget) SetReserve(reserve float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.b.SetReserve(reserve)
--- a/internal/overload/silence.go
+++ b/internal/overload/silence.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Silence notices a target that stopped answering without closing its
+// StallDetector notices a target that stopped answering without closing its
 // connections, as when its machine loses power or a link is cut. Requests sent
 // there would wait until their deadlines. It is not safe for concurrent use.
-type Silence struct {
+type StallDetector struct {
 	// progressAt is when something of an answer came last.
 	progressAt time.Duration
 	open       map[uint64]openLeg
@@ -29,7 +29,7 @@
 )
 
 // Begin notes a request that is sent and gives its number.
-func (s *Silence) Begin(now time.Duration) uint64 {
+func (s *StallDetector) Begin(now time.Duration) uint64 {
 	if s.open == nil {
 		s.open = map[uint64]openLeg{}
 	}
@@ -39,7 +39,7 @@
 }
 
 // Progress notes that something of a request's answer came.
-func (s *Silence) Progress(now time.Duration, n uint64) {
+func (s *StallDetector) Progress(now time.Duration, n uint64) {
 	s.progressAt = now
 	if leg, ok := s.open[n]; ok && !leg.streaming {
 		leg.streaming = true
@@ -48,15 +48,15 @@
 }
 
 // AnsweredSince says whether something of an answer came after that time.
-func (s *Silence) AnsweredSince(at time.Duration) bool { return s.progressAt > at }
+func (s *StallDetector) AnsweredSince(at time.Duration) bool { return s.progressAt > at }
 
 // End notes that a request is over.
-func (s *Silence) End(n uint64) { delete(s.open, n) }
+func (s *StallDetector) End(n uint64) { delete(s.open, n) }
 
-// Gone says that the target has been silent for too long while it had
+// Stalled says that the target has been silent for too long while it had
 // requests to answer. Time before the oldest of them does not count: nothing
 // was to come then.
-func (s *Silence) Gone(now time.Duration) bool {
+func (s *StallDetector) Stalled(now time.Duration) bool {
 	oldest, limit := now, waitSilence
 	for _, leg := range s.open {
 		oldest = min(oldest, leg.sent)
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -30,7 +30,7 @@
 	Candidates []ExplainedTarget `json:"candidates"`
 	Rejected   []ExplainedTarget `json:"rejected,omitempty"`
 	Winner     string            `json:"winner,omitempty"`
-	Why        string            `json:"why"`
+	Reason     string            `json:"why"`
 }
 
 // Explain decides as Pick does and reports every candidate and rejection.
@@ -47,11 +47,11 @@
 		}
 	}
 	if err != nil {
-		e.Why = "every target is rejected by a filter"
+		e.Reason = "every target is rejected by a filter"
 		return e
 	}
 	e.Winner = p.pool.targets[d.Index].Name
-	e.Why = p.why(d)
+	e.Reason = p.why(d)
 	return e
 }
 
--- a/internal/placement/herd_test.go
+++ b/internal/placement/herd_test.go
@@ -108,7 +108,7 @@
 	for _, pool := range h.pools {
 		for i := range herdTargets {
 			t := pool.Target(i)
-			t.Load.Peers(all[i] - t.Load.Unanswered())
+			t.Load.SetPeerUnanswered(all[i] - t.Load.Unanswered())
 		}
 	}
 }
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -73,10 +73,10 @@
 // Unanswered is the own work whose first token has not come, in prompt tokens.
 func (l *Load) Unanswered() float64 { return l.unanswered }
 
-// Park counts work that waits at this instance for the target. It lengthens
+// AddPending counts work that waits at this instance for the target. It lengthens
 // the queue that later requests see, so that a hot prefix widens while its
 // requests are still held here.
-func (l *Load) Park(tokens float64) { l.parked += tokens }
+func (l *Load) AddPending(tokens float64) { l.parked += tokens }
 
 // Reset forgets the load of a target that came back as a new incarnation.
 func (l *Load) Reset(now time.Duration) {
@@ -86,13 +86,13 @@
 // Queued estimates the prompt tokens that a new request would wait for, given
 // the target's prefill rate in tokens a second.
 func (l *Load) Queued(now time.Duration, rate float64) float64 {
-	return l.Given(now, rate) + l.parked
+	return l.QueuedAtTarget(now, rate) + l.parked
 }
 
-// Given estimates the prompt tokens waiting at the target itself. Work counts
+// QueuedAtTarget estimates the prompt tokens waiting at the target itself. Work counts
 // until its first token came, also when it should have been prefilled by now:
 // then other work, which no report has told of yet, is ahead of it.
-func (l *Load) Given(now time.Duration, rate float64) float64 {
+func (l *Load) QueuedAtTarget(now time.Duration, rate float64) float64 {
 	queue, at := l.queued, l.asOf
 	for _, s := range l.sent[:l.n] {
 		queue = drained(queue, s.at-at, rate) + s.tokens
@@ -101,10 +101,10 @@
 	return max(drained(queue, now-at, rate), l.unanswered+l.peers)
 }
 
-// Peers takes in the unanswered work of other instances at the target. It
+// SetPeerUnanswered takes in the unanswered work of other instances at the target. It
 // counts in full until they tell of less: taken for drained at the target's
 // rate, each instance would fill up what another's work still takes.
-func (l *Load) Peers(tokens float64) { l.peers = tokens }
+func (l *Load) SetPeerUnanswered(tokens float64) { l.peers = tokens }
 
 func drained(queue float64, d time.Duration, rate float64) float64 {
 	if d <= 0 {
--- a/internal/placement/outstanding.go
+++ b/internal/placement/outstanding.go
@@ -57,10 +57,10 @@
 	return 1
 }
 
-// SlowStart is the part of its full rate that a target is trusted with some
+// SlowStartFactor is the part of its full rate that a target is trusted with some
 // time after it came back with empty caches: it rises in a straight line from
 // slowStartFloor to 1 over slowStartTime.
-func SlowStart(sinceReturn time.Duration) float64 {
+func SlowStartFactor(sinceReturn time.Duration) float64 {
 	if sinceReturn >= slowStartTime {
 		return 1
 	}
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -66,12 +66,12 @@
 	return seconds(tokens, p.pool.targets[0].rate())
 }
 
-// CaughtUp tells the picker that this process follows the targets' cache
+// SetCacheStateKnown tells the picker that this process follows the targets' cache
 // events and knows what they held before.
-func (p *Picker) CaughtUp() { p.caughtUp = true }
+func (p *Picker) SetCacheStateKnown() { p.caughtUp = true }
 
-// KnowsCaches reports whether CaughtUp was called.
-func (p *Picker) KnowsCaches() bool { return p.caughtUp }
+// CacheStateKnown reports whether CaughtUp was called.
+func (p *Picker) CacheStateKnown() bool { return p.caughtUp }
 
 // Pick chooses a target. It allocates nothing. The random source breaks near
 // ties, so that instances with the same view do not all choose the same one.
@@ -90,10 +90,10 @@
 func (p *Picker) decision(now time.Duration, r *Request, c *Candidate) Decision {
 	t := &p.pool.targets[c.Index]
 	rate := t.rate()
-	missing := float64(r.PromptTokens - r.LeadingTokens(max(c.CachedPieces, r.Elsewhere)))
-	uncached := max(0, missing-trustedShare*c.TrustedTokens)
-	if p.options.Work != nil {
-		uncached = p.options.Work(float64(r.PromptTokens), uncached)
+	missing := float64(r.PromptTokens - r.LeadingTokens(max(c.CachedPieces, r.FetchablePieces)))
+	uncached := max(0, missing-trustedShare*c.AssumedCachedTokens)
+	if p.options.EquivalentTokens != nil {
+		uncached = p.options.EquivalentTokens(float64(r.PromptTokens), uncached)
 	}
 	queued := seconds(t.Load.Queued(now, rate), rate)
 	return Decision{
@@ -122,21 +122,21 @@
 
 // findElsewhere sets how many leading pieces can be fetched from some target.
 func (p *Picker) findElsewhere(r *Request) {
-	r.Elsewhere = 0
+	r.FetchablePieces = 0
 	if p.options.TransferTokensPerSecond <= 0 || len(r.Chain) == 0 {
 		return
 	}
 	for i := range p.pool.targets {
-		if p.pool.rejected[i] == 0 && r.Elsewhere < len(r.Chain) {
-			r.Elsewhere = max(r.Elsewhere, p.index.Cached(p.pool.targets[i].Cache, r.Chain))
+		if p.pool.rejected[i] == 0 && r.FetchablePieces < len(r.Chain) {
+			r.FetchablePieces = max(r.FetchablePieces, p.index.Cached(p.pool.targets[i].Cache, r.Chain))
 		}
 	}
 }
 
-// Source is the target to fetch pieces from that the chosen one lacks: the one
+// FetchSource is the target to fetch pieces from that the chosen one lacks: the one
 // of the same weights that holds most, in the chosen one's domain where that
 // is equal, and how many leading pieces it holds. False when none holds more.
-func (p *Picker) Source(d Decision, r *Request) (index, pieces int, ok bool) {
+func (p *Picker) FetchSource(d Decision, r *Request) (index, pieces int, ok bool) {
 	to := &p.pool.targets[d.Index]
 	best, most, near := -1, d.CachedPieces, false
 	for i := range p.pool.targets {
@@ -155,7 +155,7 @@
 // anchor is the rendezvous key of a request. A prompt without a full piece
 // has nothing to find again and may go anywhere.
 func (p *Picker) anchor(r *Request, rng *rand.Rand) prefix.Hash {
-	n := min(len(r.Chain), p.options.AnchorPieces)
+	n := min(len(r.Chain), p.options.AffinityPieces)
 	if n == 0 {
 		return prefix.Hash(rng.Uint64())
 	}
@@ -167,7 +167,7 @@
 	c.CachedPieces = p.index.Cached(t.Cache, r.Chain)
 	if c.Rank == 0 {
 		full := float64(r.fullTokens())
-		c.TrustedTokens = max(0, p.trust()*full-float64(r.LeadingTokens(max(c.CachedPieces, r.Elsewhere))))
+		c.AssumedCachedTokens = max(0, p.trust()*full-float64(r.LeadingTokens(max(c.CachedPieces, r.FetchablePieces))))
 	}
 	for i, s := range p.scorers {
 		c.Terms[i] = s.Cost(now, r, t, c)
@@ -183,9 +183,9 @@
 // counted on to hold.
 func (p *Picker) trust() float64 {
 	if p.caughtUp {
-		return p.options.HomeTrust
+		return p.options.HomeCachedFraction
 	}
-	return p.options.UnseenTrust
+	return p.options.UnobservedHomeCachedFraction
 }
 
 // choose draws one of the candidates within nearTie of the best.
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -42,7 +42,7 @@
 		t.Cache = f.index.Observe(0, identity(t))
 	}
 	f.picker = NewPicker(f.pool, f.index, DefaultOptions())
-	f.picker.CaughtUp()
+	f.picker.SetCacheStateKnown()
 	return f
 }
 
@@ -91,7 +91,7 @@
 		first[key] = f.pick(t, request(key, 5)).Index
 	}
 	f.pool.Target(gone).Draining = true
-	f.pool.Changed(gone)
+	f.pool.ApplyFilters(gone)
 	for key, was := range first {
 		now := f.pick(t, request(key, 5)).Index
 		is.True(now != gone)
@@ -112,13 +112,13 @@
 			is := is.New(t)
 			f := newFixture(2)
 			set(f.pool.Target(0))
-			f.pool.Changed(0)
+			f.pool.ApplyFilters(0)
 			is.Equal(f.pool.RejectedBy(0), []string{name})
 			for key := range uint64(20) {
 				is.Equal(f.pick(t, request(key, 3)).Index, 1)
 			}
 			set(f.pool.Target(1))
-			f.pool.Changed(1)
+			f.pool.ApplyFilters(1)
 			_, err := f.picker.Pick(0, request(1, 3), f.rng)
 			is.Equal(err, ErrNoTarget)
 		})
@@ -169,7 +169,7 @@
 	r := request(1, 1)
 	r.PromptTokens = testPieceTokens
 	is.Equal(s.Cost(0, r, &target, &Candidate{}), 400*time.Millisecond) // nobody holds it
-	r.Elsewhere = 1
+	r.FetchablePieces = 1
 	is.Equal(s.Cost(0, r, &target, &Candidate{}), 50*time.Millisecond) // recomputing takes 400 ms
 }
 
@@ -177,13 +177,13 @@
 	is := is.New(t)
 	f := newFixture(4)
 	f.pool.Target(2).Draining = true
-	f.pool.Changed(2)
+	f.pool.ApplyFilters(2)
 	e := f.picker.Explain(0, request(1, 3), f.rng)
 	is.Equal(len(e.Candidates), 3)
 	is.Equal(e.Rejected[0].Target, "target-2")
 	is.Equal(e.Rejected[0].RejectedBy, []string{"draining"})
 	is.Equal(e.Winner, e.Candidates[0].Target)
-	is.True(e.Why != "")
+	is.True(e.Reason != "")
 }
 
 func TestPickDoesNotAllocate(t *testing.T) {
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -27,7 +27,7 @@
 	for i := range targets {
 		p.byName[targets[i].Name] = i
 		p.seeds[i] = targetSeed(targets[i].Name)
-		p.Changed(i)
+		p.ApplyFilters(i)
 	}
 	return p
 }
@@ -45,8 +45,8 @@
 	return i, ok
 }
 
-// Changed runs the filters again for one target.
-func (p *Pool) Changed(i int) {
+// ApplyFilters runs the filters again for one target.
+func (p *Pool) ApplyFilters(i int) {
 	t := &p.targets[i]
 	t.rejectedBy = 0
 	for bit, f := range p.filters {
@@ -57,19 +57,19 @@
 	p.rejected[i] = t.rejectedBy
 }
 
-// Want sets the version that targets should serve.
-func (p *Pool) Want(version string) {
+// SetDesiredVersion sets the version that targets should serve.
+func (p *Pool) SetDesiredVersion(version string) {
 	if p.wanted == version {
 		return
 	}
 	p.wanted = version
 	for i := range p.targets {
-		p.Changed(i)
+		p.ApplyFilters(i)
 	}
 }
 
-// Live counts the targets that no filter rejects.
-func (p *Pool) Live() int {
+// EligibleCount counts the targets that no filter rejects.
+func (p *Pool) EligibleCount() int {
 	n := 0
 	for _, r := range p.rejected {
 		if r == 0 {
@@ -93,8 +93,8 @@
 	return names
 }
 
-// Unpark forgets the work counted as waiting at this instance.
-func (p *Pool) Unpark() {
+// ClearPending forgets the work counted as waiting at this instance.
+func (p *Pool) ClearPending() {
 	for i := range p.targets {
 		p.targets[i].Load.parked = 0
 	}
@@ -120,5 +120,5 @@
 func (p *Pool) Backlog(i int, now time.Duration) time.Duration {
 	t := &p.targets[i]
 	rate := t.rate()
-	return seconds(t.Load.Given(now, rate), rate)
+	return seconds(t.Load.QueuedAtTarget(now, rate), rate)
 }
--- a/internal/placement/rendezvous.go
+++ b/internal/placement/rendezvous.go
@@ -57,9 +57,9 @@
 	list[at] = r
 }
 
-// Order is the indexes of the usable targets in rendezvous order of the key.
+// RendezvousOrder is the indexes of the usable targets in rendezvous order of the key.
 // It is for tools; decisions use a Picker.
-func Order(key prefix.Hash, names []string, usable []bool) []int {
+func RendezvousOrder(key prefix.Hash, names []string, usable []bool) []int {
 	rejected := make([]Rejection, len(names))
 	seeds := make([]uint64, len(names))
 	for i, name := range names {
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -14,9 +14,9 @@
 	PieceEnds []int
 	// PromptTokens counts the whole prompt, at least len(Chain)*PieceTokens.
 	PromptTokens int
-	// Elsewhere is the leading pieces that some usable target holds, from
+	// FetchablePieces is the leading pieces that some usable target holds, from
 	// which the chosen one can fetch them. The picker sets it.
-	Elsewhere int
+	FetchablePieces int
 	// HeldTokens is the target's memory that the request takes while it runs,
 	// in tokens.
 	HeldTokens int
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -14,9 +14,9 @@
 	Rank int
 	// CachedPieces is the number of leading pieces known to be held.
 	CachedPieces int
-	// TrustedTokens is the further prompt tokens that the first target in
+	// AssumedCachedTokens is the further prompt tokens that the first target in
 	// rendezvous order is counted on to hold, though nothing is known.
-	TrustedTokens float64
+	AssumedCachedTokens float64
 	// Terms has one addend for each scorer, in order.
 	Terms [maxScorers]time.Duration
 	// Cost is the expected time to first token.
--- a/internal/placement/score_home.go
+++ b/internal/placement/score_home.go
@@ -12,5 +12,5 @@
 func (homeScorer) Name() string { return "home" }
 
 func (s homeScorer) Cost(_ time.Duration, r *Request, t *Target, c *Candidate) time.Duration {
-	return -time.Duration(r.factor(s.factor) * float64(seconds(c.TrustedTokens, t.rate())))
+	return -time.Duration(r.factor(s.factor) * float64(seconds(c.AssumedCachedTokens, t.rate())))
 }
--- a/internal/placement/score_prefill.go
+++ b/internal/placement/score_prefill.go
@@ -15,7 +15,7 @@
 
 func (s prefillScorer) Cost(_ time.Duration, r *Request, t *Target, c *Candidate) time.Duration {
 	rest := float64(r.PromptTokens - r.fullTokens())
-	held := max(c.CachedPieces, r.Elsewhere)
+	held := max(c.CachedPieces, r.FetchablePieces)
 	missing := float64(r.fullTokens() - r.LeadingTokens(held))
 	moved := float64(r.LeadingTokens(held) - r.LeadingTokens(c.CachedPieces))
 	rate, factor := t.rate(), r.factor(s.factor)
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -19,9 +19,9 @@
 	PrefillTokensPerSecond float64
 	// Load is the last load report, corrected by this instance's own work.
 	Load Load
-	// SlowStart is the part of its prefill rate that a target back from a
+	// SlowStartFactor is the part of its prefill rate that a target back from a
 	// crash is trusted with, over 0 up to 1. Zero counts as 1.
-	SlowStart float64
+	SlowStartFactor float64
 
 	// Limit is how many requests the target may have in flight from this
 	// instance, InFlight how many it has; a Limit of 0 allows any number.
@@ -74,8 +74,8 @@
 	if r <= 0 {
 		r = defaultPrefillRate
 	}
-	if t.SlowStart > 0 && t.SlowStart < 1 {
-		r *= t.SlowStart
+	if t.SlowStartFactor > 0 && t.SlowStartFactor < 1 {
+		r *= t.SlowStartFactor
 	}
 	return r
 }
--- a/internal/prefix/join.go
+++ b/internal/prefix/join.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Join is the hash of a piece, known by a name of its own, behind a chain that
+// Extend is the hash of a piece, known by a name of its own, behind a chain that
 // ends with prev.
-func Join(prev, piece Hash) Hash {
+func Extend(prev, piece Hash) Hash {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(prev))
 	binary.LittleEndian.PutUint64(b[8:], uint64(piece))
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -43,7 +43,7 @@
 	// Priority ranks the route's requests; 0 is the most urgent.
 	Priority int
 	// Split shares the requests out over services.
-	Split []Weighted
+	Split []WeightedService
 	// MaxAttempts is the most targets that one request may be sent to.
 	MaxAttempts int
 	// Anonymous routes take requests without a key.
@@ -57,8 +57,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Weighted is one service's part of a route.
-type Weighted struct {
+// WeightedService is one service's part of a route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -79,13 +79,13 @@
 	return a, ok
 }
 
-// NeedsKey says whether requests of the route must bear a key.
-func (t *Table) NeedsKey(r *Route) bool {
+// RequiresKey says whether requests of the route must bear a key.
+func (t *Table) RequiresKey(r *Route) bool {
 	return len(t.accounts) > 0 && !r.Anonymous
 }
 
-// KeyHolder finds the account that holds a key, by the key's hash.
-func (t *Table) KeyHolder(hash string) (*Account, bool) {
+// AccountByKeyHash finds the account that holds a key, by the key's hash.
+func (t *Table) AccountByKeyHash(hash string) (*Account, bool) {
 	a, ok := t.byKey[hash]
 	if !ok {
 		return nil, false
@@ -103,8 +103,8 @@
 // HashKey is the hash that KeyHolder takes.
 func HashKey(key string) string { return keys.Hash(key) }
 
-// Choose draws one of the route's services by weight.
-func (r *Route) Choose(rng *rand.Rand) string {
+// ChooseService draws one of the route's services by weight.
+func (r *Route) ChooseService(rng *rand.Rand) string {
 	total := 0
 	for _, w := range r.Split {
 		total += w.Weight
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -11,7 +11,7 @@
 	return NewTable(&Config{
 		Version: 1,
 		Routes: []Route{
-			{Name: "short", Host: "a.example", Prefix: "/x/", Split: []Weighted{{"s1", 3}, {"s2", 1}}},
+			{Name: "short", Host: "a.example", Prefix: "/x/", Split: []WeightedService{{"s1", 3}, {"s2", 1}}},
 			{Name: "long", Host: "a.example", Prefix: "/x/y/", Anonymous: true},
 			{Name: "other", Host: "b.example", Prefix: "/"},
 		},
@@ -44,15 +44,15 @@
 func TestKeysAndLookups(t *testing.T) {
 	is := is.New(t)
 	table := testTable()
-	a, ok := table.KeyHolder(HashKey("k2"))
+	a, ok := table.AccountByKeyHash(HashKey("k2"))
 	is.True(ok)
 	is.Equal(a.Name, "acc")
-	_, ok = table.KeyHolder(HashKey("k3"))
+	_, ok = table.AccountByKeyHash(HashKey("k3"))
 	is.True(!ok)
 	short, _ := table.Match("a.example", "/x/1")
 	long, _ := table.Match("a.example", "/x/y/1")
-	is.True(table.NeedsKey(short))
-	is.True(!table.NeedsKey(long))
+	is.True(table.RequiresKey(short))
+	is.True(!table.RequiresKey(long))
 	_, ok = table.Service("s1")
 	is.True(ok)
 	_, ok = table.Account("acc")
@@ -65,11 +65,11 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	n := map[string]int{}
 	for range 4000 {
-		n[r.Choose(rng)]++
+		n[r.ChooseService(rng)]++
 	}
 	is.True(n["s1"] > 2900 && n["s1"] < 3100)
 	is.Equal(n["s1"]+n["s2"], 4000)
-	is.Equal((&Route{}).Choose(rng), "")
+	is.Equal((&Route{}).ChooseService(rng), "")
 }
 
 func TestRepeatable(t *testing.T) {
--- a/internal/servicetime/servicetime.go
+++ b/internal/servicetime/servicetime.go
@@ -31,13 +31,13 @@
 
 // Sample is one first token.
 type Sample struct {
-	// At is when it came, Took the time since the request was sent.
-	At, Took time.Duration
-	// Prompt is the tokens of the prompt, Uncached those of them that the
+	// At is when it came, Elapsed the time since the request was sent.
+	At, Elapsed time.Duration
+	// PromptTokens is the tokens of the prompt, UncachedTokens those of them that the
 	// target is expected to have prefilled.
-	Prompt, Uncached float64
-	// Alone is set where nothing is known of other work at the target.
-	Alone bool
+	PromptTokens, UncachedTokens float64
+	// NoOtherWork is set where nothing is known of other work at the target.
+	NoOtherWork bool
 }
 
 // Estimator is what is known of one pool. It is not safe for concurrent use.
@@ -70,16 +70,16 @@
 	return e.rate
 }
 
-// Work is the tokens that a prefill counts as at the rate of short prompts.
-func (e *Estimator) Work(prompt, uncached float64) float64 {
+// EquivalentTokens is the tokens that a prefill counts as at the rate of short prompts.
+func (e *Estimator) EquivalentTokens(prompt, uncached float64) float64 {
 	return uncached * (1 + e.curve*context(prompt, uncached))
 }
 
 // context is the tokens before a prefilled one, on average.
 func context(prompt, uncached float64) float64 { return max(0, prompt-uncached/2) }
 
-// Forget drops what is known of targets that are gone.
-func (e *Estimator) Forget(there func(target string) bool) {
+// Retain drops what is known of targets that are gone.
+func (e *Estimator) Retain(there func(target string) bool) {
 	for t := range e.rates {
 		if !there(t) {
 			delete(e.rates, t)
@@ -90,21 +90,21 @@
 // Observe takes in a first token of a target.
 func (e *Estimator) Observe(target string, s Sample) {
 	rate := e.Rate(target)
-	if s.Uncached < minTokens {
-		prefill := time.Duration(e.Work(s.Prompt, s.Uncached) / rate * float64(time.Second))
-		e.observeLatency(s.At, max(time.Millisecond, s.Took-prefill))
+	if s.UncachedTokens < minTokens {
+		prefill := time.Duration(e.EquivalentTokens(s.PromptTokens, s.UncachedTokens) / rate * float64(time.Second))
+		e.observeLatency(s.At, max(time.Millisecond, s.Elapsed-prefill))
 		return
 	}
-	took := (s.Took - e.latency).Seconds()
-	if !s.Alone || took <= 0 {
+	took := (s.Elapsed - e.latency).Seconds()
+	if !s.NoOtherWork || took <= 0 {
 		return
 	}
-	if s.Uncached >= longTokens {
-		curve := (took*rate/s.Uncached - 1) / context(s.Prompt, s.Uncached)
+	if s.UncachedTokens >= longTokens {
+		curve := (took*rate/s.UncachedTokens - 1) / context(s.PromptTokens, s.UncachedTokens)
 		e.curve = min(maxCurve, follow(e.curve, max(0, curve), curve < e.curve))
 		return
 	}
-	measured := e.Work(s.Prompt, s.Uncached) / took
+	measured := e.EquivalentTokens(s.PromptTokens, s.UncachedTokens) / took
 	e.rates[target] = min(maxFactor*e.rate, max(e.rate/maxFactor, follow(rate, measured, measured > rate)))
 }
 
--- a/internal/servicetime/servicetime_test.go
+++ b/internal/servicetime/servicetime_test.go
@@ -24,12 +24,12 @@
 // nobody knows of.
 func observe(e *Estimator, target string, at engine, n int) {
 	for i := range n {
-		s := Sample{At: time.Duration(i) * 50 * time.Millisecond, Alone: true}
-		s.Prompt = []float64{300, 3000, 5000, 12000, 25000}[i%5]
-		s.Uncached = s.Prompt
-		s.Took = at.took(s.Prompt, s.Uncached)
+		s := Sample{At: time.Duration(i) * 50 * time.Millisecond, NoOtherWork: true}
+		s.PromptTokens = []float64{300, 3000, 5000, 12000, 25000}[i%5]
+		s.UncachedTokens = s.PromptTokens
+		s.Elapsed = at.took(s.PromptTokens, s.UncachedTokens)
 		if i%3 == 0 {
-			s.Took += 150 * time.Millisecond
+			s.Elapsed += 150 * time.Millisecond
 		}
 		e.Observe(target, s)
 	}
@@ -52,8 +52,8 @@
 	is.True(within(e.Latency().Seconds(), fast.latency.Seconds(), 0.15))
 	is.True(within(e.Rate("fast"), fast.rate, 0.2))
 	is.True(within(e.Rate("slow"), slow.rate, 0.2))
-	is.True(within(e.Work(25_000, 25_000), 25_000*(1+fast.curve*12_500), 0.2))
-	e.Forget(func(target string) bool { return target == "fast" })
+	is.True(within(e.EquivalentTokens(25_000, 25_000), 25_000*(1+fast.curve*12_500), 0.2))
+	e.Retain(func(target string) bool { return target == "fast" })
 	is.Equal(e.Rate("slow"), 80_000.0)
 }
 
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	e := New(80_000)
 	for i := range 100 {
-		e.Observe("t", Sample{At: time.Duration(i) * time.Second, Took: 2 * time.Second, Prompt: 5000, Uncached: 5000})
+		e.Observe("t", Sample{At: time.Duration(i) * time.Second, Elapsed: 2 * time.Second, PromptTokens: 5000, UncachedTokens: 5000})
 	}
 	is.Equal(e.Rate("t"), 80_000.0)
 }
--- a/internal/storeindex/index.go
+++ b/internal/storeindex/index.go
@@ -117,5 +117,5 @@
 }
 
 func key(scope string, piece prefix.Hash) uint64 {
-	return uint64(prefix.Join(prefix.Hash(xxhash.Sum64String(scope)), piece))
+	return uint64(prefix.Extend(prefix.Hash(xxhash.Sum64String(scope)), piece))
 }
--- a/internal/targetlimit/limits.go
+++ b/internal/targetlimit/limits.go
@@ -226,7 +226,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Report) int {
-		return cmp.Or(cmp.Compare(a.Target.ID, b.Target.ID), cmp.Compare(a.Target.Born, b.Target.Born))
+		return cmp.Or(cmp.Compare(a.Target.ID, b.Target.ID), cmp.Compare(a.Target.StartedMs, b.Target.StartedMs))
 	})
 	return out
 }
--- a/internal/targetlimit/limits_test.go
+++ b/internal/targetlimit/limits_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-var one = directory.Incarnation{ID: "one", Born: 1}
+var one = directory.Incarnation{ID: "one", StartedMs: 1}
 
 // alone is an instance that has found that it is the only one.
 func alone() *Limits {
--- a/internal/weights/planner_property_test.go
+++ b/internal/weights/planner_property_test.go
@@ -94,7 +94,7 @@
 	switch rapid.IntRange(0, 60).Draw(rt, "trouble") {
 	case 0:
 		x := w.targets[rapid.IntRange(0, len(w.targets)-1).Draw(rt, "target")]
-		x.reg.Born++
+		x.reg.StartedMs++
 		x.loading, x.accepted = 0, 0
 	case 1:
 		// By the time that another one has the lease, registrations are up to date.
--- a/internal/weights/planner_test.go
+++ b/internal/weights/planner_test.go
@@ -60,7 +60,7 @@
 	w := &world{planner: New(DefaultSettings()), loadTime: testLoad, source: n}
 	for i := range n {
 		w.targets = append(w.targets, &target{version: 1, reg: directory.Registration{
-			ID: fmt.Sprintf("t%02d", i), Service: "s", Domain: fmt.Sprintf("d%d", i%3), Born: 1,
+			ID: fmt.Sprintf("t%02d", i), Service: "s", Domain: fmt.Sprintf("d%d", i%3), StartedMs: 1,
 			State: directory.Ready, Versions: map[string]int64{"m": 1},
 		}})
 	}
@@ -227,7 +227,7 @@
 	}
 	x := w.targets[0]
 	is.Equal(x.loading, int64(2))
-	x.loading, x.accepted, x.reg.Born = 0, 0, 2
+	x.loading, x.accepted, x.reg.StartedMs = 0, 0, 2
 	is.True(w.until(2, 5*time.Second))
 }
 
