--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Term is one scorer's addend.
+// Term is the contribution of one scorer to a candidate's cost.
 type Term struct {
 	Scorer string        `json:"scorer"`
 	Cost   time.Duration `json:"cost_ns"`
 }
 
-// ExplainedTarget is one target's part in a decision.
+// ExplainedTarget describes how one target was assessed in a decision.
 type ExplainedTarget struct {
 	Target string `json:"target"`
 	Domain string `json:"domain"`
-	// RejectedBy names the filters that took the target out.
+	// RejectedBy names the filters that rejected the target.
 	RejectedBy   []string      `json:"rejected_by,omitempty"`
 	Rank         int           `json:"rank"`
 	CachedPieces int           `json:"cached_pieces"`
@@ -24,7 +24,7 @@
 	Cost         time.Duration `json:"cost_ns"`
 }
 
-// Explanation says how a decision came about.
+// Explanation describes how a decision was made.
 type Explanation struct {
 	Pieces     int               `json:"pieces"`
 	Candidates []ExplainedTarget `json:"candidates"`
@@ -33,12 +33,13 @@
 	Reason     string            `json:"why"`
 }
 
-// Explain decides as Pick does and reports every candidate and rejection.
+// Explain makes the same decision as Pick and reports every candidate and every
+// rejected target.
 func (p *Picker) Explain(now time.Duration, r *Request, rng *rand.Rand) Explanation {
 	d, err := p.Pick(now, r, rng)
 	e := Explanation{Pieces: len(r.Chain), Candidates: []ExplainedTarget{}}
 	for i := range p.scored {
-		e.Candidates = append(e.Candidates, p.explained(&p.scored[i]))
+		e.Candidates = append(e.Candidates, p.explainTarget(&p.scored[i]))
 	}
 	for i := range p.pool.targets {
 		if names := p.pool.RejectedBy(i); names != nil {
@@ -51,11 +52,13 @@
 		return e
 	}
 	e.Winner = p.pool.targets[d.Index].Name
-	e.Reason = p.why(d)
+	e.Reason = p.explainChoice(d)
 	return e
 }
 
-func (p *Picker) explained(c *Candidate) ExplainedTarget {
+// explainTarget reports the rank, the cached pieces and the cost terms of a scored
+// candidate.
+func (p *Picker) explainTarget(c *Candidate) ExplainedTarget {
 	t := &p.pool.targets[c.Index]
 	x := ExplainedTarget{Target: t.Name, Domain: t.Domain, Rank: c.Rank, CachedPieces: c.CachedPieces, Cost: c.Cost}
 	for i, s := range p.scorers {
@@ -64,8 +67,8 @@
 	return x
 }
 
-// why compares the winner with the best of the others.
-func (p *Picker) why(d Decision) string {
+// explainChoice compares the winner with the cheapest other candidate.
+func (p *Picker) explainChoice(d Decision) string {
 	var other *Candidate
 	for i := range p.scored {
 		c := &p.scored[i]
--- a/internal/placement/filter.go
+++ b/internal/placement/filter.go
@@ -1,19 +1,19 @@
 package placement
 
-// Rejection is the set of filters that reject a target, one bit a filter in
-// the order of the pool's filters.
+// Rejection is the set of filters that reject a target: bit i stands for the i-th
+// filter of the pool.
 type Rejection uint32
 
-// Filter takes out targets that must get no new work.
+// Filter excludes targets that must not receive new work.
 type Filter interface {
-	// Name is a stable word for logs and explanations.
+	// Name identifies the filter in logs and explanations and must not change.
 	Name() string
-	// Rejects reports whether the target must get no new work. It must
-	// depend on the arguments only.
-	Rejects(t *Target, wantedVersion string) bool
+	// Rejects reports whether the target must not receive new work. The result
+	// must depend on the arguments only.
+	Rejects(t *Target, desiredVersion string) bool
 }
 
-// DefaultFilters are the filters of every pool.
+// DefaultFilters returns the filters that every pool uses.
 func DefaultFilters() []Filter {
 	return []Filter{drainingFilter{}, versionFilter{}, breakerFilter{}, quarantineFilter{}, reachabilityFilter{}, loadingFilter{}, rateFilter{}}
 }
--- a/internal/placement/filter_breaker.go
+++ b/internal/placement/filter_breaker.go
@@ -1,7 +1,7 @@
 package placement
 
-// breakerFilter keeps work off targets that keep failing: each request sent
-// there would spend a retry.
+// breakerFilter rejects targets whose circuit breaker is open: a request sent there
+// would probably fail and use up a retry.
 type breakerFilter struct{}
 
 func (breakerFilter) Name() string { return "breaker" }
--- a/internal/placement/filter_draining.go
+++ b/internal/placement/filter_draining.go
@@ -1,7 +1,7 @@
 package placement
 
-// drainingFilter keeps new work off targets that are leaving: a request that
-// is sent to one may be cut off.
+// drainingFilter rejects targets that are shutting down: they may terminate before
+// a new request is answered.
 type drainingFilter struct{}
 
 func (drainingFilter) Name() string { return "draining" }
--- a/internal/placement/filter_loading.go
+++ b/internal/placement/filter_loading.go
@@ -1,7 +1,7 @@
 package placement
 
-// loadingFilter keeps requests off targets that take new weights: they refuse
-// every request until the weights are in.
+// loadingFilter rejects targets that are loading new weights: they refuse every
+// request until loading has finished.
 type loadingFilter struct{}
 
 func (loadingFilter) Name() string { return "loading" }
--- a/internal/placement/filter_quarantine.go
+++ b/internal/placement/filter_quarantine.go
@@ -1,7 +1,7 @@
 package placement
 
-// quarantineFilter keeps ordinary requests off targets set aside to run
-// suspected poison requests: they would be lost with the target.
+// quarantineFilter rejects targets that are reserved for suspected poison requests:
+// an ordinary request there would fail if the target crashes.
 type quarantineFilter struct{}
 
 func (quarantineFilter) Name() string { return "quarantine" }
--- a/internal/placement/filter_rate.go
+++ b/internal/placement/filter_rate.go
@@ -1,7 +1,7 @@
 package placement
 
-// rateFilter keeps requests off targets that have got as many as they state that they
-// take.
+// rateFilter rejects targets that have already received as many requests as the
+// rate that they advertise allows.
 type rateFilter struct{}
 
 func (rateFilter) Name() string { return "rate" }
--- a/internal/placement/filter_reachability.go
+++ b/internal/placement/filter_reachability.go
@@ -1,7 +1,7 @@
 package placement
 
-// reachabilityFilter keeps work off targets in domains that this instance
-// cannot reach: it would wait for a connect timeout.
+// reachabilityFilter rejects targets in domains that this instance cannot reach: a
+// request would wait for the connect timeout.
 type reachabilityFilter struct{}
 
 func (reachabilityFilter) Name() string { return "reachability" }
--- a/internal/placement/filter_version.go
+++ b/internal/placement/filter_version.go
@@ -1,11 +1,11 @@
 package placement
 
-// versionFilter keeps requests off targets on other weights: their answers
-// would come from a model version that the configuration does not want.
+// versionFilter rejects targets that serve other weights than the desired version:
+// their answers would come from a model version that is not configured.
 type versionFilter struct{}
 
 func (versionFilter) Name() string { return "version" }
 
-func (versionFilter) Rejects(t *Target, wanted string) bool {
-	return wanted != "" && t.Version != wanted
+func (versionFilter) Rejects(t *Target, desired string) bool {
+	return desired != "" && t.Version != desired
 }
--- a/internal/placement/herd_test.go
+++ b/internal/placement/herd_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	herdInstances = 195
-	herdTargets   = 78
-	herdRate      = 80_000.0 // prompt tokens a second of a target
-	herdPrompt    = 2400     // prompt tokens
-	herdLoad      = 0.7      // of what the targets can prefill
-	herdStep      = 5 * time.Millisecond
-	herdLength    = 8 * time.Second
+	herdInstances    = 195
+	herdTargets      = 78
+	herdPrefillRate  = 80_000.0 // prompt tokens per second and target
+	herdPromptTokens = 2400     // tokens per prompt
+	herdUtilization  = 0.7      // fraction of the targets' prefill capacity
+	herdStep         = 5 * time.Millisecond
+	herdDuration     = 8 * time.Second
 )
 
-// herd is many instances that place prompts on the same targets and know of each
-// other's work late.
+// herd simulates many instances that place prompts on the same targets and learn
+// of each other's requests with a delay.
 type herd struct {
 	rng     *rand.Rand
 	pools   []*Pool
 	pickers []*Picker
-	// queues are the targets' true work in tokens.
+	// queues is the actual work at each target, in prompt tokens.
 	queues []float64
-	// running is the prompts whose first token has not come.
-	running []herdPromptAt
+	// running lists the prompts whose first token has not been returned.
+	running []runningPrompt
 	waits   []time.Duration
 }
 
-type herdPromptAt struct {
+type runningPrompt struct {
 	instance, target int
 	sent, first      time.Duration
 }
@@ -45,10 +45,10 @@
 	for range herdInstances {
 		list := make([]Target, herdTargets)
 		for i := range list {
-			list[i] = Target{Name: fmt.Sprint("t", i), Incarnation: "1", PrefillTokensPerSecond: herdRate}
+			list[i] = Target{Name: fmt.Sprint("t", i), Incarnation: "1", PrefillTokensPerSecond: herdPrefillRate}
 		}
 		o := DefaultOptions()
-		o.MaxCandidates, o.QueueSlack = 4, 60*time.Millisecond // as the gateway has them
+		o.MaxCandidates, o.QueueSlack = 4, 60*time.Millisecond // the gateway's settings
 		pool := NewPool(list, "", DefaultFilters())
 		h.pools = append(h.pools, pool)
 		h.pickers = append(h.pickers, NewPicker(pool, cacheindex.New(1<<10), o))
@@ -56,21 +56,21 @@
 	return h
 }
 
-// run places prompts for a while; an instance learns what the others have running
-// as it was so long ago. The result is the wait that 95 of 100 prompts are under.
-func (h *herd) run(age time.Duration) time.Duration {
-	perStep := herdLoad * herdTargets * herdRate / herdPrompt * herdStep.Seconds()
+// run places prompts for herdDuration and returns the 95th percentile of their
+// queueing times. Instances exchange their outstanding work every updateInterval.
+func (h *herd) run(updateInterval time.Duration) time.Duration {
+	perStep := herdUtilization * herdTargets * herdPrefillRate / herdPromptTokens * herdStep.Seconds()
 	due := 0.0
-	for now := time.Duration(0); now < herdLength; now += herdStep {
-		h.answer(now)
-		if now%age == 0 {
-			h.update()
+	for now := time.Duration(0); now < herdDuration; now += herdStep {
+		h.completeFirstTokens(now)
+		if now%updateInterval == 0 {
+			h.exchangeLoads()
 		}
 		for due += perStep; due >= 1; due-- {
 			h.place(now, h.rng.IntN(herdInstances))
 		}
 		for i := range h.queues {
-			h.queues[i] = max(0, h.queues[i]-herdRate*herdStep.Seconds())
+			h.queues[i] = max(0, h.queues[i]-herdPrefillRate*herdStep.Seconds())
 		}
 	}
 	slices.Sort(h.waits)
@@ -78,32 +78,32 @@
 }
 
 func (h *herd) place(now time.Duration, instance int) {
-	d, err := h.pickers[instance].Pick(now, &Request{PromptTokens: herdPrompt}, h.rng)
+	d, err := h.pickers[instance].Pick(now, &Request{PromptTokens: herdPromptTokens}, h.rng)
 	if err != nil {
-		panic(err) // no filter rejects any
+		panic(err) // no target is rejected
 	}
-	wait := time.Duration(h.queues[d.Index] / herdRate * float64(time.Second))
-	h.queues[d.Index] += herdPrompt
-	h.pools[instance].Target(d.Index).Load.Sent(now, herdPrompt)
-	h.running = append(h.running, herdPromptAt{instance, d.Index, now, now + time.Duration(h.queues[d.Index]/herdRate*float64(time.Second))})
+	wait := time.Duration(h.queues[d.Index] / herdPrefillRate * float64(time.Second))
+	h.queues[d.Index] += herdPromptTokens
+	h.pools[instance].Target(d.Index).Load.Sent(now, herdPromptTokens)
+	h.running = append(h.running, runningPrompt{instance, d.Index, now, now + time.Duration(h.queues[d.Index]/herdPrefillRate*float64(time.Second))})
 	h.waits = append(h.waits, wait)
 }
 
-// answer ends the prompts whose first token has come.
-func (h *herd) answer(now time.Duration) {
-	h.running = slices.DeleteFunc(h.running, func(p herdPromptAt) bool {
+// completeFirstTokens removes the prompts whose first token has been returned.
+func (h *herd) completeFirstTokens(now time.Duration) {
+	h.running = slices.DeleteFunc(h.running, func(p runningPrompt) bool {
 		if p.first <= now {
-			h.pools[p.instance].Target(p.target).Load.Answered(p.sent, herdPrompt)
+			h.pools[p.instance].Target(p.target).Load.Answered(p.sent, herdPromptTokens)
 		}
 		return p.first <= now
 	})
 }
 
-// update gives each instance what the others have running.
-func (h *herd) update() {
+// exchangeLoads tells each instance the outstanding work of all others.
+func (h *herd) exchangeLoads() {
 	all := make([]float64, herdTargets)
 	for _, p := range h.running {
-		all[p.target] += herdPrompt
+		all[p.target] += herdPromptTokens
 	}
 	for _, pool := range h.pools {
 		for i := range herdTargets {
@@ -113,15 +113,16 @@
 	}
 }
 
-// Guards against instances that all find the same target idle between two updates:
-// with what hubs pass on in the time that they take, 95 of 100 prompts begin within
-// the objective of half a second, less its own work and the latency of an answer.
+// Between two load updates, all instances could send to the same target that looked
+// idle in the last one. At the update interval of the hubs, the 95th percentile of
+// the queueing time must stay within the 500 ms objective for the first token, less
+// 30 ms for the prefill of the prompt itself and 150 ms for the latency of an answer.
 func TestNoHerdOnStaleLoads(t *testing.T) {
 	is := is.New(t)
-	const mayWait = 500*time.Millisecond - 30*time.Millisecond - 150*time.Millisecond
-	fresh, hubs, late := newHerd().run(herdStep), newHerd().run(325*time.Millisecond), newHerd().run(2*time.Second)
-	t.Logf("waits of 95 of 100 under: all known %v, by hubs %v, two seconds late %v", fresh, hubs, late)
-	is.True(hubs <= mayWait)
-	is.True(fresh <= hubs)
-	is.True(hubs <= late)
+	const maxWait = 500*time.Millisecond - 30*time.Millisecond - 150*time.Millisecond
+	continuous, viaHubs, stale := newHerd().run(herdStep), newHerd().run(325*time.Millisecond), newHerd().run(2*time.Second)
+	t.Logf("p95 queueing time by update interval: 5ms %v, 325ms (hubs) %v, 2s %v", continuous, viaHubs, stale)
+	is.True(viaHubs <= maxWait)
+	is.True(continuous <= viaHubs)
+	is.True(viaHubs <= stale)
 }
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -16,7 +16,7 @@
 		"report drains":     {func(l *Load) { l.Report(0, 1500) }, 500},
 		"never below zero":  {func(l *Load) { l.Report(0, 200) }, 0},
 		"own work is added": {func(l *Load) { l.Report(0, 0); l.Sent(900*time.Millisecond, 300); l.Failed(300) }, 200},
-		"first token ends all before": {func(l *Load) {
+		"first token completes earlier work": {func(l *Load) {
 			l.Report(0, 5000)
 			l.Sent(800*time.Millisecond, 300)
 			l.Sent(900*time.Millisecond, 200)
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Options tune a picker.
+// Options configure a Picker.
 type Options struct {
 	// Domain is the failure domain of this instance.
 	Domain string
-	// CrossDomainDelay is the one-way delay to another domain.
+	// CrossDomainDelay is the one-way network delay to another domain.
 	CrossDomainDelay time.Duration
-	// MaxCandidates bounds the targets scored for one request.
+	// MaxCandidates is the maximum number of targets scored per request.
 	MaxCandidates int
-	// AffinityPieces is the number of leading pieces that the rendezvous key
-	// covers: one more than the opening that all prompts of a service share.
+	// AffinityPieces is the number of leading pieces that determine the rendezvous
+	// order. It is one more than the prefix that all prompts of a service share, so
+	// that their requests spread over targets.
 	AffinityPieces int
-	// HomeCachedFraction is the part of a prompt's pieces that the first target in
-	// rendezvous order is counted on to hold when less is known of it. It
-	// keeps prefixes where other instances, and this one after a restart,
-	// look for them; the higher, the longer a new prefix waits for a busy
-	// first target.
+	// HomeCachedFraction is the fraction of a prompt's full pieces that the home
+	// target is assumed to have cached when fewer are known to be. It keeps a prefix
+	// at the target where other instances, and this one after a restart, look for
+	// it. With a higher value, a new prefix waits longer for a busy home target.
 	HomeCachedFraction float64
-	// UnobservedHomeCachedFraction stands in place of HomeTrust until CaughtUp: without the
-	// targets' cache events, or before they tell what was cached earlier,
-	// rendezvous hashing is the better guide.
+	// UnobservedHomeCachedFraction replaces HomeCachedFraction until
+	// SetCacheStateKnown is called. Before the cache events of the targets are
+	// followed and show what was cached earlier, rendezvous order predicts the
+	// cached prefixes better than the index.
 	UnobservedHomeCachedFraction float64
-	// RecomputeFactor weighs a recomputed token against a waiting one. Over
-	// 1, because prefill that a cached copy elsewhere would have saved
-	// delays the requests behind it too.
+	// RecomputeFactor weighs a recomputed token against a token of queued work. It
+	// is over 1 because prefill that a cached copy elsewhere would have saved also
+	// delays the requests behind it.
 	RecomputeFactor float64
-	// TransferTokensPerSecond is the rate at which pieces move from the KV
-	// store; 0 when they cannot.
+	// TransferTokensPerSecond is the rate at which cached pieces are transferred to
+	// a target; 0 if transfers are not available.
 	TransferTokensPerSecond float64
-	// TransferSetup is the fixed time of one move.
+	// TransferSetup is the fixed time per transfer.
 	TransferSetup time.Duration
-	// EquivalentTokens turns the tokens that a prompt needs prefilled into those that they
-	// count as; nil for the same number.
+	// EquivalentTokens converts uncached tokens of a prompt to the number of tokens
+	// of a short prompt that take the same time to prefill; nil means no conversion.
 	EquivalentTokens func(prompt, uncached float64) float64
-	// OutdatedPenalty is the time that a first token on the newest weights
-	// may come later and still be worth more than one on older weights.
+	// OutdatedPenalty is the additional time to first token that is accepted for an
+	// answer from the newest weights instead of older ones.
 	OutdatedPenalty time.Duration
-	// NearTie is the difference in cost within which candidates count as
-	// equal.
+	// NearTie is the difference in cost below which candidates are considered equal.
 	NearTie time.Duration
-	// QueueSlack is the part of a target's queue that is not counted, because
-	// what is known of it is old.
+	// QueueSlack is the queueing time that is ignored because load information
+	// about a target is out of date.
 	QueueSlack time.Duration
 }
 
-// DefaultOptions are the measured defaults; docs/measurements has the runs.
+// DefaultOptions returns the defaults; docs/measurements has the runs behind them.
 func DefaultOptions() Options {
 	return Options{
 		CrossDomainDelay:             1500 * time.Microsecond,
--- a/internal/placement/outstanding.go
+++ b/internal/placement/outstanding.go
@@ -9,16 +9,16 @@
 type ServiceTarget struct {
 	Name   string
 	Domain string
-	// Outstanding is the requests that this instance has running there.
+	// Outstanding is the number of this instance's requests in flight there.
 	Outstanding int
-	// Usable is false while the target drains or its breaker is open.
+	// Usable is false while the target is draining or its breaker is open.
 	Usable bool
 }
 
-// LeastOutstanding chooses the usable target with the fewest requests of this
-// instance, of the own domain where that is equal, by chance where that is
-// too. It skips the excluded name. False when none is usable or all hold limit
-// requests.
+// LeastOutstanding returns the index of the usable target with the fewest
+// outstanding requests of this instance. Ties are resolved in favour of the given
+// domain, then at random. The target named exclude is skipped. It returns false if
+// no target is usable or all have limit requests outstanding.
 func LeastOutstanding(targets []ServiceTarget, domain, exclude string, limit int, rng *rand.Rand) (int, bool) {
 	best, ties := -1, 0
 	for i, t := range targets {
@@ -42,32 +42,32 @@
 	return best, best >= 0
 }
 
-// compareService is below 0 when a is the better choice.
+// compareService returns a negative number if a is the better choice.
 func compareService(a, b ServiceTarget, domain string) int {
 	if a.Outstanding != b.Outstanding {
 		return a.Outstanding - b.Outstanding
 	}
-	return distance(a, domain) - distance(b, domain)
+	return domainDistance(a, domain) - domainDistance(b, domain)
 }
 
-func distance(t ServiceTarget, domain string) int {
+func domainDistance(t ServiceTarget, domain string) int {
 	if t.Domain == domain {
 		return 0
 	}
 	return 1
 }
 
-// SlowStartFactor is the part of its full rate that a target is trusted with some
-// time after it came back with empty caches: it rises in a straight line from
-// slowStartFloor to 1 over slowStartTime.
+// SlowStartFactor returns the fraction of its full rate that a target may receive
+// some time after it restarted with an empty cache. It rises linearly from
+// slowStartInitialFactor to 1 over slowStartDuration.
 func SlowStartFactor(sinceReturn time.Duration) float64 {
-	if sinceReturn >= slowStartTime {
+	if sinceReturn >= slowStartDuration {
 		return 1
 	}
-	return slowStartFloor + (1-slowStartFloor)*float64(sinceReturn)/float64(slowStartTime)
+	return slowStartInitialFactor + (1-slowStartInitialFactor)*float64(sinceReturn)/float64(slowStartDuration)
 }
 
 const (
-	slowStartFloor = 0.25
-	slowStartTime  = 5 * time.Second
+	slowStartInitialFactor = 0.25
+	slowStartDuration      = 5 * time.Second
 )
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -10,30 +10,30 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// ErrNoTarget: filters reject every target of the pool. The request did not
-// run.
+// ErrNoTarget is returned when filters reject every target of the pool. The request
+// has not run.
 var ErrNoTarget = errors.New("placement: no target")
 
-// Decision is the outcome for one request.
+// Decision is the result of placing one request.
 type Decision struct {
-	// Index is the chosen target's index in the pool.
+	// Index is the index of the chosen target in the pool.
 	Index int
-	// CachedPieces is what the target is known to hold of the chain.
+	// CachedPieces is the number of leading pieces of the chain that the target is
+	// known to have cached.
 	CachedPieces int
-	// UncachedTokens is the prompt tokens it is expected to prefill, by
-	// Options.Work.
+	// UncachedTokens is the number of prompt tokens that the target is expected to
+	// prefill, converted by Options.EquivalentTokens.
 	UncachedTokens float64
-	// Cost is what candidates were compared by.
+	// Cost is the value by which candidates were compared.
 	Cost time.Duration
-	// Expected is the expected time to first token, without the weight on
-	// recomputing and the latency that all prompts see. Queued is the part of it
-	// that is work ahead.
+	// Expected is the expected time to first token, without RecomputeFactor and
+	// without the latency common to all prompts. Queued is the part of it that is
+	// spent waiting for earlier work.
 	Expected, Queued time.Duration
 }
 
-// Picker places requests on the targets of one pool. It keeps no state that a
-// decision needs beyond the pool and the index: only buffers. It is not safe
-// for concurrent use.
+// Picker selects targets for requests to one pool. Apart from buffers, it keeps no
+// state besides the pool and the index. It is not safe for concurrent use.
 type Picker struct {
 	pool    *Pool
 	index   *cacheindex.Index
@@ -41,11 +41,11 @@
 	scorers []Scorer
 	ranked  []ranked
 	scored  []Candidate
-	// caughtUp is set once cache events are followed.
-	caughtUp bool
+	// cacheStateKnown is set once cache events are followed.
+	cacheStateKnown bool
 }
 
-// NewPicker makes a picker over a pool and the index of its targets' caches.
+// NewPicker returns a picker over a pool and the index of its targets' caches.
 func NewPicker(pool *Pool, index *cacheindex.Index, o Options) *Picker {
 	return &Picker{
 		pool:    pool,
@@ -57,60 +57,62 @@
 	}
 }
 
-// PrefillTime is the time that a target of the pool takes for so many prompt
-// tokens.
+// PrefillTime returns the time that a target of the pool takes to prefill the given
+// number of prompt tokens.
 func (p *Picker) PrefillTime(tokens float64) time.Duration {
 	if len(p.pool.targets) == 0 {
 		return 0
 	}
-	return seconds(tokens, p.pool.targets[0].rate())
+	return processingTime(tokens, p.pool.targets[0].prefillRate())
 }
 
-// SetCacheStateKnown tells the picker that this process follows the targets' cache
-// events and knows what they held before.
-func (p *Picker) SetCacheStateKnown() { p.caughtUp = true }
+// SetCacheStateKnown tells the picker that this process follows the cache events of
+// the targets and knows what they had cached before.
+func (p *Picker) SetCacheStateKnown() { p.cacheStateKnown = true }
 
-// CacheStateKnown reports whether CaughtUp was called.
-func (p *Picker) CacheStateKnown() bool { return p.caughtUp }
+// CacheStateKnown reports whether SetCacheStateKnown was called.
+func (p *Picker) CacheStateKnown() bool { return p.cacheStateKnown }
 
-// Pick chooses a target. It allocates nothing. The random source breaks near
-// ties, so that instances with the same view do not all choose the same one.
+// Pick selects a target. It does not allocate. Near ties are resolved at random, so
+// that instances with the same information do not all select the same target.
 func (p *Picker) Pick(now time.Duration, r *Request, rng *rand.Rand) (Decision, error) {
-	p.candidates(r, rng)
+	p.selectCandidates(r, rng)
 	if len(p.scored) == 0 {
 		return Decision{}, ErrNoTarget
 	}
-	p.findElsewhere(r)
+	p.findFetchable(r)
 	for i := range p.scored {
 		p.score(now, r, &p.scored[i])
 	}
 	return p.decision(now, r, &p.scored[choose(p.scored, p.options.NearTie, rng)]), nil
 }
 
+// decision describes the choice of candidate c for the request.
 func (p *Picker) decision(now time.Duration, r *Request, c *Candidate) Decision {
 	t := &p.pool.targets[c.Index]
-	rate := t.rate()
+	rate := t.prefillRate()
 	missing := float64(r.PromptTokens - r.LeadingTokens(max(c.CachedPieces, r.FetchablePieces)))
-	uncached := max(0, missing-trustedShare*c.AssumedCachedTokens)
+	uncached := max(0, missing-assumedCacheHitRate*c.AssumedCachedTokens)
 	if p.options.EquivalentTokens != nil {
 		uncached = p.options.EquivalentTokens(float64(r.PromptTokens), uncached)
 	}
-	queued := seconds(t.Load.Queued(now, rate), rate)
+	queued := processingTime(t.Load.Queued(now, rate), rate)
 	return Decision{
 		Index:          c.Index,
 		CachedPieces:   c.CachedPieces,
 		UncachedTokens: uncached,
 		Cost:           c.Cost,
-		Expected:       queued + seconds(uncached, rate),
+		Expected:       queued + processingTime(uncached, rate),
 		Queued:         queued,
 	}
 }
 
-// candidates fills p.scored with the first live targets in rendezvous order.
-// A hot prefix widens by itself: when the queue of the first costs more than
-// recomputing, the next in the same order wins, on every instance alike.
-func (p *Picker) candidates(r *Request, rng *rand.Rand) {
-	p.ranked = topRanked(p.ranked[:0], p.anchor(r, rng), p.pool.seeds, p.pool.rejected, p.options.MaxCandidates)
+// selectCandidates fills p.scored with the first eligible targets in rendezvous
+// order. Requests for a hot prefix spread without further coordination: when the
+// queue of the first target costs more than recomputing the prefix, every instance
+// selects the next target in the same order.
+func (p *Picker) selectCandidates(r *Request, rng *rand.Rand) {
+	p.ranked = topRanked(p.ranked[:0], p.affinityKey(r, rng), p.pool.seeds, p.pool.rejected, p.options.MaxCandidates)
 	p.scored = p.scored[:0]
 	for _, k := range p.ranked {
 		if r.Exclude != "" && p.pool.targets[k.index].Name == r.Exclude {
@@ -120,8 +122,9 @@
 	}
 }
 
-// findElsewhere sets how many leading pieces can be fetched from some target.
-func (p *Picker) findElsewhere(r *Request) {
+// findFetchable sets r.FetchablePieces to the most leading pieces that any eligible
+// target has cached.
+func (p *Picker) findFetchable(r *Request) {
 	r.FetchablePieces = 0
 	if p.options.TransferTokensPerSecond <= 0 || len(r.Chain) == 0 {
 		return
@@ -133,28 +136,29 @@
 	}
 }
 
-// FetchSource is the target to fetch pieces from that the chosen one lacks: the one
-// of the same weights that holds most, in the chosen one's domain where that
-// is equal, and how many leading pieces it holds. False when none holds more.
+// FetchSource returns the target from which the chosen one can fetch pieces, and how
+// many leading pieces that target has cached. It is the target with the same weights
+// that has the most pieces; ties are resolved in favour of the chosen target's
+// domain. It returns false if no target has more pieces than the chosen one.
 func (p *Picker) FetchSource(d Decision, r *Request) (index, pieces int, ok bool) {
 	to := &p.pool.targets[d.Index]
-	best, most, near := -1, d.CachedPieces, false
+	best, bestPieces, bestInDomain := -1, d.CachedPieces, false
 	for i := range p.pool.targets {
 		t := &p.pool.targets[i]
 		if i == d.Index || p.pool.rejected[i] != 0 || t.Version != to.Version {
 			continue
 		}
-		n, same := p.index.Cached(t.Cache, r.Chain), t.Domain == to.Domain
-		if n > most || n == most && best >= 0 && same && !near {
-			best, most, near = i, n, same
+		n, inDomain := p.index.Cached(t.Cache, r.Chain), t.Domain == to.Domain
+		if n > bestPieces || n == bestPieces && best >= 0 && inDomain && !bestInDomain {
+			best, bestPieces, bestInDomain = i, n, inDomain
 		}
 	}
-	return best, most, best >= 0
+	return best, bestPieces, best >= 0
 }
 
-// anchor is the rendezvous key of a request. A prompt without a full piece
-// has nothing to find again and may go anywhere.
-func (p *Picker) anchor(r *Request, rng *rand.Rand) prefix.Hash {
+// affinityKey returns the rendezvous key of a request. A prompt without a full piece
+// has no cached prefix to return to, so its key is random.
+func (p *Picker) affinityKey(r *Request, rng *rand.Rand) prefix.Hash {
 	n := min(len(r.Chain), p.options.AffinityPieces)
 	if n == 0 {
 		return prefix.Hash(rng.Uint64())
@@ -162,12 +166,13 @@
 	return r.Chain[n-1]
 }
 
+// score sets the cached pieces, the cost terms and the cost of a candidate.
 func (p *Picker) score(now time.Duration, r *Request, c *Candidate) {
 	t := &p.pool.targets[c.Index]
 	c.CachedPieces = p.index.Cached(t.Cache, r.Chain)
 	if c.Rank == 0 {
 		full := float64(r.fullTokens())
-		c.AssumedCachedTokens = max(0, p.trust()*full-float64(r.LeadingTokens(max(c.CachedPieces, r.FetchablePieces))))
+		c.AssumedCachedTokens = max(0, p.homeCachedFraction()*full-float64(r.LeadingTokens(max(c.CachedPieces, r.FetchablePieces))))
 	}
 	for i, s := range p.scorers {
 		c.Terms[i] = s.Cost(now, r, t, c)
@@ -175,20 +180,21 @@
 	}
 }
 
-// trustedShare is the part of the trusted tokens that is taken to be cached
-// when a request's work is counted: about the hit rate of such guesses.
-const trustedShare = 0.5
+// assumedCacheHitRate is the fraction of AssumedCachedTokens that is subtracted from
+// a request's expected work: about the hit rate of these assumptions.
+const assumedCacheHitRate = 0.5
 
-// trust is the part of a prompt that the first target in rendezvous order is
-// counted on to hold.
-func (p *Picker) trust() float64 {
-	if p.caughtUp {
+// homeCachedFraction returns the fraction of a prompt that the home target is
+// assumed to have cached.
+func (p *Picker) homeCachedFraction() float64 {
+	if p.cacheStateKnown {
 		return p.options.HomeCachedFraction
 	}
 	return p.options.UnobservedHomeCachedFraction
 }
 
-// choose draws one of the candidates within nearTie of the best.
+// choose picks at random among the candidates whose cost is within nearTie of the
+// lowest.
 func choose(scored []Candidate, nearTie time.Duration, rng *rand.Rand) int {
 	best := 0
 	for i := range scored {
--- a/internal/placement/picker_test.go
+++ b/internal/placement/picker_test.go
@@ -67,9 +67,9 @@
 	return d
 }
 
-// All routers restart at once and remember nothing. Each prefix lands on the
-// target that it was on before, because the order comes from the prefix alone;
-// were it learnt, the whole fleet would recompute its caches.
+// All instances restart at once and lose their state. Each prefix must be placed on
+// the same target as before, because the order depends on the prefix alone. If it
+// were learnt, all targets would have to recompute their caches.
 func TestRestartedInstancesAgree(t *testing.T) {
 	is := is.New(t)
 	before, after := newFixture(18), newFixture(18)
@@ -80,22 +80,22 @@
 	}
 }
 
-// A target leaves. Only the prefixes it was first for move; if others moved
-// too, one departure would empty caches everywhere.
+// When a target leaves, only the prefixes whose home it was may move. If others moved
+// too, one departure would cause cache misses on every target.
 func TestDepartureMovesOnlyItsPrefixes(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(18)
-	const gone = 3
+	const departed = 3
 	first := map[uint64]int{}
 	for key := range uint64(500) {
 		first[key] = f.pick(t, request(key, 5)).Index
 	}
-	f.pool.Target(gone).Draining = true
-	f.pool.ApplyFilters(gone)
+	f.pool.Target(departed).Draining = true
+	f.pool.ApplyFilters(departed)
 	for key, was := range first {
 		now := f.pick(t, request(key, 5)).Index
-		is.True(now != gone)
-		is.True(was == gone || now == was)
+		is.True(now != departed)
+		is.True(was == departed || now == was)
 	}
 }
 
@@ -125,17 +125,17 @@
 	}
 }
 
-// A prefix gets hot: the queue of its first target grows past the time that
-// another would need to compute the prefix. The request goes to the next in
-// rendezvous order, which all instances try next too.
-func TestHotPrefixWidensInRendezvousOrder(t *testing.T) {
+// The queue of a hot prefix's home target grows until recomputing the prefix
+// elsewhere is faster. The request must go to the next target in rendezvous order,
+// which every other instance tries next as well.
+func TestHotPrefixSpreadsInRendezvousOrder(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(18)
 	r := request(1, 5)
 	first := f.pick(t, r).Index
 	f.index.Answered(identity(f.pool.Target(first)), r.Chain)
 	f.pool.Target(first).Load.Sent(0, 5000)
-	is.Equal(f.pick(t, r).Index, first) // half a second of queue is cheaper than 20,000 tokens
+	is.Equal(f.pick(t, r).Index, first) // queueing for 0.5 s costs less than recomputing 20,000 tokens
 	f.pool.Target(first).Load.Sent(0, 60000)
 	second := f.pick(t, r).Index
 	f.index.Answered(identity(f.pool.Target(second)), r.Chain)
@@ -144,10 +144,10 @@
 	is.Equal(f.pick(t, r).Index, second)
 }
 
-// Load reports come every few hundred milliseconds. Between two of them an
-// instance sends ten requests; counting only the report, all would go to the
-// target that was idle then, and queue there behind each other.
-func TestOwnWorkSinceReportCounts(t *testing.T) {
+// Load reports arrive every few hundred milliseconds. An instance sends ten requests
+// between two reports. If only the report counted, all ten would go to the target
+// that was idle then, and queue there.
+func TestRequestsSentSinceReportCountAsLoad(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(10)
 	used := map[int]bool{}
@@ -160,15 +160,15 @@
 	is.Equal(len(used), 10)
 }
 
-func TestTransferIsCountedWhereCheaper(t *testing.T) {
+func TestPrefillCostUsesTransferWhereCheaper(t *testing.T) {
 	is := is.New(t)
 	o := DefaultOptions()
 	o.TransferTokensPerSecond = 100000
-	s := prefillScorer{factor: 1, transfer: o.TransferTokensPerSecond, setup: 10 * time.Millisecond}
+	s := prefillScorer{recomputeFactor: 1, transferRate: o.TransferTokensPerSecond, transferSetup: 10 * time.Millisecond}
 	target := testTargets(1)[0]
 	r := request(1, 1)
 	r.PromptTokens = testPieceTokens
-	is.Equal(s.Cost(0, r, &target, &Candidate{}), 400*time.Millisecond) // nobody holds it
+	is.Equal(s.Cost(0, r, &target, &Candidate{}), 400*time.Millisecond) // no target has it cached
 	r.FetchablePieces = 1
 	is.Equal(s.Cost(0, r, &target, &Candidate{}), 50*time.Millisecond) // recomputing takes 400 ms
 }
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Pool is the targets that serve the same model, with everything that a
-// decision needs computed beforehand. It is not safe for concurrent use.
+// Pool is the set of targets that serve the same model, with the filter results and
+// hash seeds that decisions need. It is not safe for concurrent use.
 type Pool struct {
-	targets  []Target
-	byName   map[string]int
-	seeds    []uint64
-	rejected []Rejection
-	filters  []Filter
-	wanted   string
+	targets        []Target
+	byName         map[string]int
+	seeds          []uint64
+	rejected       []Rejection
+	filters        []Filter
+	desiredVersion string
 }
 
-// NewPool makes a pool of targets that should serve the wanted version; empty
-// accepts any. The order of the targets does not matter for decisions.
-func NewPool(targets []Target, wanted string, filters []Filter) *Pool {
+// NewPool returns a pool of targets that should serve the desired version; an empty
+// version accepts any. Decisions do not depend on the order of the targets.
+func NewPool(targets []Target, desiredVersion string, filters []Filter) *Pool {
 	p := &Pool{
-		targets:  targets,
-		byName:   make(map[string]int, len(targets)),
-		seeds:    make([]uint64, len(targets)),
-		rejected: make([]Rejection, len(targets)),
-		filters:  filters,
-		wanted:   wanted,
+		targets:        targets,
+		byName:         make(map[string]int, len(targets)),
+		seeds:          make([]uint64, len(targets)),
+		rejected:       make([]Rejection, len(targets)),
+		filters:        filters,
+		desiredVersion: desiredVersion,
 	}
 	for i := range targets {
 		p.byName[targets[i].Name] = i
@@ -32,43 +32,43 @@
 	return p
 }
 
-// Len is the number of targets.
+// Len returns the number of targets.
 func (p *Pool) Len() int { return len(p.targets) }
 
-// Target is the i-th target. Call Changed after writing a field that a filter
-// reads.
+// Target returns the i-th target. Call ApplyFilters after changing a field that a
+// filter reads.
 func (p *Pool) Target(i int) *Target { return &p.targets[i] }
 
-// Find is the index of a target by its name.
+// Find returns the index of the target with the given name.
 func (p *Pool) Find(name string) (int, bool) {
 	i, ok := p.byName[name]
 	return i, ok
 }
 
-// ApplyFilters runs the filters again for one target.
+// ApplyFilters runs the filters again for the i-th target.
 func (p *Pool) ApplyFilters(i int) {
 	t := &p.targets[i]
 	t.rejectedBy = 0
 	for bit, f := range p.filters {
-		if f.Rejects(t, p.wanted) {
+		if f.Rejects(t, p.desiredVersion) {
 			t.rejectedBy |= 1 << bit
 		}
 	}
 	p.rejected[i] = t.rejectedBy
 }
 
-// SetDesiredVersion sets the version that targets should serve.
+// SetDesiredVersion sets the weights version that targets should serve.
 func (p *Pool) SetDesiredVersion(version string) {
-	if p.wanted == version {
+	if p.desiredVersion == version {
 		return
 	}
-	p.wanted = version
+	p.desiredVersion = version
 	for i := range p.targets {
 		p.ApplyFilters(i)
 	}
 }
 
-// EligibleCount counts the targets that no filter rejects.
+// EligibleCount returns the number of targets that no filter rejects.
 func (p *Pool) EligibleCount() int {
 	n := 0
 	for _, r := range p.rejected {
@@ -79,10 +79,10 @@
 	return n
 }
 
-// Rejected reports that the i-th target takes no new work.
+// Rejected reports whether a filter rejects the i-th target.
 func (p *Pool) Rejected(i int) bool { return p.rejected[i] != 0 }
 
-// RejectedBy names the filters that reject the i-th target.
+// RejectedBy returns the names of the filters that reject the i-th target.
 func (p *Pool) RejectedBy(i int) []string {
 	var names []string
 	for bit, f := range p.filters {
@@ -93,32 +93,31 @@
 	return names
 }
 
-// ClearPending forgets the work counted as waiting at this instance.
+// ClearPending resets the work counted as waiting in this instance's queue.
 func (p *Pool) ClearPending() {
 	for i := range p.targets {
-		p.targets[i].Load.parked = 0
+		p.targets[i].Load.pending = 0
 	}
 }
 
-// MeanBacklog is the time that a live target needs for the work it has, on
-// average.
+// MeanBacklog returns the average backlog of the eligible targets.
 func (p *Pool) MeanBacklog(now time.Duration) time.Duration {
-	sum, live := time.Duration(0), 0
+	sum, eligible := time.Duration(0), 0
 	for i := range p.targets {
 		if p.rejected[i] == 0 {
 			sum += p.Backlog(i, now)
-			live++
+			eligible++
 		}
 	}
-	if live == 0 {
+	if eligible == 0 {
 		return 0
 	}
-	return sum / time.Duration(live)
+	return sum / time.Duration(eligible)
 }
 
-// Backlog is the time that the i-th target needs for the work it has.
+// Backlog returns the time that the i-th target needs for the work queued there.
 func (p *Pool) Backlog(i int, now time.Duration) time.Duration {
 	t := &p.targets[i]
-	rate := t.rate()
-	return seconds(t.Load.QueuedAtTarget(now, rate), rate)
+	rate := t.prefillRate()
+	return processingTime(t.Load.QueuedAtTarget(now, rate), rate)
 }
--- a/internal/placement/rendezvous.go
+++ b/internal/placement/rendezvous.go
@@ -6,17 +6,17 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// ranked is a target and its rendezvous weight for one key.
+// ranked is a target with its rendezvous weight for one key.
 type ranked struct {
 	index  int32
 	weight uint64
 }
 
-// targetSeed is the target's part of the rendezvous hash. It depends on the
-// name only, so that every instance, at any time, computes the same order.
+// targetSeed returns the target's part of the rendezvous hash. It depends only on
+// the name, so that every instance computes the same order at any time.
 func targetSeed(name string) uint64 { return xxhash.Sum64String(name) }
 
-// mix is the finalizer of splitmix64.
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -25,9 +25,9 @@
 	return x ^ x>>31
 }
 
-// topRanked appends the limit targets of highest weight among those that no
-// filter rejects, highest first. When a target leaves, only keys it was
-// highest for move, each to its next target.
+// topRanked appends to dst the limit targets with the highest weights among those
+// that no filter rejects, in descending order. When a target leaves, only the keys
+// for which it ranked highest move, each to its next target.
 func topRanked(dst []ranked, key prefix.Hash, seeds []uint64, rejected []Rejection, limit int) []ranked {
 	start := len(dst)
 	for i, seed := range seeds {
@@ -47,7 +47,7 @@
 	return dst
 }
 
-// insertRanked puts r in order into list, whose last place is free.
+// insertRanked inserts r in order into list, whose last element is unused.
 func insertRanked(list []ranked, r ranked) {
 	at := len(list) - 1
 	for at > 0 && list[at-1].weight < r.weight {
@@ -57,8 +57,8 @@
 	list[at] = r
 }
 
-// RendezvousOrder is the indexes of the usable targets in rendezvous order of the key.
-// It is for tools; decisions use a Picker.
+// RendezvousOrder returns the indexes of the usable targets in rendezvous order of
+// the key. Decisions use a Picker; this is for tools and comparisons.
 func RendezvousOrder(key prefix.Hash, names []string, usable []bool) []int {
 	rejected := make([]Rejection, len(names))
 	seeds := make([]uint64, len(names))
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -2,36 +2,37 @@
 
 import "github.com/mastictray/mastictray/internal/prefix"
 
-// Request is what placement needs to know of a request.
+// Request describes a request to the picker.
 type Request struct {
-	// Chain has one hash for each full piece of the prompt; the hashes are
-	// bound to account, model and version.
+	// Chain has one hash per full piece of the prompt. The hashes depend on the
+	// account, the model and the weights version.
 	Chain []prefix.Hash
-	// PieceTokens is the prompt tokens in one piece, where all are alike.
+	// PieceTokens is the number of prompt tokens per piece if all pieces have the
+	// same size.
 	PieceTokens int
-	// PieceEnds, where pieces differ in size, has the prompt tokens up to the
-	// end of each piece of Chain; it goes before PieceTokens.
+	// PieceEnds is the number of prompt tokens up to the end of each piece of Chain,
+	// for pieces that differ in size. If set, it takes precedence over PieceTokens.
 	PieceEnds []int
-	// PromptTokens counts the whole prompt, at least len(Chain)*PieceTokens.
+	// PromptTokens is the length of the whole prompt, at least the tokens of all
+	// pieces of Chain.
 	PromptTokens int
-	// FetchablePieces is the leading pieces that some usable target holds, from
-	// which the chosen one can fetch them. The picker sets it.
+	// FetchablePieces is the number of leading pieces that some eligible target has
+	// cached, from which the chosen target can fetch them. The picker sets it.
 	FetchablePieces int
-	// HeldTokens is the target's memory that the request takes while it runs,
-	// in tokens.
+	// HeldTokens is the memory that the request occupies on the target while it
+	// runs, in tokens.
 	HeldTokens int
-	// Exclude names a target to leave out, such as the one that an earlier
-	// attempt failed on; empty for none.
+	// Exclude names a target to skip, such as the one on which an earlier attempt
+	// failed; empty for none.
 	Exclude string
-	// RecomputeFactor weighs a recomputed token against a waiting one; 0
-	// takes the picker's.
+	// RecomputeFactor overrides the picker's factor unless it is 0.
 	RecomputeFactor float64
 }
 
-// fullTokens is the prompt tokens inside full pieces.
+// fullTokens returns the number of prompt tokens in full pieces.
 func (r *Request) fullTokens() int { return r.LeadingTokens(len(r.Chain)) }
 
-// LeadingTokens is the prompt tokens in the first n pieces.
+// LeadingTokens returns the number of prompt tokens in the first n pieces.
 func (r *Request) LeadingTokens(n int) int {
 	switch {
 	case n == 0:
@@ -42,10 +43,10 @@
 	return n * r.PieceTokens
 }
 
-// factor is the weight on recomputing, given the picker's.
-func (r *Request) factor(standard float64) float64 {
+// recomputeFactor returns the request's RecomputeFactor, or the given default.
+func (r *Request) recomputeFactor(defaultFactor float64) float64 {
 	if r.RecomputeFactor > 0 {
 		return r.RecomputeFactor
 	}
-	return standard
+	return defaultFactor
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// maxScorers bounds the scorers of a picker, so that a candidate's terms need
-// no allocation.
+// maxScorers is the maximum number of scorers of a picker. It lets a candidate hold
+// its terms in an array, without an allocation.
 const maxScorers = 8
 
-// Candidate is one target that was scored for a request.
+// Candidate is a target that is scored for a request.
 type Candidate struct {
-	// Index is the target's index in the pool.
+	// Index is the index of the target in the pool.
 	Index int
-	// Rank is the place in rendezvous order; 0 is the first.
+	// Rank is the position in rendezvous order, starting at 0.
 	Rank int
-	// CachedPieces is the number of leading pieces known to be held.
+	// CachedPieces is the number of leading pieces known to be cached.
 	CachedPieces int
-	// AssumedCachedTokens is the further prompt tokens that the first target in
-	// rendezvous order is counted on to hold, though nothing is known.
+	// AssumedCachedTokens is the number of further prompt tokens that the home
+	// target is assumed to have cached.
 	AssumedCachedTokens float64
-	// Terms has one addend for each scorer, in order.
+	// Terms has the cost of each scorer, in the order of the scorers.
 	Terms [maxScorers]time.Duration
-	// Cost is the expected time to first token.
+	// Cost is the sum of Terms: the expected time to first token.
 	Cost time.Duration
 }
 
-// Scorer adds one term to the expected time to first token.
+// Scorer computes one term of the expected time to first token.
 type Scorer interface {
-	// Name is a stable word for explanations.
+	// Name identifies the scorer in explanations and must not change.
 	Name() string
-	// Cost is the term for one candidate. It must not allocate.
+	// Cost returns the term for one candidate. It must not allocate.
 	Cost(now time.Duration, r *Request, t *Target, c *Candidate) time.Duration
 }
 
-// DefaultScorers are the scorers of every pool.
+// DefaultScorers returns the scorers that every pool uses.
 func DefaultScorers(o Options) []Scorer {
 	return []Scorer{
 		queueScorer{slack: o.QueueSlack},
-		prefillScorer{factor: o.RecomputeFactor, transfer: o.TransferTokensPerSecond, setup: o.TransferSetup},
-		homeScorer{factor: o.RecomputeFactor},
+		prefillScorer{recomputeFactor: o.RecomputeFactor, transferRate: o.TransferTokensPerSecond, transferSetup: o.TransferSetup},
+		homeScorer{recomputeFactor: o.RecomputeFactor},
 		linkScorer{domain: o.Domain, delay: o.CrossDomainDelay},
 		outdatedScorer{penalty: o.OutdatedPenalty},
 	}
--- a/internal/placement/score_home.go
+++ b/internal/placement/score_home.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// homeScorer counts on the first target in rendezvous order to hold a part of
-// what nothing is known of. Its term is negative: the time that this would
-// spare, weighed as recomputing is.
+// homeScorer favours the home target, which is assumed to have cached more than is
+// known. Its term is negative: the time that the assumed tokens would save, weighted
+// like recomputed tokens.
 type homeScorer struct {
-	factor float64
+	recomputeFactor float64
 }
 
 func (homeScorer) Name() string { return "home" }
 
 func (s homeScorer) Cost(_ time.Duration, r *Request, t *Target, c *Candidate) time.Duration {
-	return -time.Duration(r.factor(s.factor) * float64(seconds(c.AssumedCachedTokens, t.rate())))
+	return -time.Duration(r.recomputeFactor(s.recomputeFactor) * float64(processingTime(c.AssumedCachedTokens, t.prefillRate())))
 }
--- a/internal/placement/score_link.go
+++ b/internal/placement/score_link.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// linkScorer counts the round trip to a target in another failure domain.
+// linkScorer adds the network round trip to a target in another failure domain.
 type linkScorer struct {
 	domain string
 	delay  time.Duration
--- a/internal/placement/score_outdated.go
+++ b/internal/placement/score_outdated.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// outdatedScorer prefers targets with the newest weights while a rollout is
-// under way, as long as their queue is not longer by more than the penalty.
+// outdatedScorer prefers targets with the newest weights during a rollout, unless
+// their time to first token is longer by more than the penalty.
 type outdatedScorer struct {
 	penalty time.Duration
 }
--- a/internal/placement/score_prefill.go
+++ b/internal/placement/score_prefill.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// prefillScorer counts the prompt tokens that the target does not hold: they
-// are recomputed, or fetched from a target that holds them where that is
-// faster.
+// prefillScorer adds the time for the prompt tokens that the target has not cached.
+// They are recomputed, or fetched from another target if that is faster.
 type prefillScorer struct {
-	factor   float64
-	transfer float64
-	setup    time.Duration
+	recomputeFactor float64
+	transferRate    float64
+	transferSetup   time.Duration
 }
 
 func (prefillScorer) Name() string { return "prefill" }
 
 func (s prefillScorer) Cost(_ time.Duration, r *Request, t *Target, c *Candidate) time.Duration {
 	rest := float64(r.PromptTokens - r.fullTokens())
-	held := max(c.CachedPieces, r.FetchablePieces)
-	missing := float64(r.fullTokens() - r.LeadingTokens(held))
-	moved := float64(r.LeadingTokens(held) - r.LeadingTokens(c.CachedPieces))
-	rate, factor := t.rate(), r.factor(s.factor)
-	compute := time.Duration(factor * float64(seconds(missing, rate)))
-	if moved > 0 {
-		compute += min(
-			time.Duration(factor*float64(seconds(moved, rate))),
-			s.setup+time.Duration(factor*float64(seconds(moved, s.transfer))),
+	available := max(c.CachedPieces, r.FetchablePieces)
+	missing := float64(r.fullTokens() - r.LeadingTokens(available))
+	transferred := float64(r.LeadingTokens(available) - r.LeadingTokens(c.CachedPieces))
+	rate, factor := t.prefillRate(), r.recomputeFactor(s.recomputeFactor)
+	cost := time.Duration(factor * float64(processingTime(missing, rate)))
+	if transferred > 0 {
+		cost += min(
+			time.Duration(factor*float64(processingTime(transferred, rate))),
+			s.transferSetup+time.Duration(factor*float64(processingTime(transferred, s.transferRate))),
 		)
 	}
-	return compute + seconds(rest, rate)
+	return cost + processingTime(rest, rate)
 }
--- a/internal/placement/score_queue.go
+++ b/internal/placement/score_queue.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// queueScorer counts the prompt tokens that are prefilled before this request.
-// What other instances have sent is told late: small differences between two
-// queues are past by the time the request arrives. Were they counted, all
-// instances would send to the target that looked idle last, and make a queue
-// there. So a queue counts only beyond the slack.
+// queueScorer adds the time for the work ahead of the request. Updates about work
+// sent by other instances are delayed, so small differences between two queues have
+// changed by the time the request arrives. If they counted, all instances would send
+// to the target that looked idle last and build up a queue there. Only the part of a
+// queue beyond the slack therefore counts.
 type queueScorer struct {
 	slack time.Duration
 }
@@ -14,6 +14,6 @@
 func (queueScorer) Name() string { return "queue" }
 
 func (s queueScorer) Cost(now time.Duration, _ *Request, t *Target, _ *Candidate) time.Duration {
-	rate := t.rate()
-	return max(0, seconds(t.Load.Queued(now, rate), rate)-s.slack)
+	rate := t.prefillRate()
+	return max(0, processingTime(t.Load.Queued(now, rate), rate)-s.slack)
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -6,70 +6,70 @@
 	"github.com/mastictray/mastictray/internal/cacheindex"
 )
 
-// Target is what this instance knows of one target of a pool.
+// Target is the state of one target of a pool, as known to this instance.
 type Target struct {
 	Name        string
 	Domain      string
 	Incarnation string
-	// Version is the weights version that the target last said it serves.
+	// Version is the weights version that the target last reported.
 	Version string
-	// Cache is the handle on the pieces the target is known to hold.
+	// Cache refers to the target's entries in the cache index.
 	Cache cacheindex.Ref
 	// PrefillTokensPerSecond is the target's prefill rate.
 	PrefillTokensPerSecond float64
-	// Load is the last load report, corrected by this instance's own work.
+	// Load estimates the work queued at the target.
 	Load Load
-	// SlowStartFactor is the part of its prefill rate that a target back from a
-	// crash is trusted with, over 0 up to 1. Zero counts as 1.
+	// SlowStartFactor, above 0 and up to 1, scales the prefill rate of a target that
+	// has restarted after a crash. 0 means 1.
 	SlowStartFactor float64
 
-	// Limit is how many requests the target may have in flight from this
-	// instance, InFlight how many it has; a Limit of 0 allows any number.
+	// Limit is the maximum number of requests of this instance in flight at the
+	// target, InFlight the current number; a Limit of 0 means no limit.
 	Limit, InFlight int
 
-	// MemoryTokens is the tokens that running requests and cached pieces
-	// share on the target; 0 when it is not known. HeldTokens is what this
-	// instance's running requests hold of it, PeersHeldTokens what those of
-	// other instances do.
+	// MemoryTokens is the capacity in tokens that running requests and cached pieces
+	// share on the target; 0 if unknown. HeldTokens is the part held by running
+	// requests of this instance, PeersHeldTokens by those of other instances.
 	MemoryTokens                int
 	HeldTokens, PeersHeldTokens int
 
-	// Outdated targets serve older weights than the newest that were named.
+	// Outdated targets serve older weights than the newest named version.
 	Outdated bool
-	// Loading targets take no requests until they have new weights.
+	// Loading targets refuse requests until they have loaded new weights.
 	Loading bool
-	// RateLimited targets state a rate. Those that are OverRate may get no request of
-	// this instance now; the others may get one until their rate is looked at again.
+	// RateLimited targets advertise a request rate. While OverRate is set, this
+	// instance must not send a request; otherwise it may send one, which sets
+	// OverRate until the rate is next checked.
 	RateLimited, OverRate bool
 
 	Draining    bool
 	BreakerOpen bool
-	// Quarantined targets run requests that are suspected of crashing them.
+	// Quarantined targets run requests that are suspected of crashing targets.
 	Quarantined bool
-	// Unreachable is set while the link to the target's domain is down.
+	// Unreachable is set while the target's domain cannot be reached.
 	Unreachable bool
 
 	rejectedBy Rejection
 }
 
-// memoryShare is the part of a target's memory that running requests may hold.
-// When it runs out, the target preempts a running stream, whose caller then
-// sees a pause of a whole prefill; the rest is left for the error in what
-// requests will need and for peers' sends that are not known yet.
-const memoryShare = 0.8
+// maxMemoryUtilization is the fraction of a target's memory that running requests may
+// hold. A target that runs out of memory preempts a running stream, which then pauses
+// for the time of a whole prefill. The remainder covers errors in the estimated size
+// of requests and requests of other instances that are not known yet.
+const maxMemoryUtilization = 0.8
 
-// Full reports that the target takes no further request until it has answered
-// one. Requests for it wait.
+// Full reports whether the target can take no further request until one has been
+// answered. Requests for it wait.
 func (t *Target) Full() bool {
 	if t.Limit > 0 && t.InFlight >= t.Limit {
 		return true
 	}
 	held := t.HeldTokens + t.PeersHeldTokens
-	return t.MemoryTokens > 0 && float64(held) >= memoryShare*float64(t.MemoryTokens)
+	return t.MemoryTokens > 0 && float64(held) >= maxMemoryUtilization*float64(t.MemoryTokens)
 }
 
-// rate is the prefill rate that can be counted on, in tokens a second.
-func (t *Target) rate() float64 {
+// prefillRate returns the usable prefill rate in tokens per second.
+func (t *Target) prefillRate() float64 {
 	r := t.PrefillTokensPerSecond
 	if r <= 0 {
 		r = defaultPrefillRate
@@ -80,10 +80,11 @@
 	return r
 }
 
-// defaultPrefillRate stands in for a pool without a configured rate.
+// defaultPrefillRate is the rate in tokens per second of a pool without a configured
+// one.
 const defaultPrefillRate = 8000
 
-// seconds turns a count of tokens at a rate into a duration.
-func seconds(tokens, rate float64) time.Duration {
+// processingTime returns the time to process tokens at a rate in tokens per second.
+func processingTime(tokens, rate float64) time.Duration {
 	return time.Duration(tokens / rate * float64(time.Second))
 }
--- a/internal/placement/version.go
+++ b/internal/placement/version.go
@@ -1,24 +1,24 @@
 package placement
 
-// ActiveVersion is the weights version that new requests count on while a pool
-// moves to the wanted one: the wanted version once at least floor targets
-// serve it, until then the version that most targets serve, of equals an
-// unwanted one. Switching at the first loaded target would send the whole
-// pool's requests there.
-func ActiveVersion(served map[string]int, wanted string, floor int) string {
-	total, best, most := 0, wanted, 0
-	for version, n := range served {
-		total += n
-		if version == wanted {
+// ActiveVersion returns the weights version that new requests use while a pool moves
+// to the desired one. It is the desired version once at least minTargets targets, or
+// more than serve any other version, serve it. Until then it is the other version that
+// most targets serve. If the first updated target made the switch, it would receive the
+// requests of the whole pool.
+func ActiveVersion(served map[string]int, desired string, minTargets int) string {
+	total, best, bestCount := 0, desired, 0
+	for version, count := range served {
+		total += count
+		if version == desired {
 			continue
 		}
-		if n > most || (n == most && version < best) {
-			best, most = version, n
+		if count > bestCount || (count == bestCount && version < best) {
+			best, bestCount = version, count
 		}
 	}
-	enough := min(max(floor, 1), total)
-	if served[wanted] >= enough || served[wanted] > most {
-		return wanted
+	required := min(max(minTargets, 1), total)
+	if served[desired] >= required || served[desired] > bestCount {
+		return desired
 	}
 	return best
 }
