--- a/internal/cacheindex/entries.go
+++ b/internal/cacheindex/entries.go
@@ -1,100 +1,102 @@
 package cacheindex
 
-// none marks the end of a list.
-const none = int32(-1)
+// nilIndex marks the end of a list.
+const nilIndex = int32(-1)
 
-// entry is one piece that a target is known to hold. It stands in two lists: all entries in order
-// of use, and the entries of its target.
+// entry is a piece that a target is known to have cached. It is an element of two
+// doubly linked lists: newer and older link all entries in order of use, next and
+// prev those of one target.
 type entry struct {
 	key          key
-	holder       *holder
+	target       *targetState
 	newer, older int32
 	next, prev   int32
-	// used is the store's count of uses when this one was used last, takenAt
-	// the target's count of tokens at that time.
-	used    uint64
-	takenAt float64
+	// lastUse is the value of the index's use counter when the piece was last used,
+	// insertedAtUse the target's count of inserted tokens at that time.
+	lastUse       uint64
+	insertedAtUse float64
 }
 
-// entryList keeps entries in one slice and reuses freed places.
+// entryList stores entries in one slice and reuses freed elements.
 type entryList struct {
-	at             []entry
+	nodes          []entry
 	free           []int32
-	newest, eldest int32
+	newest, oldest int32
 }
 
 func newEntryList() entryList {
-	return entryList{newest: none, eldest: none}
+	return entryList{newest: nilIndex, oldest: nilIndex}
 }
 
-func (l *entryList) oldest() int32 { return l.eldest }
+func (l *entryList) leastRecentlyUsed() int32 { return l.oldest }
 
-func (l *entryList) insert(k key, h *holder) int32 {
-	at := l.place()
-	l.at[at] = entry{key: k, holder: h, next: h.first, prev: none}
-	if h.first != none {
-		l.at[h.first].prev = at
+func (l *entryList) insert(k key, t *targetState) int32 {
+	i := l.allocate()
+	l.nodes[i] = entry{key: k, target: t, next: t.firstEntry, prev: nilIndex}
+	if t.firstEntry != nilIndex {
+		l.nodes[t.firstEntry].prev = i
 	}
-	h.first = at
-	l.link(at)
-	return at
+	t.firstEntry = i
+	l.linkNewest(i)
+	return i
 }
 
-func (l *entryList) place() int32 {
+// allocate returns the position of an unused element.
+func (l *entryList) allocate() int32 {
 	if n := len(l.free); n > 0 {
-		at := l.free[n-1]
+		i := l.free[n-1]
 		l.free = l.free[:n-1]
-		return at
+		return i
 	}
-	l.at = append(l.at, entry{})
-	return int32(len(l.at) - 1)
+	l.nodes = append(l.nodes, entry{})
+	return int32(len(l.nodes) - 1)
 }
 
-// link makes an entry the newest.
-func (l *entryList) link(at int32) {
-	e := &l.at[at]
-	e.newer, e.older = none, l.newest
-	if l.newest != none {
-		l.at[l.newest].newer = at
+// linkNewest makes an entry the most recently used.
+func (l *entryList) linkNewest(i int32) {
+	e := &l.nodes[i]
+	e.newer, e.older = nilIndex, l.newest
+	if l.newest != nilIndex {
+		l.nodes[l.newest].newer = i
 	} else {
-		l.eldest = at
+		l.oldest = i
 	}
-	l.newest = at
+	l.newest = i
 }
 
-func (l *entryList) unlink(at int32) {
-	e := &l.at[at]
-	if e.newer != none {
-		l.at[e.newer].older = e.older
+func (l *entryList) unlink(i int32) {
+	e := &l.nodes[i]
+	if e.newer != nilIndex {
+		l.nodes[e.newer].older = e.older
 	} else {
 		l.newest = e.older
 	}
-	if e.older != none {
-		l.at[e.older].newer = e.newer
+	if e.older != nilIndex {
+		l.nodes[e.older].newer = e.newer
 	} else {
-		l.eldest = e.newer
+		l.oldest = e.newer
 	}
 }
 
-func (l *entryList) touch(at int32) {
-	if at == l.newest {
+func (l *entryList) touch(i int32) {
+	if i == l.newest {
 		return
 	}
-	l.unlink(at)
-	l.link(at)
+	l.unlink(i)
+	l.linkNewest(i)
 }
 
-func (l *entryList) remove(at int32) {
-	l.unlink(at)
-	e := &l.at[at]
-	if e.next != none {
-		l.at[e.next].prev = e.prev
+func (l *entryList) remove(i int32) {
+	l.unlink(i)
+	e := &l.nodes[i]
+	if e.next != nilIndex {
+		l.nodes[e.next].prev = e.prev
 	}
-	if e.prev != none {
-		l.at[e.prev].next = e.next
+	if e.prev != nilIndex {
+		l.nodes[e.prev].next = e.next
 	} else {
-		e.holder.first = e.next
+		e.target.firstEntry = e.next
 	}
-	l.at[at] = entry{}
-	l.free = append(l.free, at)
+	l.nodes[i] = entry{}
+	l.free = append(l.free, i)
 }
--- a/internal/cacheindex/identity.go
+++ b/internal/cacheindex/identity.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Identity names one run of a target on one weights version. Entries never
-// outlive the identity that they were learnt from.
+// Identity identifies one run of a target with one weights version. Entries are
+// removed when the identity under which they were learnt ends.
 type Identity struct {
 	Target      string
 	Incarnation string
 	Version     string
 }
 
-// holder is what is known of one target.
-type holder struct {
+// targetState is what is known about one target.
+type targetState struct {
 	identity Identity
-	// asked is when the question was sent that gave the identity.
-	asked time.Duration
-	// generation keys the entries; 0 means that there are none.
+	// queriedAt is when the status query that returned the identity was sent.
+	queriedAt time.Duration
+	// generation is part of the key of the target's entries; 0 means that it has none.
 	generation uint32
-	// first is the head of the list of entries of this target.
-	first int32
-	// taken counts the tokens that requests have put into its cache.
-	taken float64
+	// firstEntry is the head of the list of the target's entries.
+	firstEntry int32
+	// insertedTokens counts the tokens that requests have added to the target's cache.
+	insertedTokens float64
 }
--- a/internal/cacheindex/index.go
+++ b/internal/cacheindex/index.go
@@ -6,13 +6,12 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// EntryBytes is the memory charged for one piece: the entry, its
-// part of the index and the index's spare room.
+// EntryBytes is the memory charged per piece: the entry, its part of the map and the
+// spare capacity of the map.
 const EntryBytes = 96
 
-// Ref is a handle on the entries of one target identity. The zero Ref
-// has none. A Ref goes stale when the identity changes, and then
-// has none either.
+// Ref refers to the entries of one target identity. The zero Ref has no entries. Nor
+// has a Ref whose target has since changed its identity.
 type Ref uint32
 
 type key struct {
@@ -20,232 +19,235 @@
 	hash       prefix.Hash
 }
 
-// Index is the set of pieces known to be held, of all targets. It is not safe for
+// Index is the set of pieces known to be cached, for all targets. It is not safe for
 // concurrent use.
 type Index struct {
-	holders     map[string]*holder
-	index       map[key]int32
+	targets     map[string]*targetState
+	byKey       map[key]int32
 	entries     entryList
 	maxEntries  int
 	generations uint32
 	uses        uint64
-	// capacity is the tokens that a target's cache holds; 0 when not known.
+	// capacity is the size of a target's cache in tokens; 0 if unknown.
 	capacity float64
 }
 
-// New makes a store that keeps within budgetBytes by forgetting the
-// pieces used least recently, over all targets.
+// New returns an index that stays within budgetBytes by removing the least recently
+// used pieces, across all targets.
 func New(budgetBytes int) *Index {
 	return &Index{
-		holders:    map[string]*holder{},
-		index:      map[key]int32{},
+		targets:    map[string]*targetState{},
+		byKey:      map[key]int32{},
 		entries:    newEntryList(),
 		maxEntries: max(1, budgetBytes/EntryBytes),
 	}
 }
 
-// SetCapacity gives the tokens that one target's cache holds; 0 when that is
-// not known, and nothing is taken for evicted by its age.
+// SetCapacity sets the size of each target's cache in tokens. With 0, for an unknown
+// size, no piece is presumed evicted because of its age.
 func (x *Index) SetCapacity(tokens float64) { x.capacity = tokens }
 
-// AddInsertedTokens counts tokens that a request has put into the target's cache. Targets
-// evict what was used least recently, mostly by the own parts of prompts, which
-// nobody asks for again: a piece after whose last use a whole cache was filled
-// is gone. Were it still counted on, requests would be sent there for it and
-// compute it anew, though another target or a store holds it.
+// AddInsertedTokens counts tokens that a request has added to the target's cache.
+// Targets evict the least recently used pieces, mostly to make room for the parts of
+// prompts that are never requested again. A piece that has not been used while the
+// whole cache was refilled is therefore presumed evicted. Otherwise requests would be
+// sent to the target for it and recompute it there, although another target or a
+// store has it.
 func (x *Index) AddInsertedTokens(id Identity, tokens float64) {
-	if h := x.current(id); h != nil {
-		h.taken += max(0, tokens)
+	if t := x.currentTarget(id); t != nil {
+		t.insertedTokens += max(0, tokens)
 	}
 }
 
-// evicted says that a whole cache was filled since the entry's last use.
-func (x *Index) evicted(e *entry) bool {
-	return x.capacity > 0 && e.holder.taken-e.takenAt > x.capacity
+// presumedEvicted reports whether the target's whole cache has been refilled since the
+// entry was last used.
+func (x *Index) presumedEvicted(e *entry) bool {
+	return x.capacity > 0 && e.target.insertedTokens-e.insertedAtUse > x.capacity
 }
 
-// Len is the number of entries.
-func (x *Index) Len() int { return len(x.index) }
+// Len returns the number of entries.
+func (x *Index) Len() int { return len(x.byKey) }
 
-// Observe tells the store what a target answered to a question that was sent
-// at asked, and returns the handle for it. A changed incarnation or version
-// drops all entries. Send the questions to one target one after the
-// other.
+// Observe records the identity that a target returned to a status query sent at
+// queriedAt, and returns the Ref for it. A changed incarnation or version removes all
+// entries of the target. Queries to the same target must be sent one after another.
 //
-// An answer of an ended incarnation can arrive after the first one of the
-// next. It is ignored, because its question is older: were it taken in,
-// answers that cross would bring a dead engine's entries back.
-func (x *Index) Observe(asked time.Duration, id Identity) Ref {
-	h := x.holders[id.Target]
-	if h == nil {
-		h = &holder{first: none}
-		x.holders[id.Target] = h
-	}
-	if asked < h.asked {
-		return Ref(h.generation)
-	}
-	h.asked = asked
-	if h.identity == id {
-		return Ref(h.generation)
-	}
-	x.drop(h)
+// An answer of an earlier incarnation can arrive after the first answer of the next
+// one. It is ignored because its query is older; otherwise it would bring back the
+// entries of an engine that no longer runs.
+func (x *Index) Observe(queriedAt time.Duration, id Identity) Ref {
+	t := x.targets[id.Target]
+	if t == nil {
+		t = &targetState{firstEntry: nilIndex}
+		x.targets[id.Target] = t
+	}
+	if queriedAt < t.queriedAt {
+		return Ref(t.generation)
+	}
+	t.queriedAt = queriedAt
+	if t.identity == id {
+		return Ref(t.generation)
+	}
+	x.removeEntries(t)
 	x.generations++
-	h.identity, h.generation = id, x.generations
-	return Ref(h.generation)
+	t.identity, t.generation = id, x.generations
+	return Ref(t.generation)
 }
 
-// RemoveTarget drops a target that left the configuration.
+// RemoveTarget removes a target that is no longer configured.
 func (x *Index) RemoveTarget(target string) {
-	if h := x.holders[target]; h != nil {
-		x.drop(h)
-		delete(x.holders, target)
+	if t := x.targets[target]; t != nil {
+		x.removeEntries(t)
+		delete(x.targets, target)
 	}
 }
 
-// Cached is the number of leading pieces of the chain that the target is
-// known to hold. It allocates nothing.
+// Cached returns the number of leading pieces of the chain that the target is known to
+// have cached. It does not allocate.
 func (x *Index) Cached(ref Ref, chain []prefix.Hash) int {
 	if ref == 0 {
 		return 0
 	}
 	for i, hash := range chain {
-		at, ok := x.index[key{uint32(ref), hash}]
-		if !ok || x.evicted(&x.entries.at[at]) {
+		at, ok := x.byKey[key{uint32(ref), hash}]
+		if !ok || x.presumedEvicted(&x.entries.nodes[at]) {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// Stamp marks a moment in the order of uses of one target's pieces; the zero
-// Stamp is before all uses.
+// Stamp is a position in the order of uses of one target's pieces. The zero Stamp
+// precedes all uses.
 type Stamp uint64
 
-// AddExpected records the pieces that a request on its way to the target will
-// leave there. It gives the stamp of the least recent use among those already
-// known, for Missed.
+// AddExpected records the pieces that a request sent to the target will leave in its
+// cache. It returns the stamp of the least recent use among the leading pieces that
+// were already known, for RecordMiss.
 func (x *Index) AddExpected(id Identity, chain []prefix.Hash) Stamp {
-	h := x.current(id)
-	if h == nil {
+	t := x.currentTarget(id)
+	if t == nil {
 		return 0
 	}
-	stamp := x.leastRecent(h, chain)
-	x.addAll(h, chain)
+	stamp := x.leastRecentUse(t, chain)
+	x.addAll(t, chain)
 	return stamp
 }
 
-// leastRecent is the stamp of the least recently used leading piece that is known.
-func (x *Index) leastRecent(h *holder, chain []prefix.Hash) Stamp {
+// leastRecentUse returns the stamp of the least recently used piece among the known
+// leading pieces of the chain.
+func (x *Index) leastRecentUse(t *targetState, chain []prefix.Hash) Stamp {
 	var least uint64
 	for i, hash := range chain {
-		at, ok := x.index[key{h.generation, hash}]
+		at, ok := x.byKey[key{t.generation, hash}]
 		if !ok {
 			break
 		}
-		if used := x.entries.at[at].used; i == 0 || used < least {
+		if used := x.entries.nodes[at].lastUse; i == 0 || used < least {
 			least = used
 		}
 	}
 	return Stamp(least)
 }
 
-// RecordMiss takes in that a target had evicted pieces of a chain that Expect gave
-// the stamp for. Engines evict what was used least recently, so all that was
-// not used since is gone too.
+// RecordMiss records that a target had evicted pieces of a chain for which AddExpected
+// returned the stamp. Engines evict the least recently used pieces first, so every
+// piece not used since then is removed as well.
 func (x *Index) RecordMiss(id Identity, stamp Stamp) {
-	h := x.current(id)
-	if h == nil {
+	t := x.currentTarget(id)
+	if t == nil {
 		return
 	}
-	for at := h.first; at != none; {
-		e := &x.entries.at[at]
+	for at := t.firstEntry; at != nilIndex; {
+		e := &x.entries.nodes[at]
 		next := e.next
-		if e.used <= uint64(stamp) {
+		if e.lastUse <= uint64(stamp) {
 			x.remove(at)
 		}
 		at = next
 	}
 }
 
-// Answered takes in an answer: the target prefilled the whole prompt, so it
-// holds the whole chain now.
+// Answered records that a request was answered: the target prefilled the whole prompt
+// and therefore has the whole chain cached.
 func (x *Index) Answered(id Identity, chain []prefix.Hash) {
 	x.AddExpected(id, chain)
 }
 
-// Failed takes back what Expect recorded for a request that the target did
-// not prefill; the first kept pieces were held before.
+// Failed removes what AddExpected recorded for a request that the target did not
+// prefill, except the first kept pieces, which were cached before.
 func (x *Index) Failed(id Identity, chain []prefix.Hash, kept int) {
-	if h := x.current(id); h != nil && kept < len(chain) {
-		x.removeAll(h, chain[kept:])
+	if t := x.currentTarget(id); t != nil && kept < len(chain) {
+		x.removeAll(t, chain[kept:])
 	}
 }
 
-// Stored applies a cache event: the target holds these pieces.
+// Stored applies a cache event: the target has cached these pieces.
 func (x *Index) Stored(id Identity, pieces []prefix.Hash) {
-	if h := x.current(id); h != nil {
-		x.addAll(h, pieces)
+	if t := x.currentTarget(id); t != nil {
+		x.addAll(t, pieces)
 	}
 }
 
-// Evicted applies a cache event: the target holds these pieces no longer.
+// Evicted applies a cache event: the target has evicted these pieces.
 func (x *Index) Evicted(id Identity, pieces []prefix.Hash) {
-	if h := x.current(id); h != nil {
-		x.removeAll(h, pieces)
+	if t := x.currentTarget(id); t != nil {
+		x.removeAll(t, pieces)
 	}
 }
 
-// Cleared applies a cache event: the target holds nothing.
+// Cleared applies a cache event: the target's cache is empty.
 func (x *Index) Cleared(id Identity) {
-	if h := x.current(id); h != nil {
-		x.drop(h)
+	if t := x.currentTarget(id); t != nil {
+		x.removeEntries(t)
 	}
 }
 
-// current is the holder when id is still its identity. Events and answers are
-// late; those of an ended identity say nothing about the present cache.
-func (x *Index) current(id Identity) *holder {
-	h := x.holders[id.Target]
-	if h == nil || h.identity != id {
+// currentTarget returns the target's state if id is still its identity, otherwise nil.
+// Events and answers can be late; those of an earlier identity say nothing about the
+// current cache.
+func (x *Index) currentTarget(id Identity) *targetState {
+	t := x.targets[id.Target]
+	if t == nil || t.identity != id {
 		return nil
 	}
-	return h
+	return t
 }
 
-func (x *Index) addAll(h *holder, pieces []prefix.Hash) {
+func (x *Index) addAll(t *targetState, pieces []prefix.Hash) {
 	x.uses++
 	for _, hash := range pieces {
-		k := key{h.generation, hash}
-		if at, ok := x.index[k]; ok {
+		k := key{t.generation, hash}
+		if at, ok := x.byKey[k]; ok {
 			x.entries.touch(at)
-			x.entries.at[at].used, x.entries.at[at].takenAt = x.uses, h.taken
+			x.entries.nodes[at].lastUse, x.entries.nodes[at].insertedAtUse = x.uses, t.insertedTokens
 			continue
 		}
-		if len(x.index) >= x.maxEntries {
-			x.remove(x.entries.oldest())
+		if len(x.byKey) >= x.maxEntries {
+			x.remove(x.entries.leastRecentlyUsed())
 		}
-		at := x.entries.insert(k, h)
-		x.entries.at[at].used, x.entries.at[at].takenAt = x.uses, h.taken
-		x.index[k] = at
+		at := x.entries.insert(k, t)
+		x.entries.nodes[at].lastUse, x.entries.nodes[at].insertedAtUse = x.uses, t.insertedTokens
+		x.byKey[k] = at
 	}
 }
 
-func (x *Index) removeAll(h *holder, pieces []prefix.Hash) {
+func (x *Index) removeAll(t *targetState, pieces []prefix.Hash) {
 	for _, hash := range pieces {
-		if at, ok := x.index[key{h.generation, hash}]; ok {
+		if at, ok := x.byKey[key{t.generation, hash}]; ok {
 			x.remove(at)
 		}
 	}
 }
 
 func (x *Index) remove(at int32) {
-	delete(x.index, x.entries.at[at].key)
+	delete(x.byKey, x.entries.nodes[at].key)
 	x.entries.remove(at)
 }
 
-// drop forgets every entry of one target.
-func (x *Index) drop(h *holder) {
-	for h.first != none {
-		x.remove(h.first)
+// removeEntries removes all entries of one target.
+func (x *Index) removeEntries(t *targetState) {
+	for t.firstEntry != nilIndex {
+		x.remove(t.firstEntry)
 	}
 }
--- a/internal/cacheindex/index_test.go
+++ b/internal/cacheindex/index_test.go
@@ -16,161 +16,160 @@
 
 var chain = []prefix.Hash{1, 2, 3}
 
-// An engine crashes and comes back empty. Its last cache events and an answer
-// from before the crash arrive after the first report of the new incarnation.
-// Counting on them would send requests to an empty cache as if it were warm.
-func TestLateMessagesOfDeadIncarnationAreIgnored(t *testing.T) {
+// An engine crashes and restarts with an empty cache. Its last cache events, and a
+// status answer from before the crash, arrive after the first status of the new
+// incarnation. If they were applied, requests would be sent to an empty cache as if it
+// had the pieces.
+func TestLateMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
+	index := New(1 << 20)
 	old := Identity{"t1", "i1", "v1"}
-	oldRef := s.Observe(1, old)
-	s.Answered(old, chain)
-	is.Equal(s.Cached(oldRef, chain), 3)
+	oldRef := index.Observe(1, old)
+	index.Answered(old, chain)
+	is.Equal(index.Cached(oldRef, chain), 3)
 
-	fresh := s.Observe(3, Identity{"t1", "i2", "v1"})
-	s.Stored(old, chain)
-	s.Answered(old, chain)
-	is.Equal(s.Observe(2, old), fresh) // a crossed report does not bring i1 back
-	is.Equal(s.Cached(fresh, chain), 0)
-	is.Equal(s.Cached(oldRef, chain), 0)
-	is.Equal(s.Len(), 0)
+	fresh := index.Observe(3, Identity{"t1", "i2", "v1"})
+	index.Stored(old, chain)
+	index.Answered(old, chain)
+	is.Equal(index.Observe(2, old), fresh) // an older status does not restore i1
+	is.Equal(index.Cached(fresh, chain), 0)
+	is.Equal(index.Cached(oldRef, chain), 0)
+	is.Equal(index.Len(), 0)
 }
 
 func TestWeightsChangeDropsEntries(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
+	index := New(1 << 20)
 	id := Identity{"t1", "i1", "v1"}
-	s.Observe(1, id)
-	s.Answered(id, chain)
-	ref := s.Observe(2, Identity{"t1", "i1", "v2"})
-	is.Equal(s.Cached(ref, chain), 0)
-	ref = s.Observe(3, id) // rolled back: the cache was cleared on the way
-	is.Equal(s.Cached(ref, chain), 0)
+	index.Observe(1, id)
+	index.Answered(id, chain)
+	ref := index.Observe(2, Identity{"t1", "i1", "v2"})
+	is.Equal(index.Cached(ref, chain), 0)
+	ref = index.Observe(3, id) // rolled back, with the cache cleared in between
+	is.Equal(index.Cached(ref, chain), 0)
 }
 
-func TestEvictionCutsKnownPrefix(t *testing.T) {
+func TestEvictionShortensCachedPrefix(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
+	index := New(1 << 20)
 	id := Identity{"t1", "i1", "v1"}
-	ref := s.Observe(1, id)
-	s.Answered(id, chain)
-	s.Evicted(id, chain[1:2])
-	is.Equal(s.Cached(ref, chain), 1)
-	s.Cleared(id)
-	is.Equal(s.Cached(ref, chain), 0)
+	ref := index.Observe(1, id)
+	index.Answered(id, chain)
+	index.Evicted(id, chain[1:2])
+	is.Equal(index.Cached(ref, chain), 1)
+	index.Cleared(id)
+	is.Equal(index.Cached(ref, chain), 0)
 }
 
 func TestFailedRequestLeavesNoEntries(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
+	index := New(1 << 20)
 	id := Identity{"t1", "i1", "v1"}
-	ref := s.Observe(1, id)
-	s.Answered(id, chain[:1])
-	s.AddExpected(id, chain)
-	s.Failed(id, chain, 1)
-	is.Equal(s.Cached(ref, chain), 1)
+	ref := index.Observe(1, id)
+	index.Answered(id, chain[:1])
+	index.AddExpected(id, chain)
+	index.Failed(id, chain, 1)
+	is.Equal(index.Cached(ref, chain), 1)
 }
 
-func TestBudgetForgetsLeastRecentlyUsed(t *testing.T) {
+func TestBudgetRemovesLeastRecentlyUsed(t *testing.T) {
 	is := is.New(t)
-	s := New(3 * EntryBytes)
+	index := New(3 * EntryBytes)
 	id := Identity{"t1", "i1", "v1"}
-	ref := s.Observe(1, id)
-	s.Answered(id, chain)
-	s.Answered(id, []prefix.Hash{1, 2, 9}) // 3 was used least recently
-	is.Equal(s.Len(), 3)
-	is.Equal(s.Cached(ref, chain), 2)
+	ref := index.Observe(1, id)
+	index.Answered(id, chain)
+	index.Answered(id, []prefix.Hash{1, 2, 9}) // 3 was used least recently
+	is.Equal(index.Len(), 3)
+	is.Equal(index.Cached(ref, chain), 2)
 }
 
-// An answer tells that the engine had evicted a piece. Everything used before
-// it must be gone as well; counted on, each piece would cost a miss of its
-// own to learn about.
-func TestMissDropsWhatWasUsedBefore(t *testing.T) {
+// An answer shows that the engine had evicted a piece. Every piece used earlier must
+// be removed too; otherwise each of them would cost another cache miss to discover.
+func TestMissRemovesLessRecentlyUsedPieces(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
+	index := New(1 << 20)
 	id := Identity{"t1", "i1", "v1"}
-	ref := s.Observe(1, id)
-	s.Answered(id, []prefix.Hash{10})
-	s.Answered(id, chain)
-	s.Answered(id, []prefix.Hash{20})
-	stamp := s.AddExpected(id, chain)
-	s.RecordMiss(id, stamp)
-	is.Equal(s.Cached(ref, []prefix.Hash{10}), 0)
-	is.Equal(s.Cached(ref, []prefix.Hash{20}), 1)
-	is.Equal(s.Cached(ref, chain), 3) // prefilled again by this request
+	ref := index.Observe(1, id)
+	index.Answered(id, []prefix.Hash{10})
+	index.Answered(id, chain)
+	index.Answered(id, []prefix.Hash{20})
+	stamp := index.AddExpected(id, chain)
+	index.RecordMiss(id, stamp)
+	is.Equal(index.Cached(ref, []prefix.Hash{10}), 0)
+	is.Equal(index.Cached(ref, []prefix.Hash{20}), 1)
+	is.Equal(index.Cached(ref, chain), 3) // prefilled again by this request
 }
 
-// Engines crash, change weights and send late events in any order. Nothing is
-// ever known that was not said by the present incarnation on the present
-// weights, and the budget holds.
-func TestPropertyEntriesAreOfPresentIdentityOnly(t *testing.T) {
+// Engines crash, change weights and send late events in any order. The index must only
+// contain pieces reported by the current incarnation with the current weights, and
+// must stay within its budget.
+func TestPropertyEntriesBelongToCurrentIdentity(t *testing.T) {
 	const budget = 8
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(budget * EntryBytes)
+		index := New(budget * EntryBytes)
 		targets := []string{"t1", "t2"}
-		present := map[string]Identity{}
-		said := map[Identity]map[prefix.Hash]bool{}
-		past := []Identity{}
-		asked := map[Identity]time.Duration{}
+		current := map[string]Identity{}
+		reported := map[Identity]map[prefix.Hash]bool{}
+		identities := []Identity{}
+		queriedAt := map[Identity]time.Duration{}
 		for step := range 80 {
 			now := time.Duration(step)
 			name := rapid.SampledFrom(targets).Draw(t, "target")
-			id := present[name]
+			id := current[name]
 			switch op := rapid.IntRange(0, 5).Draw(t, "op"); {
 			case op == 0 || id == Identity{}:
 				id = Identity{name, fmt.Sprint("i", step), rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version")}
-				present[name] = id
-				said[id] = map[prefix.Hash]bool{}
-				past = append(past, id)
-				asked[id] = now
-				s.Observe(now, id)
-			case op == 1: // a late message of any identity there ever was
-				late := rapid.SampledFrom(past).Draw(t, "late")
-				s.Stored(late, []prefix.Hash{7})
-				if late == present[late.Target] {
-					said[late][7] = true
+				current[name] = id
+				reported[id] = map[prefix.Hash]bool{}
+				identities = append(identities, id)
+				queriedAt[id] = now
+				index.Observe(now, id)
+			case op == 1: // a late message of a current or earlier identity
+				late := rapid.SampledFrom(identities).Draw(t, "late")
+				index.Stored(late, []prefix.Hash{7})
+				if late == current[late.Target] {
+					reported[late][7] = true
 				}
-				s.Observe(asked[late], late)
+				index.Observe(queriedAt[late], late)
 			default:
 				h := prefix.Hash(rapid.IntRange(1, 12).Draw(t, "piece"))
-				s.Answered(id, []prefix.Hash{h})
-				said[id][h] = true
+				index.Answered(id, []prefix.Hash{h})
+				reported[id][h] = true
 			}
-			for _, id := range present {
-				ref := s.Observe(now, id)
+			for _, id := range current {
+				ref := index.Observe(now, id)
 				for h := prefix.Hash(1); h <= 12; h++ {
-					if s.Cached(ref, []prefix.Hash{h}) > 0 && !said[id][h] {
-						t.Fatalf("%v known to hold %d", id, h)
+					if index.Cached(ref, []prefix.Hash{h}) > 0 && !reported[id][h] {
+						t.Fatalf("%v: entry for piece %d that it did not report", id, h)
 					}
 				}
 			}
-			if s.Len() > budget {
-				t.Fatalf("%d entries over the budget", s.Len())
+			if index.Len() > budget {
+				t.Fatalf("%d entries exceed the budget", index.Len())
 			}
 		}
 	})
 }
 
-// A dossier's opening was used on a target half a minute ago, and the own parts
-// of two hundred prompts have gone through its cache since. A request sent there
-// for it would compute it anew; so nothing is known of it any more, while
-// what was used in between still is.
-func TestPiecesAgeByWhatTheTargetTook(t *testing.T) {
+// A piece has not been used while a whole cache of other tokens was inserted at its
+// target. It must be presumed evicted, because a request sent there for it would
+// recompute it. Pieces used in the meantime must remain known.
+func TestPiecesArePresumedEvictedAfterCacheRefill(t *testing.T) {
 	is := is.New(t)
-	s := New(1 << 20)
-	s.SetCapacity(1000)
+	index := New(1 << 20)
+	index.SetCapacity(1000)
 	id := Identity{Target: "t", Incarnation: "i", Version: "v"}
-	ref := s.Observe(0, id)
+	ref := index.Observe(0, id)
 	old, fresh := []prefix.Hash{1, 2}, []prefix.Hash{3}
-	s.AddExpected(id, old)
-	s.AddInsertedTokens(id, 600)
-	s.AddExpected(id, fresh)
-	s.AddInsertedTokens(id, 600)
-	is.Equal(s.Cached(ref, old), 0)
-	is.Equal(s.Cached(ref, fresh), 1)
-	s.AddExpected(id, old) // computed anew
-	is.Equal(s.Cached(ref, old), 2)
-	s.SetCapacity(0) // a target whose memory is not known evicts by nobody's count
-	s.AddInsertedTokens(id, 1e9)
-	is.Equal(s.Cached(ref, old), 2)
+	index.AddExpected(id, old)
+	index.AddInsertedTokens(id, 600)
+	index.AddExpected(id, fresh)
+	index.AddInsertedTokens(id, 600)
+	is.Equal(index.Cached(ref, old), 0)
+	is.Equal(index.Cached(ref, fresh), 1)
+	index.AddExpected(id, old) // recomputed
+	is.Equal(index.Cached(ref, old), 2)
+	index.SetCapacity(0) // without a known capacity, no piece is presumed evicted
+	index.AddInsertedTokens(id, 1e9)
+	is.Equal(index.Cached(ref, old), 2)
 }
