--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory keeps the targets that have registered themselves, and
-// says which of them may get new work.
+// Package directory keeps the targets that have registered themselves and determines
+// which of them may receive new work.
 //
-// Registrations come from a store that may be away, forget its history, or
-// hold records of an earlier incarnation. The package is pure: records and
-// the time come in as arguments.
+// Registrations come from a store that can be unavailable, lose its history or contain
+// records of an earlier incarnation. The package performs no I/O: callers pass in the
+// records and the time.
 package directory
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// State is what a target says of itself.
+// State is the state that a target reports.
 type State string
 
 // The states.
@@ -21,10 +21,11 @@
 	Draining State = "draining"
 )
 
-// Registration is a target's own record.
+// Registration is the record that a target publishes about itself. Instances exchange
+// registrations under the field names of the msgpack encoding.
 type Registration struct {
-	// ID names one incarnation of a target in most cases; a target may also
-	// start again under the same ID, with a later Born.
+	// ID usually identifies one incarnation of a target. A target may also restart
+	// under the same ID, with a later StartedMs.
 	ID      string
 	Service string
 	Address string
@@ -33,106 +34,106 @@
 	Slots   int
 	// WarmupRemaining is how much longer the target is slow after its start.
 	WarmupRemaining time.Duration `msgpack:"ColdFor"`
-	// StartedMs is the Unix millisecond of the target's start.
+	// StartedMs is the Unix time in milliseconds at which the target started.
 	StartedMs int64 `msgpack:"Born"`
-	// Seq grows with each record of one incarnation.
+	// Seq increases with each record of one incarnation.
 	Seq int64
-	// Versions are the weights versions of its models.
+	// Versions maps each model to the weights version served.
 	Versions map[string]int64
 }
 
-// Incarnation tells two starts of one target apart.
+// Incarnation identifies one start of a target.
 type Incarnation struct {
 	ID        string
 	StartedMs int64
 }
 
-// Incarnation names this start of the target.
+// Incarnation returns the incarnation that published the registration.
 func (r Registration) Incarnation() Incarnation { return Incarnation{r.ID, r.StartedMs} }
 
-// Event is one change of the registrations; a nil Registration removes ID.
+// Event is a change of one registration; a nil Registration removes ID.
 type Event struct {
 	ID           string
 	Registration *Registration
 }
 
-// StoreRecoveryGrace is how long a target whose record is missing after the store
-// was away is still used: records that lapsed meanwhile are back within about
-// two seconds of the store's return when their target lives.
+// StoreRecoveryGrace is how long a target whose record is missing after an outage of
+// the store is still used. If the target is alive, a record that expired during the
+// outage is renewed within about two seconds after it.
 const StoreRecoveryGrace = 2500 * time.Millisecond
 
-// StoreOutageThreshold is the silence of the store after which records may have lapsed
-// without their target being at fault. It is over the usual time between two
-// words on the registrations, by an own read or a peer's, and well under the
-// three heartbeats after which a record lapses.
+// StoreOutageThreshold is the time without a read after which the store counts as
+// having been unavailable, so that records may have expired although their targets are
+// alive. It is longer than the usual interval between updates, from own reads or from
+// peers, and well below the three heartbeats after which a record expires.
 const StoreOutageThreshold = 2200 * time.Millisecond
 
-// Directory is the registered targets. It is not safe for concurrent use.
+// Directory is the set of registered targets. It is not safe for concurrent use.
 type Directory struct {
 	targets map[string]*entry
-	// lastRead is when the store was last read, and returnedAt when it was
-	// first read again after it had been away.
-	lastRead   time.Duration
-	returnedAt time.Duration
-	wasAway    bool
-	revision   int64
+	// lastReadAt is the time of the last read of the store, recoveredAt that of the
+	// first read after its last outage.
+	lastReadAt  time.Duration
+	recoveredAt time.Duration
+	hadOutage   bool
+	revision    int64
 }
 
 type entry struct {
 	Registration
-	// missing is set while the record is gone and the target in its grace.
+	// missing is set during the grace period of a target whose record is gone.
 	missing bool
 }
 
-// New makes an empty directory.
+// New returns an empty directory.
 func New() *Directory { return &Directory{targets: map[string]*entry{}} }
 
-// Revision grows whenever a target came, went or changed in more than its
-// sequence number.
+// Revision increases whenever a target is added or removed, or its start time, state,
+// address, service or versions change. A heartbeat does not change it.
 func (d *Directory) Revision() int64 { return d.revision }
 
-// ApplyEvents takes in the records that the store held at the time. It gives those
-// that changed more than a target's sequence number.
+// ApplyEvents applies events read from the store at the given time. It returns those
+// that changed the revision.
 func (d *Directory) ApplyEvents(now time.Duration, events []Event) []Event {
-	if d.lastRead > 0 && now-d.lastRead > StoreOutageThreshold {
-		d.returnedAt, d.wasAway = now, true
+	if d.lastReadAt > 0 && now-d.lastReadAt > StoreOutageThreshold {
+		d.recoveredAt, d.hadOutage = now, true
 	}
-	d.lastRead = now
+	d.lastReadAt = now
 	var changes []Event
 	for _, e := range events {
 		before := d.revision
-		d.apply(now, e)
+		d.applyEvent(now, e)
 		if d.revision != before {
 			changes = append(changes, e)
 		}
 	}
-	d.expire(now)
+	d.expireMissing(now)
 	return changes
 }
 
-// ReplaceAll takes in the whole of the records, as read after the store's
-// history was lost: what is not among them is gone.
+// ReplaceAll applies a complete set of registrations, read after the store lost its
+// history. Targets that are not in it are treated as removed.
 func (d *Directory) ReplaceAll(now time.Duration, all []Event) []Event {
-	there := make(map[string]bool, len(all))
+	present := make(map[string]bool, len(all))
 	for _, e := range all {
-		there[e.ID] = true
+		present[e.ID] = true
 	}
 	for id := range d.targets {
-		if !there[id] {
+		if !present[id] {
 			all = append(all, Event{ID: id})
 		}
 	}
 	return d.ApplyEvents(now, all)
 }
 
-func (d *Directory) apply(now time.Duration, e Event) {
+func (d *Directory) applyEvent(now time.Duration, e Event) {
 	known := d.targets[e.ID]
 	if e.Registration == nil {
 		d.remove(now, known)
 		return
 	}
 	next := *e.Registration
-	if known != nil && outdated(&next, &known.Registration) {
+	if known != nil && olderThan(&next, &known.Registration) {
 		return
 	}
 	if known == nil || known.missing || differs(&next, &known.Registration) {
@@ -141,15 +142,17 @@
 	d.targets[e.ID] = &entry{Registration: next}
 }
 
-// outdated says that a record is older than the known one: a copy that was
-// held up on its way would bring back an incarnation that has ended.
-func outdated(next, known *Registration) bool {
+// olderThan reports whether a record is older than the known one. Applying a delayed
+// copy would restore an incarnation that has ended.
+func olderThan(next, known *Registration) bool {
 	if next.StartedMs != known.StartedMs {
 		return next.StartedMs < known.StartedMs
 	}
 	return next.Seq < known.Seq
 }
 
+// differs reports whether two records differ in start time, state, address, service
+// or versions.
 func differs(a, b *Registration) bool {
 	if a.StartedMs != b.StartedMs || a.State != b.State || a.Address != b.Address || a.Service != b.Service || len(a.Versions) != len(b.Versions) {
 		return true
@@ -162,27 +165,27 @@
 	return false
 }
 
-// remove drops a target, or starts its grace when its record may have lapsed
-// only because the store was away.
+// remove deletes a target, or starts its grace period if its record may have expired
+// only because the store was unavailable.
 func (d *Directory) remove(now time.Duration, known *entry) {
 	if known == nil || known.missing {
 		return
 	}
 	d.revision++
-	if d.inGrace(now) && known.State == Ready {
+	if d.inRecoveryGrace(now) && known.State == Ready {
 		known.missing = true
 		return
 	}
 	delete(d.targets, known.ID)
 }
 
-func (d *Directory) inGrace(now time.Duration) bool {
-	return d.wasAway && now-d.returnedAt < StoreRecoveryGrace
+func (d *Directory) inRecoveryGrace(now time.Duration) bool {
+	return d.hadOutage && now-d.recoveredAt < StoreRecoveryGrace
 }
 
-// expire drops the targets whose record did not come back in time.
-func (d *Directory) expire(now time.Duration) {
-	if d.inGrace(now) {
+// expireMissing deletes the targets whose record was not renewed in the grace period.
+func (d *Directory) expireMissing(now time.Duration) {
+	if d.inRecoveryGrace(now) {
 		return
 	}
 	for id, t := range d.targets {
@@ -193,17 +196,17 @@
 	}
 }
 
-// Usable lists the targets of a service that may get new work, by ID.
+// Usable returns the targets of a service that may receive new work, ordered by ID.
 func (d *Directory) Usable(service string) []Registration {
-	return d.list(func(t *entry) bool { return t.Service == service && t.State == Ready })
+	return d.filter(func(t *entry) bool { return t.Service == service && t.State == Ready })
 }
 
-// All lists every known target by ID.
+// All returns all known targets, ordered by ID.
 func (d *Directory) All() []Registration {
-	return d.list(func(*entry) bool { return true })
+	return d.filter(func(*entry) bool { return true })
 }
 
-func (d *Directory) list(keep func(*entry) bool) []Registration {
+func (d *Directory) filter(keep func(*entry) bool) []Registration {
 	var out []Registration
 	for _, t := range d.targets {
 		if keep(t) {
@@ -214,13 +217,13 @@
 	return out
 }
 
-// Has says whether an incarnation of a target is registered.
+// Has reports whether an incarnation of a target is registered.
 func (d *Directory) Has(id Incarnation) bool {
 	r, ok := d.Find(id.ID)
 	return ok && r.Incarnation() == id
 }
 
-// Find gives a target by its ID.
+// Find returns the registration of the target with the given ID.
 func (d *Directory) Find(id string) (Registration, bool) {
 	t := d.targets[id]
 	if t == nil {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-func put(id string, born, seq int64, state State) Event {
+func registered(id string, startedMs, seq int64, state State) Event {
 	return Event{ID: id, Registration: &Registration{
-		ID: id, Service: "s", Address: "10.0.0.1:80", State: state, StartedMs: born, Seq: seq,
+		ID: id, Service: "s", Address: "10.0.0.1:80", State: state, StartedMs: startedMs, Seq: seq,
 	}}
 }
 
-func gone(id string) Event { return Event{ID: id} }
+func removed(id string) Event { return Event{ID: id} }
 
-// usable lists the IDs that may get work.
+// usable returns the IDs of the targets that may receive work.
 func usable(d *Directory) []string {
 	ids := []string{}
 	for _, r := range d.Usable("s") {
@@ -24,18 +24,18 @@
 	return ids
 }
 
-func TestEventsChangeWhoMayGetWork(t *testing.T) {
+func TestEventsDetermineUsableTargets(t *testing.T) {
 	cases := map[string]struct {
 		events []Event
 		want   []string
 	}{
-		"registered":               {[]Event{put("b", 1, 1, Ready), put("a", 1, 1, Ready)}, []string{"a", "b"}},
-		"draining":                 {[]Event{put("a", 1, 1, Ready), put("a", 1, 2, Draining)}, []string{}},
-		"gone":                     {[]Event{put("a", 1, 1, Ready), gone("a")}, []string{}},
-		"an older record is late":  {[]Event{put("a", 1, 2, Draining), put("a", 1, 1, Ready)}, []string{}},
-		"restarted under its name": {[]Event{put("a", 1, 9, Draining), put("a", 2, 1, Ready)}, []string{"a"}},
-		"an ended start is late":   {[]Event{put("a", 2, 1, Draining), put("a", 1, 9, Ready)}, []string{}},
-		"gone twice":               {[]Event{gone("a"), gone("a")}, []string{}},
+		"registered":                       {[]Event{registered("b", 1, 1, Ready), registered("a", 1, 1, Ready)}, []string{"a", "b"}},
+		"draining":                         {[]Event{registered("a", 1, 1, Ready), registered("a", 1, 2, Draining)}, []string{}},
+		"removed":                          {[]Event{registered("a", 1, 1, Ready), removed("a")}, []string{}},
+		"older record arrives late":        {[]Event{registered("a", 1, 2, Draining), registered("a", 1, 1, Ready)}, []string{}},
+		"restarted with the same ID":       {[]Event{registered("a", 1, 9, Draining), registered("a", 2, 1, Ready)}, []string{"a"}},
+		"earlier incarnation arrives late": {[]Event{registered("a", 2, 1, Draining), registered("a", 1, 9, Ready)}, []string{}},
+		"removed twice":                    {[]Event{removed("a"), removed("a")}, []string{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,49 +47,49 @@
 	}
 }
 
-// The store is away for five seconds, and every record lapses meanwhile though
-// its target lives. Callers must not see a fleet without targets: the targets
-// stay until their records are back.
-func TestRecordsThatLapsedWhileTheStoreWasAway(t *testing.T) {
+// The store is unavailable for five seconds. All records expire in that time although
+// their targets are alive. The targets must stay usable until their records are
+// renewed, otherwise no request could be served.
+func TestRecordsExpiredDuringStoreOutageStayUsable(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready), put("c", 1, 1, Draining)})
-	d.ApplyEvents(6*time.Second, []Event{gone("a"), gone("b"), gone("c")})
+	d.ApplyEvents(1*time.Second, []Event{registered("a", 1, 1, Ready), registered("b", 1, 1, Ready), registered("c", 1, 1, Draining)})
+	d.ApplyEvents(6*time.Second, []Event{removed("a"), removed("b"), removed("c")})
 	is.Equal(usable(d), []string{"a", "b"})
-	d.ApplyEvents(7*time.Second, []Event{put("a", 1, 2, Ready)})
+	d.ApplyEvents(7*time.Second, []Event{registered("a", 1, 2, Ready)})
 	is.Equal(usable(d), []string{"a", "b"})
 	d.ApplyEvents(6*time.Second+StoreRecoveryGrace, nil)
-	is.Equal(usable(d), []string{"a"}) // b did not come back: it is gone
+	is.Equal(usable(d), []string{"a"}) // b's record was not renewed
 }
 
-// While the store answers, a record that goes means that its target went, and
-// no request may follow it.
-func TestRemovalCountsAtOnceWhileTheStoreAnswers(t *testing.T) {
+// While the store is available, a removed record means that its target has left. No
+// request may be sent to it.
+func TestRemovalTakesEffectAtOnceWhileStoreIsAvailable(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready)})
-	d.ApplyEvents(2*time.Second, []Event{gone("a")})
+	d.ApplyEvents(1*time.Second, []Event{registered("a", 1, 1, Ready)})
+	d.ApplyEvents(2*time.Second, []Event{removed("a")})
 	is.Equal(usable(d), []string{})
 }
 
-// The store drops its history, and the registrations are read whole: what is
-// not among them went unseen.
-func TestReplaceDropsWhatIsMissing(t *testing.T) {
+// The store lost its history and the registrations are read in full. Targets that are
+// not among them have left.
+func TestReplaceAllRemovesMissingTargets(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready), put("b", 1, 1, Ready)})
-	d.ReplaceAll(2*time.Second, []Event{put("b", 1, 2, Ready)})
+	d.ApplyEvents(1*time.Second, []Event{registered("a", 1, 1, Ready), registered("b", 1, 1, Ready)})
+	d.ReplaceAll(2*time.Second, []Event{registered("b", 1, 2, Ready)})
 	is.Equal(usable(d), []string{"b"})
 }
 
-func TestRevisionFollowsWhatMatters(t *testing.T) {
+func TestRevisionIgnoresHeartbeats(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.ApplyEvents(1*time.Second, []Event{put("a", 1, 1, Ready)})
+	d.ApplyEvents(1*time.Second, []Event{registered("a", 1, 1, Ready)})
 	first := d.Revision()
-	d.ApplyEvents(2*time.Second, []Event{put("a", 1, 2, Ready)}) // a heartbeat
+	d.ApplyEvents(2*time.Second, []Event{registered("a", 1, 2, Ready)}) // a heartbeat
 	is.Equal(d.Revision(), first)
-	d.ApplyEvents(3*time.Second, []Event{put("a", 1, 3, Draining)})
+	d.ApplyEvents(3*time.Second, []Event{registered("a", 1, 3, Draining)})
 	is.True(d.Revision() > first)
 	r, ok := d.Find("a")
 	is.True(ok)
