--- a/internal/servicetime/servicetime.go
+++ b/internal/servicetime/servicetime.go
@@ -1,131 +1,135 @@
-// Package servicetime learns from answers how long the targets of a pool take
-// to a first token: the latency that all prompts see, the rate at which each
-// target prefills, and by how much long prompts take longer than in proportion.
+// Package servicetime estimates, from the answers of a pool's targets, how long they
+// take to return a first token: the latency common to all prompts, the prefill rate of
+// each target, and how much longer than proportional the prefill of a long prompt is.
 //
-// Other work at a target, of which nothing is known here, only makes an answer
-// later. So all estimates follow fast answers quickly and slow ones slowly, and
-// rates are learnt from prompts that found their target idle as far as known.
+// Other work at a target, which may be unknown here, can only delay an answer.
+// Estimates therefore follow faster answers quickly and slower ones slowly, and rates
+// are learnt only from prompts whose target had no other known work.
 //
-// The package is pure.
+// The package performs no I/O: callers pass in the time.
 package servicetime
 
 import "time"
 
 const (
-	// window is how long the shortest latency seen counts at least.
-	window = 10 * time.Second
-	// faster and slower are the weights of an answer that was faster or slower
-	// than estimated.
-	faster, slower = 0.3, 0.05
-	// minTokens is the prefill from which an answer tells of a rate: shorter
-	// ones take no longer than a step of the target, and tell of the latency.
-	minTokens = 1500
-	// longTokens is the prefill from which it tells of the curve.
-	longTokens = 8000
-	// maxFactor bounds a learnt rate, as a multiple of the configured one.
-	maxFactor = 4
-	// maxCurve bounds the curve: a prompt of ten thousand tokens takes twice
-	// as long as in proportion.
-	maxCurve = 1e-4
+	// latencyWindow is the shortest time for which the lowest latency sample is kept.
+	latencyWindow = 10 * time.Second
+	// fasterWeight and slowerWeight are the smoothing weights of an answer that was
+	// faster or slower than estimated.
+	fasterWeight, slowerWeight = 0.3, 0.05
+	// minRateTokens is the prefill size from which an answer is a sample of the rate.
+	// Shorter prefills take no longer than one engine step and are samples of the
+	// latency.
+	minRateTokens = 1500
+	// minSlopeTokens is the prefill size from which an answer is a sample of the
+	// context slope.
+	minSlopeTokens = 8000
+	// maxRateRatio bounds a learnt rate, as a multiple or fraction of the configured
+	// one.
+	maxRateRatio = 4
+	// maxContextSlope bounds the context slope: with it, a token after 10,000 tokens of
+	// context takes twice as long to prefill as the first one.
+	maxContextSlope = 1e-4
 )
 
-// Sample is one first token.
+// Sample is the measurement of one first token.
 type Sample struct {
-	// At is when it came, Elapsed the time since the request was sent.
+	// At is when the first token arrived, Elapsed the time since the request was sent.
 	At, Elapsed time.Duration
-	// PromptTokens is the tokens of the prompt, UncachedTokens those of them that the
-	// target is expected to have prefilled.
+	// PromptTokens is the length of the prompt, UncachedTokens the part that the target
+	// is expected to have prefilled.
 	PromptTokens, UncachedTokens float64
-	// NoOtherWork is set where nothing is known of other work at the target.
+	// NoOtherWork is set if no other work at the target is known.
 	NoOtherWork bool
 }
 
-// Estimator is what is known of one pool. It is not safe for concurrent use.
+// Estimator holds the estimates of one pool. It is not safe for concurrent use.
 type Estimator struct {
-	// rate is the configured prefill rate, in tokens a second.
-	rate  float64
-	rates map[string]float64
-	// curve is the part by which each token of context lengthens the prefill
+	// configuredRate is the configured prefill rate in tokens per second.
+	configuredRate float64
+	rates          map[string]float64
+	// contextSlope is the fraction by which each token of context lengthens the prefill
 	// of a token.
-	curve float64
+	contextSlope float64
 
-	latency, last, current time.Duration
-	windowEnd              time.Duration
+	latency, previousMin, currentMin time.Duration
+	windowEnd                        time.Duration
 }
 
-// New makes an estimator that knows the configured prefill rate only.
+// New returns an estimator that starts from the configured prefill rate.
 func New(tokensPerSecond float64) *Estimator {
-	return &Estimator{rate: tokensPerSecond, rates: map[string]float64{}}
+	return &Estimator{configuredRate: tokensPerSecond, rates: map[string]float64{}}
 }
 
-// Latency is the time to a first token beyond the prefill; 0 while nothing was
-// observed.
+// Latency returns the time to first token beyond the prefill; 0 until there is a
+// sample.
 func (e *Estimator) Latency() time.Duration { return e.latency }
 
-// Rate is the prefill rate of a target, in tokens a second of short prompts.
+// Rate returns the prefill rate of a target for short prompts, in tokens per second.
 func (e *Estimator) Rate(target string) float64 {
 	if r, known := e.rates[target]; known {
 		return r
 	}
-	return e.rate
+	return e.configuredRate
 }
 
-// EquivalentTokens is the tokens that a prefill counts as at the rate of short prompts.
+// EquivalentTokens returns the number of tokens of a short prompt that take as long to
+// prefill as the uncached tokens of this prompt.
 func (e *Estimator) EquivalentTokens(prompt, uncached float64) float64 {
-	return uncached * (1 + e.curve*context(prompt, uncached))
+	return uncached * (1 + e.contextSlope*meanContext(prompt, uncached))
 }
 
-// context is the tokens before a prefilled one, on average.
-func context(prompt, uncached float64) float64 { return max(0, prompt-uncached/2) }
+// meanContext returns the average number of tokens before a prefilled one.
+func meanContext(prompt, uncached float64) float64 { return max(0, prompt-uncached/2) }
 
-// Retain drops what is known of targets that are gone.
-func (e *Estimator) Retain(there func(target string) bool) {
+// Retain removes the estimates of targets for which exists returns false.
+func (e *Estimator) Retain(exists func(target string) bool) {
 	for t := range e.rates {
-		if !there(t) {
+		if !exists(t) {
 			delete(e.rates, t)
 		}
 	}
 }
 
-// Observe takes in a first token of a target.
+// Observe updates the estimates with the first token of an answer from the target.
 func (e *Estimator) Observe(target string, s Sample) {
 	rate := e.Rate(target)
-	if s.UncachedTokens < minTokens {
+	if s.UncachedTokens < minRateTokens {
 		prefill := time.Duration(e.EquivalentTokens(s.PromptTokens, s.UncachedTokens) / rate * float64(time.Second))
 		e.observeLatency(s.At, max(time.Millisecond, s.Elapsed-prefill))
 		return
 	}
-	took := (s.Elapsed - e.latency).Seconds()
-	if !s.NoOtherWork || took <= 0 {
+	prefillTime := (s.Elapsed - e.latency).Seconds()
+	if !s.NoOtherWork || prefillTime <= 0 {
 		return
 	}
-	if s.UncachedTokens >= longTokens {
-		curve := (took*rate/s.UncachedTokens - 1) / context(s.PromptTokens, s.UncachedTokens)
-		e.curve = min(maxCurve, follow(e.curve, max(0, curve), curve < e.curve))
+	if s.UncachedTokens >= minSlopeTokens {
+		slope := (prefillTime*rate/s.UncachedTokens - 1) / meanContext(s.PromptTokens, s.UncachedTokens)
+		e.contextSlope = min(maxContextSlope, smooth(e.contextSlope, max(0, slope), slope < e.contextSlope))
 		return
 	}
-	measured := e.EquivalentTokens(s.PromptTokens, s.UncachedTokens) / took
-	e.rates[target] = min(maxFactor*e.rate, max(e.rate/maxFactor, follow(rate, measured, measured > rate)))
+	measured := e.EquivalentTokens(s.PromptTokens, s.UncachedTokens) / prefillTime
+	e.rates[target] = min(maxRateRatio*e.configuredRate, max(e.configuredRate/maxRateRatio, smooth(rate, measured, measured > rate)))
 }
 
-// follow moves an estimate towards a measured value.
-func follow(estimate, measured float64, fast bool) float64 {
-	weight := slower
-	if fast {
-		weight = faster
+// smooth moves an estimate towards a measured value.
+func smooth(estimate, measured float64, faster bool) float64 {
+	weight := slowerWeight
+	if faster {
+		weight = fasterWeight
 	}
 	return estimate + weight*(measured-estimate)
 }
 
 func (e *Estimator) observeLatency(now, sample time.Duration) {
 	if now >= e.windowEnd {
-		e.last, e.current, e.windowEnd = e.current, 0, now+window
+		e.previousMin, e.currentMin, e.windowEnd = e.currentMin, 0, now+latencyWindow
 	}
-	if e.current == 0 || sample < e.current {
-		e.current = sample
+	if e.currentMin == 0 || sample < e.currentMin {
+		e.currentMin = sample
 	}
-	e.latency = e.current
-	if e.last > 0 {
-		e.latency = min(e.last, e.current)
+	e.latency = e.currentMin
+	if e.previousMin > 0 {
+		e.latency = min(e.previousMin, e.currentMin)
 	}
 }
