--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says what may be repeated of a route's requests and how they answer.
+// Kind determines whether a route's requests may be repeated and how they are answered.
 type Kind string
 
 // The kinds of route.
@@ -11,12 +11,13 @@
 	Idempotent Kind = "idempotent"
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = "non_idempotent"
-	// Stream requests answer with events. They run at most once unless the
-	// route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once
+	// unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Config is one version of what the operators want, whole.
+// Config is one complete version of the configuration set by the operators. Instances
+// exchange its parts under the field names of the msgpack encoding.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -25,39 +26,39 @@
 	Limits   Limits
 }
 
-// Route maps requests of one host and path prefix to services.
+// Route maps requests with a host and a path prefix to services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix starts and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting; 0 for none.
+	// Timeout is the maximum time that a caller waits; 0 means no limit.
 	Timeout time.Duration
-	// LatencyObjective is the time to the answer, or to the first event of a
-	// stream, within which the answer is worth most.
+	// LatencyObjective is the time within which the answer, or the first event of a
+	// stream, should arrive. A later answer is worth less.
 	LatencyObjective time.Duration
-	// GapObjective is the longest pause between two events of a stream that
-	// is still on time.
+	// GapObjective is the longest pause between two events of a stream that is still
+	// on time.
 	GapObjective time.Duration
 	// Priority ranks the route's requests; 0 is the most urgent.
 	Priority int
-	// Split shares the requests out over services.
+	// Split distributes the requests over services by weight.
 	Split []WeightedService
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is the maximum number of targets to which a request may be sent.
 	MaxAttempts int
-	// Anonymous routes take requests without a key.
+	// Anonymous routes accept requests without an API key.
 	Anonymous bool
-	// Resumable streams may go on at another target behind a known event.
+	// Resumable streams may continue at another target after a known event.
 	Resumable bool
 }
 
-// Repeatable says that a second run of a request does no harm.
+// Repeatable reports whether a request may safely run a second time.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// WeightedService is one service's part of a route.
+// WeightedService is a service of a route with its share of the requests.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -67,32 +68,33 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is the most connections that one target takes from all
-	// instances together.
+	// MaxConns is the maximum number of connections to one target, over all instances.
 	MaxConns int
 	// Engine is set for model servers.
 	Engine *Engine
-	// Cache is set for a store of KV cache; it takes no requests.
+	// Cache is set for a KV cache store, which serves no requests.
 	Cache *CacheStore
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	// Slots is the requests that one server runs at once.
+	// Slots is the number of requests that one server runs concurrently.
 	Slots int
-	// MemoryTokens is the tokens that running requests and cached pieces
+	// MemoryTokens is the capacity in tokens that running requests and cached pieces
 	// share on one server.
 	MemoryTokens int
-	// BytesPerToken is the KV cache's size for one token.
+	// BytesPerToken is the size of the KV cache of one token.
 	BytesPerToken int
-	// LinkMbps is the rate of a server's KV transfers.
+	// LinkMbps is the bandwidth of one server for KV transfers.
 	LinkMbps float64
-	// MaxEventReaders is the calls for cache events that one server holds.
+	// MaxEventReaders is the maximum number of concurrent cache event requests that one
+	// server accepts.
 	MaxEventReaders int
 	Models          []string
 }
 
-// CacheStore is a store that model servers save KV cache to and fetch it from.
+// CacheStore is a store to which model servers save KV cache and from which they fetch
+// it.
 type CacheStore struct {
 	Address      string
 	Domain       string
@@ -100,28 +102,30 @@
 	LinkMbps     float64
 }
 
-// Account is a client account with its keys and its rate over the whole fleet.
+// Account is a client account with its API keys and its rate limit over all instances.
 type Account struct {
 	Name string
-	// KeyHashes are keys.Hash of the account's keys; no key is kept.
+	// KeyHashes has the keys.Hash of each of the account's keys; the keys themselves are
+	// not stored.
 	KeyHashes []string
-	// Priority ranks the account's requests and goes before the route's when
+	// Priority ranks the account's requests and overrides the route's priority if
 	// HasPriority is set; 0 is the most urgent.
 	Priority    int
 	HasPriority bool
-	// Rate is tokens or requests a second, Burst what may be spent at once;
-	// a Rate of 0 sets no limit.
+	// Rate is the number of tokens or requests per second, Burst the number that may be
+	// used at once; a Rate of 0 means no limit.
 	Rate  float64
 	Burst float64
-	// CountTokens makes Rate and Burst count tokens, else requests.
+	// If CountTokens is set, Rate and Burst count tokens, otherwise requests.
 	CountTokens bool
-	// DefaultTokens is what a request counts that does not tell its tokens.
+	// DefaultTokens is the number of tokens charged for a request that does not state
+	// its own.
 	DefaultTokens float64
-	// Isolated accounts share no cached piece with any other account.
+	// Isolated accounts share no cached pieces with other accounts.
 	Isolated bool
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits restrict the size of requests and the time to send them.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -130,7 +134,7 @@
 	IdleTimeout time.Duration
 }
 
-// WeightsVersion names the newest weights of a model.
+// WeightsVersion is the newest weights version of a model.
 type WeightsVersion struct {
 	Model   string
 	Version int64
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,7 +1,6 @@
-// Package routing holds the routing configuration of a fleet and answers the
-// two questions that every request asks of it: which route matches, and whose
-// key came with it.
+// Package routing holds the routing configuration and looks up, for each request, the
+// matching route and the account that its API key belongs to.
 //
-// The package is pure. A Table is immutable: a new configuration makes a new
-// one, so that a request sees one version from its first look to its last.
+// The package performs no I/O. A Table is immutable: a new configuration creates a new
+// Table, so that a request uses a single version throughout.
 package routing
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -9,29 +9,29 @@
 	"github.com/mastictray/mastictray/internal/keys"
 )
 
-// Table is a configuration indexed for lookups. It is immutable.
+// Table is a configuration with indexes for lookups. It is immutable.
 type Table struct {
-	config   *Config
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	accounts map[string]*Account
-	byKey    map[string]*Account // by the key's hash
+	config       *Config
+	routesByHost map[string][]*Route // by host, longest prefix first
+	services     map[string]*Service
+	accounts     map[string]*Account
+	byKey        map[string]*Account // by the hash of the API key
 }
 
-// NewTable indexes a configuration, which must not change afterwards.
+// NewTable indexes a configuration, which must not be modified afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{
-		config:   c,
-		hosts:    map[string][]*Route{},
-		services: map[string]*Service{},
-		accounts: map[string]*Account{},
-		byKey:    map[string]*Account{},
+		config:       c,
+		routesByHost: map[string][]*Route{},
+		services:     map[string]*Service{},
+		accounts:     map[string]*Account{},
+		byKey:        map[string]*Account{},
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.hosts[r.Host] = append(t.hosts[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
@@ -50,16 +50,16 @@
 	}
 }
 
-// Config is the configuration that the table was made of.
+// Config returns the configuration on which the table is based.
 func (t *Table) Config() *Config { return t.config }
 
-// Match finds the route of a request: of its host's routes the one with the
-// longest prefix of the path. A port in host is ignored.
+// Match returns the route of a request: the one with the longest matching path prefix
+// among the routes of the host. A port in host is ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if i := strings.LastIndexByte(host, ':'); i >= 0 {
+		host = host[:i]
 	}
-	for _, r := range t.hosts[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -67,31 +67,31 @@
 	return nil, false
 }
 
-// Service finds a service by its name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Account finds a client account by its name.
+// Account returns the client account with the given name.
 func (t *Table) Account(name string) (*Account, bool) {
 	a, ok := t.accounts[name]
 	return a, ok
 }
 
-// RequiresKey says whether requests of the route must bear a key.
+// RequiresKey reports whether requests to the route must have an API key.
 func (t *Table) RequiresKey(r *Route) bool {
 	return len(t.accounts) > 0 && !r.Anonymous
 }
 
-// AccountByKeyHash finds the account that holds a key, by the key's hash.
+// AccountByKeyHash returns the account that owns the API key with the given hash.
 func (t *Table) AccountByKeyHash(hash string) (*Account, bool) {
 	a, ok := t.byKey[hash]
 	if !ok {
 		return nil, false
 	}
-	// A caller cannot choose bytes of the hash, so the time of the lookup
-	// tells nothing of other keys; the match itself takes constant time.
+	// A caller cannot choose bytes of the hash, so the duration of the map lookup
+	// reveals nothing about other keys; the comparison takes constant time.
 	for _, h := range a.KeyHashes {
 		if subtle.ConstantTimeCompare([]byte(h), []byte(hash)) == 1 {
 			return a, true
@@ -100,10 +100,10 @@
 	return nil, false
 }
 
-// HashKey is the hash that KeyHolder takes.
+// HashKey returns the hash of an API key for AccountByKeyHash.
 func HashKey(key string) string { return keys.Hash(key) }
 
-// ChooseService draws one of the route's services by weight.
+// ChooseService selects one of the route's services at random, by weight.
 func (r *Route) ChooseService(rng *rand.Rand) string {
 	total := 0
 	for _, w := range r.Split {
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchSelectsLongestPrefixOfHost(t *testing.T) {
 	cases := map[string]struct{ host, path, want string }{
 		"short":          {"a.example", "/x/1", "short"},
 		"long":           {"a.example", "/x/y/1", "long"},
@@ -59,7 +59,7 @@
 	is.True(ok)
 }
 
-func TestChooseFollowsTheWeights(t *testing.T) {
+func TestChooseServiceFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	r, _ := testTable().Match("a.example", "/x/1")
 	rng := rand.New(rand.NewPCG(1, 1))
