--- a/internal/prefix/chain.go
+++ b/internal/prefix/chain.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash names one piece together with everything before it.
+// Hash identifies a piece together with everything before it.
 type Hash uint64
 
-// Scope is what cached pieces may be shared within.
+// Scope is the boundary within which cached pieces may be shared.
 type Scope struct {
 	Account string
 	Model   string
 	Version string
 }
 
-// Seed is the start of the chain for a scope. Each field is written with its
-// length first, so that two scopes never give the same bytes.
+// Seed returns the initial hash of the chains of a scope. Each field is hashed with its
+// length before it, so that different scopes never produce the same input.
 func (s Scope) Seed() Hash {
 	var d xxhash.Digest
 	d.Reset()
@@ -30,9 +30,8 @@
 	return Hash(d.Sum64())
 }
 
-// Chain appends the hash of every full piece of the prompt to dst and returns
-// it. A last piece shorter than pieceBytes has no hash: engines cache full
-// pieces only.
+// Chain appends the hash of every full piece of the prompt to dst and returns the
+// result. An incomplete last piece has no hash, because engines only cache full pieces.
 func Chain(dst []Hash, seed Hash, prompt []byte, pieceBytes int) []Hash {
 	prev := seed
 	var n [8]byte
--- a/internal/prefix/doc.go
+++ b/internal/prefix/doc.go
@@ -1,5 +1,5 @@
-// Package prefix cuts a prompt into pieces and names each by a hash that
-// chains over all pieces before it, so that equal hashes mean equal openings.
-// The chain starts from the client account, the model and the weights
-// version: entries of another account or of older weights can never match.
+// Package prefix divides a prompt into pieces and identifies each piece by a hash that
+// includes all pieces before it, so that equal hashes mean equal prefixes. The chain of
+// hashes starts from the client account, the model and the weights version. Cache
+// entries of another account or of older weights therefore never match.
 package prefix
--- a/internal/prefix/join.go
+++ b/internal/prefix/extend.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Extend is the hash of a piece, known by a name of its own, behind a chain that
-// ends with prev.
+// Extend returns the hash that appends a piece, identified by its own hash, to a chain
+// that ends with prev.
 func Extend(prev, piece Hash) Hash {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(prev))
