--- a/internal/fairqueue/doc.go
+++ b/internal/fairqueue/doc.go
@@ -1,9 +1,9 @@
-// Package fairqueue orders the waiting requests of one pool: weighted fair
-// queueing by tokens over client accounts, strict priorities inside an
-// account, and early refusal of what cannot make its deadline.
+// Package fairqueue orders the waiting requests of one pool. It combines weighted fair
+// queueing by tokens between client accounts, strict priorities within an account, and
+// early refusal of requests that cannot meet their deadline.
 //
-// The order between accounts is start-time fair queueing. Each account has a
-// virtual time that advances by cost/weight with each request served; the
-// account furthest behind is next. An account gains nothing by cutting its
-// work into many small requests or by sending few huge ones.
+// Accounts are scheduled by start-time fair queueing: each account has a virtual time
+// that advances by cost/weight with each request served, and the account with the lowest
+// virtual time is served next. An account gains no share by splitting its work into many
+// small requests or by sending a few very large ones.
 package fairqueue
--- a/internal/fairqueue/item.go
+++ b/internal/fairqueue/item.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// MaxPriority is the highest priority of an item; the lowest is 0.
+// MaxPriority is the highest priority of an item; 0 is the lowest.
 const MaxPriority = 9
 
-// Item is one waiting request. Times are monotonic, since the start of the
-// process.
+// Item is a waiting request. Times are on the monotonic clock of the process.
 type Item[T any] struct {
-	// ID names the item for Cancel.
+	// ID identifies the item for Cancel.
 	ID      uint64
 	Account string
-	// Weight is the account's part in fair queueing; 0 counts as 1.
+	// Weight is the account's weight in fair queueing; 0 means 1.
 	Weight float64
-	// Priority orders items inside their account; higher first.
+	// Priority orders the items of one account, highest first.
 	Priority int
-	// Cost is the tokens that the request is charged when it is served.
+	// Cost is the number of tokens charged when the request is served.
 	Cost float64
-	// Deadline is when the first byte of the answer is due; 0 for never.
+	// Deadline is when the first byte of the answer is due; 0 means no deadline.
 	Deadline time.Duration
-	// SoftDeadline is until when it is worth most to be served; 0 for always. After
-	// that the item waits behind all others of its account: when there is
-	// more than can be served, some are served in time instead of all late.
+	// SoftDeadline is the latest time at which the request should be served; 0 means
+	// no soft deadline. After it, the item waits behind all others of its account, so
+	// that in overload some requests are served on time instead of all of them late.
 	SoftDeadline time.Duration
-	// MinServiceTime is the least time from Pop to the first byte.
+	// MinServiceTime is the shortest time from Pop to the first byte of the answer.
 	MinServiceTime time.Duration
 	Value          T
 }
@@ -37,28 +36,28 @@
 
 func (it *Item[T]) level() int { return min(max(it.Priority, 0), MaxPriority) }
 
-// late reports whether the item misses its deadline when it is served after
-// a further wait.
-func (it *Item[T]) late(now, wait time.Duration) bool {
+// missesDeadline reports whether the item cannot meet its deadline if it is served
+// after the given wait.
+func (it *Item[T]) missesDeadline(now, wait time.Duration) bool {
 	return it.Deadline > 0 && now+wait+it.MinServiceTime > it.Deadline
 }
 
-// Reason says why an item was refused. A refused item was not served.
+// Reason is why an item was refused. A refused item has not been served.
 type Reason string
 
 // The reasons for a refusal.
 const (
-	// ReasonDeadline: the item cannot make its deadline.
+	// ReasonDeadline means that the item cannot meet its deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonFull: the queue is full and the item's account holds the most
-	// of it.
+	// ReasonFull means that the queue is full and the item's account uses the largest
+	// part of it for its weight.
 	ReasonFull Reason = "queue_full"
 )
 
-// Refusal is an item that will not be served.
+// Refusal is an item that is removed without being served.
 type Refusal[T any] struct {
 	Item   Item[T]
 	Reason Reason
-	// RetryAfter is how long the caller should wait before it tries again.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
--- a/internal/fairqueue/queue.go
+++ b/internal/fairqueue/queue.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Options bound a queue.
+// Options configure a Queue.
 type Options struct {
-	// MaxItems bounds the waiting items.
+	// MaxItems is the maximum number of waiting items.
 	MaxItems int
-	// MinRate is the tokens a second that the pool serves this instance
-	// at least. A queue that is long only because one target is hot measures
-	// less, and would refuse what other targets have time for.
+	// MinRate is the minimum rate, in tokens per second, at which the pool is assumed
+	// to serve this instance. If the queue is long only because one target is
+	// overloaded, the measured rate is lower and would cause refusals of requests that
+	// other targets have time for.
 	MinRate float64
 }
 
-// Queue is the waiting requests of one pool. It is not safe for concurrent
-// use.
+// Queue holds the waiting requests of one pool. It is not safe for concurrent use.
 type Queue[T any] struct {
 	options Options
 	flows   map[string]*flow[T]
 	active  []*flow[T]
-	// virtual is the start tag of the item served last.
-	virtual float64
-	count   int
-	cost    float64
-	meter   rateMeter
+	// virtualTime is the start tag of the item served last.
+	virtualTime float64
+	count       int
+	cost        float64
+	meter       rateMeter
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New[T any](o Options) *Queue[T] {
 	return &Queue[T]{options: o, flows: map[string]*flow[T]{}, meter: newRateMeter(o.MinRate)}
 }
 
-// Len is the number of waiting items.
+// Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Cost is the tokens of all waiting items.
+// Cost returns the total cost of the waiting items, in tokens.
 func (q *Queue[T]) Cost() float64 { return q.cost }
 
-// Push adds an item, or refuses it at once when it cannot make its deadline.
-// On a full queue it refuses an item of the account that holds most of the
-// queue for its weight, which can be another item than the one pushed: so an
-// account that floods the queue displaces only itself.
+// Push adds an item, or refuses it immediately if it cannot meet its deadline. If the
+// queue is full, it refuses an item of the account with the most items for its weight,
+// which is not necessarily the pushed one: an account that floods the queue loses only
+// its own items.
 func (q *Queue[T]) Push(now time.Duration, it Item[T]) []Refusal[T] {
 	if q.count == 0 {
-		q.meter.resume(now)
+		q.meter.startBacklog(now)
 	}
 	wait := q.expectedWait(&it)
-	if it.late(now, wait) {
+	if it.missesDeadline(now, wait) {
 		return []Refusal[T]{{Item: it, Reason: ReasonDeadline, RetryAfter: retryAfter(now, wait, &it)}}
 	}
-	f := q.flow(&it)
+	f := q.flowFor(&it)
 	if f.count == 0 {
 		q.activate(f)
 	}
@@ -58,11 +58,11 @@
 	if q.count <= q.options.MaxItems {
 		return nil
 	}
-	return []Refusal[T]{q.displace()}
+	return []Refusal[T]{q.refuseNewest()}
 }
 
-// Pop removes the next item to serve. Items that became late meanwhile are
-// left for Sweep.
+// Pop removes and returns the next item to serve. It does not check deadlines; Sweep
+// does.
 func (q *Queue[T]) Pop(now time.Duration) (Item[T], bool) {
 	var out Item[T]
 	found := false
@@ -73,23 +73,23 @@
 	return out, found
 }
 
-// Sweep removes the items that can no longer make their deadline and puts
-// those behind that are past their best. Call it before Pop and on a short
-// timer, so that a caller hears early.
+// Sweep removes the items that can no longer meet their deadline, and moves those whose
+// soft deadline has passed behind the others of their account. Call it before Pop and on
+// a short timer, so that callers are refused early.
 func (q *Queue[T]) Sweep(now time.Duration) []Refusal[T] {
 	for _, f := range q.active {
-		f.demote(now)
+		f.demoteLate(now)
 	}
 	var out []Refusal[T]
 	for i := len(q.active) - 1; i >= 0; i-- {
 		f := q.active[i]
 		for l := range f.levels {
 			for j := len(f.levels[l]) - 1; j >= 0; j-- {
-				if !f.levels[l][j].late(now, 0) {
+				if !f.levels[l][j].missesDeadline(now, 0) {
 					continue
 				}
-				it := f.take(l, j)
-				q.left(f, it.Cost)
+				it := f.remove(l, j)
+				q.itemRemoved(f, it.Cost)
 				out = append(out, Refusal[T]{Item: it, Reason: ReasonDeadline, RetryAfter: retryAfter(now, 0, &it)})
 			}
 		}
@@ -97,15 +97,15 @@
 	return out
 }
 
-// AdjustCharge corrects what an account was charged at Pop: delta is the tokens that
-// the request used less the Cost it was popped with.
+// AdjustCharge corrects the charge of an account after Pop. The delta is the number of
+// tokens that the request used minus the Cost with which it was popped.
 func (q *Queue[T]) AdjustCharge(account string, delta float64) {
 	if f := q.flows[account]; f != nil {
-		f.tag += delta / f.weight
+		f.startTag += delta / f.weight
 	}
 }
 
-// Cancel removes an item whose caller has gone.
+// Cancel removes an item whose caller has disconnected.
 func (q *Queue[T]) Cancel(account string, id uint64) bool {
 	f := q.flows[account]
 	if f == nil {
@@ -114,8 +114,8 @@
 	for l := range f.levels {
 		for i := range f.levels[l] {
 			if f.levels[l][i].ID == id {
-				it := f.take(l, i)
-				q.left(f, it.Cost)
+				it := f.remove(l, i)
+				q.itemRemoved(f, it.Cost)
 				return true
 			}
 		}
@@ -123,26 +123,26 @@
 	return false
 }
 
-// flow finds or makes the account's flow.
-func (q *Queue[T]) flow(it *Item[T]) *flow[T] {
+// flowFor returns the flow of the item's account and creates it if necessary.
+func (q *Queue[T]) flowFor(it *Item[T]) *flow[T] {
 	f := q.flows[it.Account]
 	if f == nil {
-		f = &flow[T]{tag: q.virtual}
+		f = &flow[T]{startTag: q.virtualTime}
 		q.flows[it.Account] = f
 	}
 	return f
 }
 
-// activate starts a flow that had nothing waiting. It may not start in the
-// past: an account that was idle would save up time and then crowd out the
+// activate adds a flow that had no waiting items. Its start tag must not lie before the
+// virtual time: otherwise an idle account would accumulate credit and later delay the
 // others.
 func (q *Queue[T]) activate(f *flow[T]) {
-	f.tag = max(f.tag, q.virtual)
+	f.startTag = max(f.startTag, q.virtualTime)
 	q.active = append(q.active, f)
 }
 
-// left accounts for an item that was taken from a flow.
-func (q *Queue[T]) left(f *flow[T], cost float64) {
+// itemRemoved updates the totals after an item was removed from a flow.
+func (q *Queue[T]) itemRemoved(f *flow[T], cost float64) {
 	q.count--
 	q.cost -= cost
 	if f.count > 0 {
@@ -158,68 +158,69 @@
 	}
 	if q.count == 0 {
 		q.cost = 0
-		q.forgetIdle()
+		q.pruneIdleFlows()
 	}
 }
 
-// maxIdleFlows is how many idle accounts are remembered.
+// maxIdleFlows is the number of flows above which idle ones are removed.
 const maxIdleFlows = 1024
 
-// forgetIdle drops flows that would start at the present virtual time anyway,
-// so that accounts long gone take no memory.
-func (q *Queue[T]) forgetIdle() {
+// pruneIdleFlows removes the flows that would start at the current virtual time anyway,
+// so that inactive accounts use no memory.
+func (q *Queue[T]) pruneIdleFlows() {
 	if len(q.flows) <= maxIdleFlows {
 		return
 	}
 	for name, f := range q.flows {
-		if f.tag <= q.virtual {
+		if f.startTag <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
 }
 
-// displace refuses the newest item of the lowest priority of the account that
-// has the most items for its weight.
-func (q *Queue[T]) displace() Refusal[T] {
-	worst := q.active[0]
+// refuseNewest refuses the newest item of the lowest priority of the account that has
+// the most items for its weight.
+func (q *Queue[T]) refuseNewest() Refusal[T] {
+	largest := q.active[0]
 	for _, f := range q.active[1:] {
-		if float64(f.count)/f.weight > float64(worst.count)/worst.weight {
-			worst = f
+		if float64(f.count)/f.weight > float64(largest.count)/largest.weight {
+			largest = f
 		}
 	}
-	wait := q.meter.wait(worst.cost)
-	it := worst.dropLast()
-	q.left(worst, it.Cost)
+	wait := q.meter.wait(largest.cost)
+	it := largest.removeNewest()
+	q.itemRemoved(largest, it.Cost)
 	return Refusal[T]{Item: it, Reason: ReasonFull, RetryAfter: wait}
 }
 
-// expectedWait is the time until a new item would be popped: its account is
-// served at least its share of the rate, and never waits for more than the
-// whole backlog.
+// expectedWait returns the expected time until a new item is popped. The account is
+// served at its share of the rate or faster, and never waits longer than for the whole
+// queue.
 func (q *Queue[T]) expectedWait(it *Item[T]) time.Duration {
-	weights, own := it.weight(), 0.0
+	weights, ahead := it.weight(), 0.0
 	for _, f := range q.active {
 		if f.account == it.Account {
-			own = f.ahead(it.level())
+			ahead = f.costAhead(it.level())
 			continue
 		}
 		weights += f.weight
 	}
-	share := own * weights / it.weight()
-	return q.meter.wait(min(share, q.cost))
+	tokensBefore := ahead * weights / it.weight()
+	return q.meter.wait(min(tokensBefore, q.cost))
 }
 
-// Backlog is the time that an account's waiting items take at its share of
-// the rate.
+// Backlog returns the time to serve the waiting items of an account at its share of the
+// rate.
 func (q *Queue[T]) Backlog(account string, weight float64) time.Duration {
 	it := Item[T]{Account: account, Weight: weight}
 	return q.expectedWait(&it)
 }
 
-// minRetryAfter keeps callers from trying again at once.
+// minRetryAfter prevents callers from retrying immediately.
 const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter is when the backlog will have shrunk enough.
+// retryAfter returns the time after which the backlog is expected to be short enough for
+// the item to meet its deadline.
 func retryAfter[T any](now, wait time.Duration, it *Item[T]) time.Duration {
 	return max(minRetryAfter, now+wait+it.MinServiceTime-it.Deadline)
 }
--- a/internal/fairqueue/queue_test.go
+++ b/internal/fairqueue/queue_test.go
@@ -18,10 +18,10 @@
 	return New[int](Options{MaxItems: maxItems, MinRate: 1000})
 }
 
-// One account sends 5,000 small requests, or 20 huge ones, before another
-// sends one. The other's request is served next but one: if the queue were
-// first come first served, it would wait for all of them.
-func TestQuietAccountIsServedPastFlood(t *testing.T) {
+// One account sends 5,000 small requests, or 20 very large ones, before another account
+// sends a single one. That request must be served next. In a first-come-first-served
+// queue, it would wait for all others.
+func TestAccountIsServedDuringFloodOfAnother(t *testing.T) {
 	for name, flood := range map[string]struct {
 		n    int
 		cost float64
@@ -44,10 +44,10 @@
 	}
 }
 
-// A queue of 100 is full of one account's requests when another account
-// sends. The noisy account loses its newest request; were the pushed one
-// refused instead, a flood would shut everybody else out.
-func TestFullQueueDisplacesAccountThatFillsIt(t *testing.T) {
+// A queue of 100 items is full of one account's requests when another account sends one.
+// The first account must lose its newest request. If the pushed request were refused
+// instead, one account could block all others by flooding the queue.
+func TestFullQueueRefusesItemOfLargestAccount(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
 	for i := range 100 {
@@ -60,10 +60,10 @@
 	is.Equal(q.Len(), 100)
 }
 
-// Ten seconds of work wait. A request due in five is refused when it comes,
-// with the time after which it would have passed; held back it would fail at
-// its deadline, and its caller could not have gone elsewhere meanwhile.
-func TestPushRefusesAtOnceWhatIsTooLate(t *testing.T) {
+// The queue holds ten seconds of work. A request due in five seconds must be refused
+// immediately, with the time after which it could be served. If it waited until its
+// deadline, its caller could not use the time to go elsewhere.
+func TestPushRefusesItemThatMissesDeadline(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
 	for i := range 10 {
@@ -73,11 +73,11 @@
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Reason, ReasonDeadline)
 	is.Equal(refused[0].RetryAfter, 5*time.Second)
-	is.Equal(len(q.Push(0, item{Account: "b", Cost: 1, Deadline: 5 * time.Second})), 0) // its account is next
+	is.Equal(len(q.Push(0, item{Account: "b", Cost: 1, Deadline: 5 * time.Second})), 0) // account b has no backlog
 	is.Equal(len(q.Push(0, item{Account: "a", Cost: 1, Priority: 5, Deadline: time.Second})), 0)
 }
 
-func TestSweepRemovesWhatBecameLate(t *testing.T) {
+func TestSweepRemovesItemsPastDeadline(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
 	q.Push(0, item{ID: 1, Account: "a", Cost: 1, Deadline: time.Second, MinServiceTime: 100 * time.Millisecond})
@@ -102,7 +102,7 @@
 	is.Equal(order, []uint64{2, 3, 1})
 }
 
-func TestDoneChargesWhatWasUsed(t *testing.T) {
+func TestAdjustChargeCountsActualUse(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
 	for i := range 3 {
@@ -110,7 +110,7 @@
 		q.Push(0, item{ID: uint64(10 + i), Account: "b", Cost: 10})
 	}
 	first, _ := q.Pop(0)
-	q.AdjustCharge(first.Account, 25) // it used 35, not 10
+	q.AdjustCharge(first.Account, 25) // it used 35 tokens instead of 10
 	for range 3 {
 		it, _ := q.Pop(0)
 		is.True(it.Account != first.Account)
@@ -127,9 +127,9 @@
 	is.Equal(q.Cost(), 0.0)
 }
 
-// While two accounts both wait, the tokens served to each for its weight never
-// differ by more than their largest requests, whatever the sizes: the bound of
-// start-time fair queueing.
+// While two accounts have waiting items, the tokens served to each, divided by its
+// weight, differ by no more than the sum of their largest requests divided by their
+// weights. This is the fairness bound of start-time fair queueing.
 func TestPropertyBackloggedAccountsShareByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(100000)
@@ -149,21 +149,21 @@
 			served[it.Account] += it.Cost
 			diff := served["a"]/weights["a"] - served["b"]/weights["b"]
 			if bound := largest["a"]/weights["a"] + largest["b"]; diff > bound+1e-6 || diff < -bound-1e-6 {
-				t.Fatalf("difference %v over %v", diff, bound)
+				t.Fatalf("difference %v exceeds bound %v", diff, bound)
 			}
 		}
 	})
 }
 
-// Whatever happens, every item comes out exactly once: popped, refused or
-// cancelled. One that vanished would leave its caller without an answer.
+// In any sequence of operations, every item leaves exactly once: popped or refused. The
+// caller of a lost item would never get an answer.
 func TestPropertyEveryItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(5)
 		waiting := map[uint64]bool{}
-		leave := func(id uint64) {
+		remove := func(id uint64) {
 			if !waiting[id] {
-				t.Fatalf("item %d left twice", id)
+				t.Fatalf("item %d left the queue more than once", id)
 			}
 			delete(waiting, id)
 		}
@@ -177,27 +177,27 @@
 				Deadline: now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "due"))*time.Millisecond,
 			}
 			for _, r := range q.Push(now, it) {
-				leave(r.Item.ID)
+				remove(r.Item.ID)
 			}
 			if rapid.Bool().Draw(t, "pop") {
 				for _, r := range q.Sweep(now) {
-					leave(r.Item.ID)
+					remove(r.Item.ID)
 				}
 				if it, ok := q.Pop(now); ok {
-					leave(it.ID)
+					remove(it.ID)
 				}
 			}
 			if q.Len() != len(waiting) {
-				t.Fatalf("queue has %d items, %d expected", q.Len(), len(waiting))
+				t.Fatalf("queue has %d items, want %d", q.Len(), len(waiting))
 			}
 		}
 	})
 }
 
-// One account was served for an hour while another was idle, then both send.
-// They share from now on; were idle time saved up, the second would be served
-// alone until it had caught up with that hour.
-func TestIdleTimeIsNotSavedUp(t *testing.T) {
+// One account was served while another one was idle, then both send requests. They must
+// share the rate from then on. If idle time counted as credit, the second account would
+// be served alone until it had caught up.
+func TestIdleTimeGivesNoCredit(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(1000)
 	for i := range 200 {
@@ -217,10 +217,10 @@
 	is.Equal(served["busy"], 10)
 }
 
-// The first account's next request is for a target that is full. The scan
-// passes it and serves another account's; held up, the other would wait for a
-// target that it does not need.
-func TestScanPassesBlockedItems(t *testing.T) {
+// The first account's next request is for a target at capacity. The scan must skip it
+// and serve the other account, which would otherwise wait for a target that it does not
+// use.
+func TestScanSkipsBlockedItems(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(100)
 	for id, account := range []string{"a", "a", "b", "b"} {
@@ -231,8 +231,8 @@
 		visited = append(visited, it.ID)
 		return []Verdict{Skip, Serve, Refuse}[len(visited)-1]
 	})
-	is.Equal(visited, []uint64{0, 2, 1}) // a's first is passed, its second comes after b's first
+	is.Equal(visited, []uint64{0, 2, 1}) // a's first item is skipped, its second follows b's first
 	is.Equal(q.Len(), 2)
 	first, _ := q.Pop(0)
-	is.Equal(first.ID, uint64(0)) // it kept its place
+	is.Equal(first.ID, uint64(0)) // the skipped item kept its position
 }
--- a/internal/fairqueue/rate.go
+++ b/internal/fairqueue/rate.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// rateWindow is the time over which the service rate is averaged.
+// rateWindow is the time constant of the average service rate.
 const rateWindow = 2 * time.Second
 
-// rateMeter measures how many tokens a second leave the queue while there is
-// a backlog; time without a backlog says nothing about the capacity.
+// rateMeter measures how many tokens per second leave the queue while it has a backlog.
+// Time without a backlog says nothing about the capacity.
 type rateMeter struct {
-	floor   float64
-	tokens  float64
-	seconds float64
-	last    time.Duration
+	minRate    float64
+	tokens     float64
+	seconds    float64
+	lastServed time.Duration
 }
 
-func newRateMeter(floor float64) rateMeter {
+func newRateMeter(minRate float64) rateMeter {
 	s := rateWindow.Seconds()
-	return rateMeter{floor: floor, tokens: floor * s, seconds: s}
+	return rateMeter{minRate: minRate, tokens: minRate * s, seconds: s}
 }
 
-// resume marks the start of a backlog.
-func (m *rateMeter) resume(now time.Duration) { m.last = now }
+// startBacklog marks the start of a backlog.
+func (m *rateMeter) startBacklog(now time.Duration) { m.lastServed = now }
 
-// served records a Pop during a backlog.
+// served records an item that was served during a backlog.
 func (m *rateMeter) served(now time.Duration, cost float64) {
-	dt := max(0, (now - m.last).Seconds())
-	m.last = now
+	dt := max(0, (now - m.lastServed).Seconds())
+	m.lastServed = now
 	decay := math.Exp(-dt / rateWindow.Seconds())
 	m.tokens = m.tokens*decay + cost
 	m.seconds = m.seconds*decay + dt
 }
 
-// wait is the expected time until so many tokens have left.
+// wait returns the expected time until the given number of tokens has left the queue.
 func (m *rateMeter) wait(tokens float64) time.Duration {
-	rate := m.floor
+	rate := m.minRate
 	if m.seconds > 0 {
 		rate = max(rate, m.tokens/m.seconds)
 	}
--- a/internal/fairqueue/scan.go
+++ b/internal/fairqueue/scan.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Verdict is what becomes of an item that a scan visits.
+// Verdict is what Scan does with an item.
 type Verdict int
 
 // The verdicts of a scan.
 const (
-	// Skip leaves the item where it is.
+	// Skip leaves the item in its position.
 	Skip Verdict = iota
-	// Serve serves the item.
+	// Serve removes the item as served and charges its account.
 	Serve
-	// Refuse removes the item unserved.
+	// Refuse removes the item without charging its account.
 	Refuse
 )
 
-// Scan visits at most limit items in the order in which they would be popped
-// and does with each what visit says. Skipped items keep their places: an
-// item whose target is full must not hold up the others behind it.
+// Scan calls visit for at most limit items, in the order in which they would be popped,
+// and applies the returned verdict to each. Skipped items keep their position: an item
+// whose target is at capacity must not block the items behind it.
 func (q *Queue[T]) Scan(now time.Duration, limit int, visit func(*Item[T]) Verdict) {
 	for _, f := range q.active {
-		f.rewind()
+		f.resetCursor()
 	}
 	for ; limit > 0; limit-- {
-		f, it := q.nextVisit()
+		f, it := q.nextToScan()
 		if f == nil {
 			return
 		}
 		step := it.Cost / f.weight
 		switch visit(it) {
 		case Serve:
-			q.take(now, f, it.Cost)
-			f.cursor.tag += step
+			q.serve(now, f, it.Cost)
+			f.cursor.startTag += step
 		case Refuse:
 			cost := it.Cost
-			f.take(f.cursor.level, f.cursor.at)
-			q.left(f, cost)
+			f.remove(f.cursor.level, f.cursor.index)
+			q.itemRemoved(f, cost)
 		case Skip:
-			f.cursor.at++
-			f.cursor.tag += step
+			f.cursor.index++
+			f.cursor.startTag += step
 		}
 	}
 }
 
-// nextVisit is the flow furthest behind that has an item at its cursor.
-func (q *Queue[T]) nextVisit() (*flow[T], *Item[T]) {
+// nextToScan returns the flow with the lowest virtual time among those with an item at
+// their cursor, and that item.
+func (q *Queue[T]) nextToScan() (*flow[T], *Item[T]) {
 	var next *flow[T]
 	var item *Item[T]
 	for _, f := range q.active {
-		if next != nil && f.cursor.tag >= next.cursor.tag {
+		if next != nil && f.cursor.startTag >= next.cursor.startTag {
 			continue
 		}
 		if it := f.peek(); it != nil {
@@ -58,11 +59,11 @@
 	return next, item
 }
 
-// take serves the item at a flow's cursor.
-func (q *Queue[T]) take(now time.Duration, f *flow[T], cost float64) {
-	f.take(f.cursor.level, f.cursor.at)
-	q.virtual = max(q.virtual, f.tag)
-	f.tag += cost / f.weight
-	q.left(f, cost)
+// serve removes the item at a flow's cursor and charges the flow.
+func (q *Queue[T]) serve(now time.Duration, f *flow[T], cost float64) {
+	f.remove(f.cursor.level, f.cursor.index)
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	f.startTag += cost / f.weight
+	q.itemRemoved(f, cost)
 	q.meter.served(now, cost)
 }
