--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -9,31 +9,30 @@
 	"github.com/mastictray/mastictray/internal/placement"
 )
 
-// Options tune a dispatcher.
+// Options configure a Dispatcher.
 type Options struct {
-	// MaxTargetBacklog is the time of work that a target may have before further
+	// MaxTargetBacklog is the time of work queued at a target from which further
 	// requests for it are held.
 	MaxTargetBacklog time.Duration
-	// ScanLimit bounds the waiting requests looked at in one step.
+	// ScanLimit is the maximum number of waiting requests examined in one step.
 	ScanLimit int
-	// RecomputeFactor weighs a recomputed token against a waiting one. Over
-	// 1, because prefill that a cached copy elsewhere would have saved
-	// delays the requests behind it too.
+	// RecomputeFactor weighs a recomputed token against a token of queued work. It is
+	// over 1 because prefill that a cached copy elsewhere would have saved also delays
+	// the requests behind it.
 	RecomputeFactor float64
-	// RecomputeBacklogUnit, if set, makes that weight follow the load: 1 while targets
-	// are idle, and one more for each such time of work that they have on
-	// average, up to MaxRecompute.
+	// RecomputeBacklogUnit, if set, makes that factor depend on the load: it is 1 plus
+	// the mean backlog of the targets divided by this unit, up to MaxRecomputeFactor.
 	RecomputeBacklogUnit time.Duration
 	MaxRecomputeFactor   float64
-	// AccountBacklogFactor is added to it for each second of the account's backlog
-	// over BacklogGrace.
+	// AccountBacklogFactor is added to the factor for each second of the account's
+	// backlog beyond AccountBacklogGrace.
 	AccountBacklogFactor float64
 	AccountBacklogGrace  time.Duration
-	// Queue bounds the fair queue.
+	// Queue configures the fair queue.
 	Queue fairqueue.Options
 }
 
-// DefaultOptions are the measured defaults; docs/measurements has the runs.
+// DefaultOptions returns the defaults; docs/measurements has the runs behind them.
 func DefaultOptions() Options {
 	return Options{
 		MaxTargetBacklog: 150 * time.Millisecond,
@@ -46,29 +45,29 @@
 	}
 }
 
-// Request is a waiting request: how it is queued and how it is placed.
+// Request is a waiting request with its queueing and placement parameters.
 type Request[T any] struct {
 	ID       uint64
 	Account  string
 	Weight   float64
 	Priority int
-	// Deadline is when the first byte of the answer is due; 0 for never.
+	// Deadline is when the first byte of the answer is due; 0 means no deadline.
 	Deadline time.Duration
-	// Objective is when the first byte is worth most, at the latest; 0 for
-	// always.
+	// Objective is when the first byte should arrive at the latest; 0 means no
+	// objective. The value of a later answer is reduced.
 	Objective time.Duration
 	Placement placement.Request
 	Value     T
 }
 
-// Send is a request that goes to a target now.
+// Send is a request to be sent to a target now.
 type Send[T any] struct {
 	Request *Request[T]
-	// Target is the index in the pool.
+	// Target is the index of the target in the pool.
 	Target int
-	// Identity is what the target was when it was chosen.
+	// Identity is the target's identity when it was chosen.
 	Identity cacheindex.Identity
-	// SentAt is when it was chosen.
+	// SentAt is when the target was chosen.
 	SentAt   time.Duration
 	Decision placement.Decision
 	stamp    cacheindex.Stamp
@@ -81,139 +80,138 @@
 	RetryAfter time.Duration
 }
 
-// ReasonNoTarget: filters reject every target of the pool.
+// ReasonNoTarget means that filters reject every target of the pool.
 const ReasonNoTarget fairqueue.Reason = "no_target"
 
-// Dispatcher decides for one pool. It is not safe for concurrent use.
+// Dispatcher schedules the requests of one pool. It is not safe for concurrent use.
 type Dispatcher[T any] struct {
 	options Options
 	pool    *placement.Pool
 	index   *cacheindex.Index
 	picker  *placement.Picker
 	queue   *fairqueue.Queue[*Request[T]]
-	out     Step[T]
-	// baseFactor is the weight of a recomputed token at the present load.
-	baseFactor float64
-	// latency is the time to a first token beyond the prefill.
-	latency time.Duration
+	step    Step[T]
+	// baseRecomputeFactor is the recompute factor at the current load, before the
+	// account's backlog is added.
+	baseRecomputeFactor float64
+	// firstTokenLatency is the time to first token beyond the prefill.
+	firstTokenLatency time.Duration
 }
 
-// Step is what is to be done now. Its slices are reused by the next step.
+// Step is the work to be done now. Its slices are reused by the next step.
 type Step[T any] struct {
 	Sends    []Send[T]
 	Refusals []Refusal[T]
 }
 
-// New makes a dispatcher over a pool, the index of its targets' caches, and a
-// picker over both.
+// New returns a dispatcher over a pool, the index of its targets' caches, and a picker
+// over both.
 func New[T any](pool *placement.Pool, index *cacheindex.Index, picker *placement.Picker, o Options) *Dispatcher[T] {
 	return &Dispatcher[T]{
 		options: o, pool: pool, index: index, picker: picker,
-		queue: fairqueue.New[*Request[T]](o.Queue), latency: firstTokenFloor,
+		queue: fairqueue.New[*Request[T]](o.Queue), firstTokenLatency: defaultFirstTokenLatency,
 	}
 }
 
-// ReplacePool puts another pool and its picker in place, after a change of
-// configuration. Waiting requests stay.
+// ReplacePool sets a new pool and picker after a configuration change. Waiting requests
+// are kept.
 func (d *Dispatcher[T]) ReplacePool(pool *placement.Pool, picker *placement.Picker) {
 	d.pool, d.picker = pool, picker
 }
 
-// SetMaxTargetBacklog changes the time of work that a target may have before further
-// requests for it are held. What is known of other instances' work is old in a
-// large fleet: a short window would hold requests back from targets that have
-// become idle meanwhile.
-func (d *Dispatcher[T]) SetMaxTargetBacklog(w time.Duration) { d.options.MaxTargetBacklog = w }
+// SetMaxTargetBacklog changes Options.MaxTargetBacklog. In a large fleet, information
+// about work sent by other instances is older; a low limit would hold requests back from
+// targets that have become idle in the meantime.
+func (d *Dispatcher[T]) SetMaxTargetBacklog(limit time.Duration) { d.options.MaxTargetBacklog = limit }
 
-// Waiting is the number of requests held.
+// Waiting returns the number of held requests.
 func (d *Dispatcher[T]) Waiting() int { return d.queue.Len() }
 
-// Push takes a request in and then steps.
+// Push adds a request to the queue and performs a step.
 func (d *Dispatcher[T]) Push(now time.Duration, r *Request[T], rng *rand.Rand) Step[T] {
-	d.reset()
+	d.resetStep()
 	cost, err := d.cost(now, r, rng)
 	if err != nil {
 		d.refuseNoTarget(r)
-		return d.out
+		return d.step
 	}
 	refused := d.queue.Push(now, fairqueue.Item[*Request[T]]{
 		ID: r.ID, Account: r.Account, Weight: r.Weight, Priority: r.Priority,
-		Cost: cost, Deadline: r.Deadline, SoftDeadline: d.best(r, cost), Value: r,
+		Cost: cost, Deadline: r.Deadline, SoftDeadline: d.softDeadline(r, cost), Value: r,
 	})
-	d.refuse(refused)
+	d.addRefusals(refused)
 	d.scan(now, rng)
-	return d.out
+	return d.step
 }
 
-// firstTokenFloor is the time from sending a request to its first token that
-// no cache saves, until SetLatency gives what was observed: two steps of an
-// engine and the ways there and back.
-const firstTokenFloor = 60 * time.Millisecond
+// defaultFirstTokenLatency is the time from sending a request to its first token that no
+// cache can save, used until SetLatency is called: two engine steps and the network round
+// trip.
+const defaultFirstTokenLatency = 60 * time.Millisecond
 
-// SetLatency gives the time to a first token beyond the prefill, as observed.
-func (d *Dispatcher[T]) SetLatency(latency time.Duration) { d.latency = latency }
+// SetLatency sets the measured time to first token beyond the prefill.
+func (d *Dispatcher[T]) SetLatency(latency time.Duration) { d.firstTokenLatency = latency }
 
-// best is the last moment to send a request so that it meets its objective.
-func (d *Dispatcher[T]) best(r *Request[T], cost float64) time.Duration {
+// softDeadline returns the latest time to send a request so that it meets its objective.
+func (d *Dispatcher[T]) softDeadline(r *Request[T], cost float64) time.Duration {
 	if r.Objective == 0 {
 		return 0
 	}
-	return r.Objective - d.latency - d.picker.PrefillTime(cost)
+	return r.Objective - d.firstTokenLatency - d.picker.PrefillTime(cost)
 }
 
-// minCost is charged for a request that is cached almost wholly.
-const minCost = 100
+// minCostTokens is the minimum charge for a request, even if its prompt is fully cached.
+const minCostTokens = 100
 
-// cost is the tokens that a request will need to have prefilled. Accounts
-// share the targets' work, not the length of their prompts: a cached prompt
-// costs the others nothing.
+// cost returns the number of prompt tokens that the request will need prefilled.
+// Accounts share the work of the targets, not the length of their prompts: a cached
+// prompt costs the others nothing.
 func (d *Dispatcher[T]) cost(now time.Duration, r *Request[T], rng *rand.Rand) (float64, error) {
 	choice, err := d.picker.Pick(now, &r.Placement, rng)
-	return max(minCost, choice.UncachedTokens), err
+	return max(minCostTokens, choice.UncachedTokens), err
 }
 
-// Step sends and refuses what it is time for. Call it when an answer came, a
-// load report came or a target changed, and every few milliseconds while
-// requests wait.
+// Step sends and refuses requests that are due. Call it when an answer or a load report
+// has arrived or a target has changed, and every few milliseconds while requests wait.
 func (d *Dispatcher[T]) Step(now time.Duration, rng *rand.Rand) Step[T] {
-	d.reset()
+	d.resetStep()
 	d.scan(now, rng)
-	return d.out
+	return d.step
 }
 
-// Cancel drops a waiting request whose caller has gone.
+// Cancel removes a waiting request whose caller has disconnected.
 func (d *Dispatcher[T]) Cancel(account string, id uint64) bool {
 	return d.queue.Cancel(account, id)
 }
 
-// SendTo sends a request to a given target past the queue: one that is
-// suspected of crashing targets and may go nowhere else. False when the target
-// takes no new work.
+// SendTo sends a request to the named target, bypassing the queue. It is for requests
+// suspected of crashing targets, which may only run on that target. It returns false if
+// the target takes no new work.
 func (d *Dispatcher[T]) SendTo(now time.Duration, r *Request[T], name string) (Send[T], bool) {
 	i, ok := d.pool.Find(name)
 	if !ok || d.pool.Rejected(i) {
 		return Send[T]{}, false
 	}
-	d.reset()
+	d.resetStep()
 	t := d.pool.Target(i)
 	cached := d.index.Cached(t.Cache, r.Placement.Chain)
 	uncached := max(0, r.Placement.PromptTokens-r.Placement.LeadingTokens(cached))
 	d.send(now, r, t, placement.Decision{Index: i, CachedPieces: cached, UncachedTokens: float64(uncached)})
-	return d.out.Sends[0], true
+	return d.step.Sends[0], true
 }
 
-// Answered takes in the first token of an answer. Call it or Failed once for
+// Answered records the first token of an answer. Call either Answered or Failed once for
 // each send.
 func (d *Dispatcher[T]) Answered(s *Send[T]) {
 	d.index.Answered(s.Identity, s.Request.Placement.Chain)
-	if t, ok := d.sentTo(s); ok {
+	if t, ok := d.currentTarget(s); ok {
 		t.Load.Answered(s.SentAt, s.Decision.UncachedTokens)
 	}
 }
 
-// RecordCachedTokens takes in the cached-token count of an answer, which comes at its
-// end. A count below what was expected tells that the target evicts more than
-// is known here. Where cache events are followed they tell better.
+// RecordCachedTokens records the cached-token count at the end of an answer. A count
+// below the expected one shows that the target has evicted pieces that the index still
+// contains. It is ignored while cache events are followed, which are more accurate.
 func (d *Dispatcher[T]) RecordCachedTokens(s *Send[T], cachedTokens int) {
 	if d.picker.CacheStateKnown() {
 		return
@@ -223,17 +221,17 @@
 	}
 }
 
-// Failed takes in an attempt that the target did not prefill.
+// Failed records an attempt that the target did not prefill.
 func (d *Dispatcher[T]) Failed(s *Send[T]) {
 	d.index.Failed(s.Identity, s.Request.Placement.Chain, s.Decision.CachedPieces)
-	if t, ok := d.sentTo(s); ok {
+	if t, ok := d.currentTarget(s); ok {
 		t.Load.Failed(s.Decision.UncachedTokens)
 	}
 }
 
-// sentTo is the target that an attempt went to, unless that incarnation is
-// gone and its load with it.
-func (d *Dispatcher[T]) sentTo(s *Send[T]) (*placement.Target, bool) {
+// currentTarget returns the target of a send, and whether it still runs the same
+// incarnation. The load of an ended incarnation no longer counts.
+func (d *Dispatcher[T]) currentTarget(s *Send[T]) (*placement.Target, bool) {
 	i, ok := d.pool.Find(s.Identity.Target)
 	if !ok {
 		return nil, false
@@ -242,42 +240,43 @@
 	return t, t.Incarnation == s.Identity.Incarnation
 }
 
-func (d *Dispatcher[T]) reset() {
-	clear(d.out.Sends)
-	clear(d.out.Refusals)
-	d.out.Sends, d.out.Refusals = d.out.Sends[:0], d.out.Refusals[:0]
+func (d *Dispatcher[T]) resetStep() {
+	clear(d.step.Sends)
+	clear(d.step.Refusals)
+	d.step.Sends, d.step.Refusals = d.step.Sends[:0], d.step.Refusals[:0]
 }
 
-func (d *Dispatcher[T]) refuse(list []fairqueue.Refusal[*Request[T]]) {
+func (d *Dispatcher[T]) addRefusals(list []fairqueue.Refusal[*Request[T]]) {
 	for _, r := range list {
-		d.out.Refusals = append(d.out.Refusals, Refusal[T]{Request: r.Item.Value, Reason: r.Reason, RetryAfter: r.RetryAfter})
+		d.step.Refusals = append(d.step.Refusals, Refusal[T]{Request: r.Item.Value, Reason: r.Reason, RetryAfter: r.RetryAfter})
 	}
 }
 
 func (d *Dispatcher[T]) scan(now time.Duration, rng *rand.Rand) {
-	d.refuse(d.queue.Sweep(now))
+	d.addRefusals(d.queue.Sweep(now))
 	if d.queue.Len() == 0 {
 		return
 	}
 	d.pool.ClearPending()
-	d.setBaseFactor(now)
+	d.setBaseRecomputeFactor(now)
 	d.queue.Scan(now, d.options.ScanLimit, func(it *fairqueue.Item[*Request[T]]) fairqueue.Verdict {
-		return d.visit(now, it.Value, rng)
+		return d.placeOrHold(now, it.Value, rng)
 	})
 	d.pool.ClearPending()
 }
 
-// setBaseFactor sets the weight of a recomputed token for the next decisions.
-func (d *Dispatcher[T]) setBaseFactor(now time.Duration) {
-	d.baseFactor = d.options.RecomputeFactor
+// setBaseRecomputeFactor updates the recompute factor for the current load.
+func (d *Dispatcher[T]) setBaseRecomputeFactor(now time.Duration) {
+	d.baseRecomputeFactor = d.options.RecomputeFactor
 	if d.options.RecomputeBacklogUnit > 0 {
-		pressure := float64(d.pool.MeanBacklog(now)) / float64(d.options.RecomputeBacklogUnit)
-		d.baseFactor = min(d.options.MaxRecomputeFactor, 1+pressure)
+		units := float64(d.pool.MeanBacklog(now)) / float64(d.options.RecomputeBacklogUnit)
+		d.baseRecomputeFactor = min(d.options.MaxRecomputeFactor, 1+units)
 	}
 }
 
-// visit places one waiting request, as if all before it had been sent.
-func (d *Dispatcher[T]) visit(now time.Duration, r *Request[T], rng *rand.Rand) fairqueue.Verdict {
+// placeOrHold places one waiting request as if all requests before it had been sent. It
+// sends the request, or leaves it in the queue if its target has enough work.
+func (d *Dispatcher[T]) placeOrHold(now time.Duration, r *Request[T], rng *rand.Rand) fairqueue.Verdict {
 	r.Placement.RecomputeFactor = d.recomputeFactor(r)
 	choice, err := d.picker.Pick(now, &r.Placement, rng)
 	if err != nil {
@@ -293,21 +292,20 @@
 	return fairqueue.Serve
 }
 
-// recomputeFactor grows with the backlog of the request's account. An account
-// that sends more than its share would else spill over to every target: its
-// waiting requests recompute what a cache holds, evict what others need, and
-// so slow the pool down further.
+// recomputeFactor increases with the backlog of the request's account. Otherwise the
+// requests of an account that exceeds its share would spread to every target, recompute
+// what is cached elsewhere, evict pieces that others need and slow the pool down further.
 func (d *Dispatcher[T]) recomputeFactor(r *Request[T]) float64 {
 	backlog := d.queue.Backlog(r.Account, r.Weight) - d.options.AccountBacklogGrace
-	return d.baseFactor + d.options.AccountBacklogFactor*max(0, backlog.Seconds())
+	return d.baseRecomputeFactor + d.options.AccountBacklogFactor*max(0, backlog.Seconds())
 }
 
 func (d *Dispatcher[T]) refuseNoTarget(r *Request[T]) {
-	d.out.Refusals = append(d.out.Refusals, Refusal[T]{Request: r, Reason: ReasonNoTarget, RetryAfter: noTargetRetryAfter})
+	d.step.Refusals = append(d.step.Refusals, Refusal[T]{Request: r, Reason: ReasonNoTarget, RetryAfter: noTargetRetryAfter})
 }
 
-// noTargetRetryAfter is the hint when no target is live: about the time that
-// a target needs to come back.
+// noTargetRetryAfter is the retry hint when no target is eligible: roughly the time that
+// a target needs to recover.
 const noTargetRetryAfter = time.Second
 
 func (d *Dispatcher[T]) send(now time.Duration, r *Request[T], t *placement.Target, choice placement.Decision) {
@@ -320,7 +318,7 @@
 	t.InFlight++
 	t.HeldTokens += r.Placement.HeldTokens
 	stamp := d.index.AddExpected(id, r.Placement.Chain)
-	d.out.Sends = append(d.out.Sends, Send[T]{
+	d.step.Sends = append(d.step.Sends, Send[T]{
 		Request: r, Target: choice.Index, Identity: id, SentAt: now, Decision: choice, stamp: stamp,
 	})
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -23,7 +23,7 @@
 	id   uint64
 }
 
-func newFixture(targets int, set ...func(*Options, *placement.Options)) *fixture {
+func newFixture(targets int, configure ...func(*Options, *placement.Options)) *fixture {
 	list := make([]placement.Target, targets)
 	index := cacheindex.New(1 << 20)
 	for i := range list {
@@ -31,29 +31,29 @@
 		list[i].Cache = index.Observe(0, cacheindex.Identity{Target: list[i].Name, Incarnation: "i1", Version: "v1"})
 	}
 	pool := placement.NewPool(list, "v1", placement.DefaultFilters())
-	place := placement.DefaultOptions()
+	placementOptions := placement.DefaultOptions()
 	o := DefaultOptions()
 	o.Queue.MinRate = 10000
-	for _, s := range set {
-		s(&o, &place)
+	for _, s := range configure {
+		s(&o, &placementOptions)
 	}
-	picker := placement.NewPicker(pool, index, place)
+	picker := placement.NewPicker(pool, index, placementOptions)
 	picker.SetCacheStateKnown()
 	d := New[string](pool, index, picker, o)
 	return &fixture{Dispatcher: d, pool: pool, rng: rand.New(rand.NewPCG(1, 1))}
 }
 
-func (f *fixture) push(account string, piece prefix.Hash, due time.Duration) Step[string] {
+func (f *fixture) push(account string, piece prefix.Hash, deadline time.Duration) Step[string] {
 	f.id++
-	r := &Request[string]{ID: f.id, Account: account, Deadline: due, Value: account}
+	r := &Request[string]{ID: f.id, Account: account, Deadline: deadline, Value: account}
 	r.Placement = placement.Request{Chain: []prefix.Hash{piece}, PieceTokens: pieceTokens, PromptTokens: pieceTokens + 100}
 	return f.Push(0, r, f.rng)
 }
 
-// One account floods the only target. Its requests beyond the window are held,
-// so that another account's request goes next; sent on at once they would be
+// One account floods the only target. Its requests beyond the target's backlog limit must
+// be held, so that another account's request is sent next. Requests sent earlier would be
 // ahead of it in the target's own queue.
-func TestFloodIsHeldNotSent(t *testing.T) {
+func TestFloodIsHeldInQueue(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
 	is.Equal(len(f.push("noisy", 1, 0).Sends), 1)
@@ -61,7 +61,7 @@
 		is.Equal(len(f.push("noisy", prefix.Hash(i+2), 0).Sends), 0)
 	}
 	is.Equal(len(f.push("quiet", 50, 0).Sends), 0)
-	step := f.Step(450*time.Millisecond, f.rng) // the first is prefilled by its estimate, but not answered
+	step := f.Step(450*time.Millisecond, f.rng) // by the estimate the first is prefilled, but it has no answer yet
 	is.Equal(len(step.Sends), 0)
 	f.pool.Target(0).Load.Answered(0, pieceTokens+100)
 	step = f.Step(450*time.Millisecond, f.rng)
@@ -70,13 +70,13 @@
 	is.Equal(f.Waiting(), 20)
 }
 
-// A request's target is full. The request behind it wants an idle target and
-// is sent; a queue that only looks at its head would leave targets idle.
+// A request waits for a target with a full backlog. The request behind it selects an idle
+// target and must be sent. A queue that only examines its head would leave targets idle.
 func TestFullTargetDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(4)
 	first := f.push("a", 1, 0).Sends[0]
-	for range 10 { // the same prefix, until its target is full
+	for range 10 { // the same prefix, until the backlog limit of its target
 		f.push("a", 1, 0)
 	}
 	is.True(f.Waiting() > 0)
@@ -90,7 +90,7 @@
 	is.True(sent >= 3)
 }
 
-func TestRefusesAtOnce(t *testing.T) {
+func TestPushRefusesLateAndUnplaceableRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
 	for i := range 5 {
@@ -106,9 +106,9 @@
 	is.Equal(none[len(none)-1].Reason, ReasonNoTarget)
 }
 
-// A target crashes with a request and comes back. The answer that never came
-// must not count as work of the new incarnation: it would look busy for good.
-func TestFailureOfDeadIncarnationLeavesLoadAlone(t *testing.T) {
+// A target crashes during a request and restarts. The failed request must not change the
+// load of the new incarnation.
+func TestFailureOfEarlierIncarnationKeepsLoad(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
 	s := f.push("a", 1, 0).Sends[0]
@@ -120,22 +120,23 @@
 	is.Equal(target.Load.QueuedAtTarget(0, 10000), 500.0)
 }
 
-// In a large fleet the word on other instances' work is a second old. With a
-// window as long, a target counted busy by old word still gets requests.
-func TestWindowMayGrowWithTheFleet(t *testing.T) {
+// In a large fleet, information about the work of other instances is a second old. With a
+// backlog limit of a second, a target that looks busy by old information must still get
+// requests.
+func TestHigherBacklogLimitSendsToSeeminglyBusyTarget(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
-	f.pool.Target(0).Load.SetPeerUnanswered(5000) // half a second of work, as peers told
+	f.pool.Target(0).Load.SetPeerUnanswered(5000) // half a second of work, as reported by peers
 	is.Equal(len(f.push("a", 1, 0).Sends), 0)
 	f.SetMaxTargetBacklog(time.Second)
 	is.Equal(len(f.Step(0, f.rng).Sends), 1)
 }
 
-// Guards against caches that are given up for newer weights while all targets
-// are busy.
-func TestRecomputingWeighsByLoad(t *testing.T) {
+// While all targets are busy, cached pieces on older weights must be preferred to
+// recomputing the prompt on the newest weights.
+func TestRecomputeFactorFollowsLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		work float64 // tokens at each target
+		work float64 // prompt tokens queued at each target
 		want int
 	}{
 		"idle targets: newest weights": {0, 1},
@@ -143,9 +144,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFixture(2, func(o *Options, place *placement.Options) {
+			f := newFixture(2, func(o *Options, placementOptions *placement.Options) {
 				o.RecomputeBacklogUnit, o.MaxRecomputeFactor = 50*time.Millisecond, 3
-				place.OutdatedPenalty, place.HomeCachedFraction = 500*time.Millisecond, 0
+				placementOptions.OutdatedPenalty, placementOptions.HomeCachedFraction = 500*time.Millisecond, 0
 			})
 			f.pool.Target(0).Outdated = true
 			f.index.Answered(cacheindex.Identity{Target: "t0", Incarnation: "i1", Version: "v1"}, []prefix.Hash{1})
@@ -159,12 +160,12 @@
 	}
 }
 
-// More comes than can be served. A request that has missed its objective while
-// it waited gives way to one that can still make it.
-func TestRequestPastItsObjectiveWaitsBehind(t *testing.T) {
+// In overload, a request that missed its objective while it waited must yield to one that
+// can still meet it.
+func TestRequestPastObjectiveIsDemoted(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1)
-	f.push("a", 1, 0) // takes the target
+	f.push("a", 1, 0) // occupies the target
 	push := func(name string, objective time.Duration) {
 		f.id++
 		r := &Request[string]{ID: f.id, Account: "a", Priority: 5, Value: name, Objective: objective}
@@ -180,13 +181,14 @@
 	is.Equal(f.Waiting(), 1)
 }
 
-// Guards against several waiting requests that all go to a target which may get one.
+// A rate-limited target that may receive one request must not get all the requests that
+// wait for it.
 func TestRateLimitedTargetGetsOneRequestAtATime(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2)
 	first := f.push("a", 1, 0).Sends[0]
 	home := f.pool.Target(first.Target)
-	for range 4 { // the same prefix, which the first target holds
+	for range 4 { // the same prefix, cached on the first target
 		f.push("a", 1, 0)
 	}
 	home.Load.Answered(0, pieceTokens+100)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,8 +1,8 @@
-// Package dispatch joins the fair queue and placement of one pool: which
-// waiting request is sent next, and to which target.
+// Package dispatch combines the fair queue and the placement of one pool: it decides
+// which waiting request is sent next and to which target.
 //
-// A target's own queue is first come first served, so whatever waits there
-// can no longer be put in a fair order. Requests are therefore held in the
-// fair queue while the target that placement wants for them has enough work.
-// Held requests count as that target's work for the requests behind them.
+// A target serves its own queue first come, first served, so requests waiting there can
+// no longer be reordered fairly. Requests are therefore held in the fair queue while the
+// target selected by placement has enough work. Held requests count as work of that
+// target when later requests are placed.
 package dispatch
