--- a/internal/overload/breaker.go
+++ b/internal/overload/breaker.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// BreakerConfig bounds a Breaker. Zero fields take their defaults.
+// BreakerConfig configures a Breaker. Zero fields take their defaults.
 type BreakerConfig struct {
 	// Window is the time over which failures are counted; default 10s.
 	Window time.Duration
-	// MinRequests is how many requests it takes to judge by; default 5.
+	// MinRequests is the minimum number of requests in the window before the breaker
+	// may open; default 5.
 	MinRequests int
-	// FailureRatio opens the breaker; default 0.5.
+	// FailureRatio is the fraction of failed requests that opens the breaker; default
+	// 0.5.
 	FailureRatio float64
-	// FirstWait is the time from opening to the first probe; it doubles with
-	// each failed probe up to MaxWait. Defaults 250ms and 10s.
+	// FirstWait is the time from opening to the first probe. It doubles with each failed
+	// probe up to MaxWait. Defaults 250ms and 10s.
 	FirstWait time.Duration
 	MaxWait   time.Duration
-	// SlowStartLimit is how many requests in flight end the slow start; default 32.
+	// SlowStartLimit is the number of requests in flight above which slow start ends;
+	// default 32.
 	SlowStartLimit int
 }
 
@@ -37,65 +40,67 @@
 	}
 }
 
-// BreakerState says what a Breaker lets through.
+// BreakerState determines which requests a Breaker allows.
 type BreakerState int
 
 // The states.
 const (
-	// Closed: all requests.
+	// Closed allows all requests.
 	Closed BreakerState = iota
-	// SlowStart: as many at once as have been answered since the start, so
-	// that a target back with an empty cache is not given its full part of
-	// the load while each request costs it a whole prefill.
+	// SlowStart limits the requests in flight and raises the limit with each success. A
+	// target that restarted with an empty cache does not get its full load while each
+	// request costs it a whole prefill.
 	SlowStart
-	// Open: none until the wait is over, then one probe.
+	// Open allows no requests until the wait has passed, then a single probe.
 	Open
 )
 
-// Result is what became of a request.
+// Result is the outcome of a request.
 type Result int
 
 // The results.
 const (
-	// Succeeded: the target did its work.
+	// Succeeded means that the target processed the request.
 	Succeeded Result = iota
-	// Failed: the target broke off, timed out or answered with a server
-	// error.
+	// Failed means that the connection was lost, the request timed out or the answer was
+	// a server error.
 	Failed
-	// Cancelled: the caller left, or the request was at fault. It says
+	// Cancelled means that the caller disconnected or the request was invalid. It says
 	// nothing about the target.
 	Cancelled
 )
 
-// Breaker keeps new work off a target that fails, and brings it back slowly.
-// It is not safe for concurrent use.
+// Breaker is a circuit breaker for one target with a slow start after recovery. It is not
+// safe for concurrent use.
 type Breaker struct {
-	cfg      BreakerConfig
-	state    BreakerState
-	counts   [2]tally
-	turnedAt time.Duration
-	// limit is the requests in flight that SlowStart allows.
-	limit    int
-	inFlight int
-	wait     time.Duration
-	probeAt  time.Duration
-	// round changes with each opening: what was sent before says nothing
-	// about the target since.
-	round int
+	cfg             BreakerConfig
+	state           BreakerState
+	counts          [2]outcomeCounts
+	halfWindowStart time.Duration
+	// limit is the number of requests in flight that SlowStart allows.
+	limit        int
+	inFlight     int
+	openDuration time.Duration
+	probeAt      time.Duration
+	// epoch increases when the breaker opens or the target restarts. Results of requests
+	// from an earlier epoch are ignored, as they say nothing about the current state of
+	// the target.
+	epoch int
 }
 
-type tally struct{ failed, total int }
+// outcomeCounts counts the requests of half a window.
+type outcomeCounts struct{ failed, total int }
 
-// NewBreaker makes a closed breaker.
+// NewBreaker returns a closed breaker.
 func NewBreaker(cfg BreakerConfig) *Breaker {
 	cfg = cfg.withDefaults()
-	return &Breaker{cfg: cfg, wait: cfg.FirstWait}
+	return &Breaker{cfg: cfg, openDuration: cfg.FirstWait}
 }
 
-// State is the present state.
+// State returns the current state.
 func (b *Breaker) State() BreakerState { return b.state }
 
-// Ready says whether the target may get a request now.
+// Ready reports whether the target may receive a request now.
 func (b *Breaker) Ready(now time.Duration) bool {
 	switch b.state {
 	case SlowStart:
@@ -106,7 +111,7 @@
 	return true
 }
 
-// Limit is how many requests may be in flight; 0 for any number.
+// Limit returns the maximum number of requests in flight; 0 means no limit.
 func (b *Breaker) Limit() int {
 	switch b.state {
 	case SlowStart:
@@ -117,21 +122,21 @@
 	return 0
 }
 
-// InFlight counts the requests sent since the last change of state.
+// InFlight returns the number of requests in flight that were sent in the current epoch.
 func (b *Breaker) InFlight() int { return b.inFlight }
 
-// Ticket ties a request's result to the time it was sent in.
-type Ticket struct{ round int }
+// Ticket assigns the result of a request to the epoch in which it was sent.
+type Ticket struct{ epoch int }
 
-// Begin counts a request that is sent. Call it only when Ready.
+// Begin records that a request is sent. Call it only if Ready returns true.
 func (b *Breaker) Begin() Ticket {
 	b.inFlight++
-	return Ticket{round: b.round}
+	return Ticket{epoch: b.epoch}
 }
 
-// End takes the result of a request.
+// End records the result of a request.
 func (b *Breaker) End(now time.Duration, t Ticket, r Result, rng *rand.Rand) {
-	if t.round != b.round {
+	if t.epoch != b.epoch {
 		return
 	}
 	b.inFlight--
@@ -140,42 +145,42 @@
 	case b.state == Closed:
 		b.count(now, r, rng)
 	case r == Failed:
-		b.shrink(now, rng)
+		b.halveLimit(now, rng)
 	default:
-		b.grow()
+		b.raiseLimit()
 	}
 }
 
-// shrink halves what is let through, and stops it at the first request: a
-// target that fails a few requests in a hundred still gets back to its full
-// load, one that fails them all is shut off after a handful.
-func (b *Breaker) shrink(now time.Duration, rng *rand.Rand) {
+// halveLimit halves the slow start limit and opens the breaker when it reaches 0. A target
+// that fails a few percent of its requests still reaches its full load; one that fails
+// all of them is cut off after a handful.
+func (b *Breaker) halveLimit(now time.Duration, rng *rand.Rand) {
 	b.limit /= 2
 	if b.limit == 0 {
 		b.open(now, rng)
 	}
 }
 
-// grow lets one more request in for each that succeeds: the rate doubles with
-// each round of answers.
-func (b *Breaker) grow() {
+// raiseLimit raises the slow start limit by one for each success, so that the limit
+// doubles with each round of answers.
+func (b *Breaker) raiseLimit() {
 	if b.state == Open {
 		b.state, b.limit = SlowStart, 1
 	}
 	b.limit++
 	if b.limit > b.cfg.SlowStartLimit {
-		b.state, b.wait = Closed, b.cfg.FirstWait
-		b.counts = [2]tally{}
+		b.state, b.openDuration = Closed, b.cfg.FirstWait
+		b.counts = [2]outcomeCounts{}
 	}
 }
 
 func (b *Breaker) count(now time.Duration, r Result, rng *rand.Rand) {
-	if now-b.turnedAt >= b.cfg.Window/2 {
-		if now-b.turnedAt >= b.cfg.Window {
-			b.counts[0] = tally{}
+	if now-b.halfWindowStart >= b.cfg.Window/2 {
+		if now-b.halfWindowStart >= b.cfg.Window {
+			b.counts[0] = outcomeCounts{}
 		}
-		b.counts[1], b.counts[0] = b.counts[0], tally{}
-		b.turnedAt = now
+		b.counts[1], b.counts[0] = b.counts[0], outcomeCounts{}
+		b.halfWindowStart = now
 	}
 	b.counts[0].total++
 	if r == Failed {
@@ -187,28 +192,29 @@
 	}
 }
 
-// open stops new work. The wait is spread by chance: without that, all
-// instances would probe a target that just came back at the same moment.
+// open stops new requests. The wait is randomised; otherwise all instances would probe a
+// recovered target at the same moment.
 func (b *Breaker) open(now time.Duration, rng *rand.Rand) {
 	if b.state != Closed {
-		b.wait = min(2*b.wait, b.cfg.MaxWait)
+		b.openDuration = min(2*b.openDuration, b.cfg.MaxWait)
 	}
 	b.state, b.limit, b.inFlight = Open, 0, 0
-	b.round++
-	b.counts = [2]tally{}
-	b.probeAt = now + b.wait/2 + time.Duration(rng.Int64N(int64(b.wait)))
+	b.epoch++
+	b.counts = [2]outcomeCounts{}
+	b.probeAt = now + b.openDuration/2 + time.Duration(rng.Int64N(int64(b.openDuration)))
 }
 
-// Unreachable tells that the target can't be connected to: no need to count.
+// Unreachable opens the breaker because no connection to the target can be made, without
+// waiting for further failures.
 func (b *Breaker) Unreachable(now time.Duration, rng *rand.Rand) {
 	if b.state != Open || now >= b.probeAt {
 		b.open(now, rng)
 	}
 }
 
-// Restarted tells that the target answers as a new incarnation, with an empty
-// cache: it starts slowly, also when it failed nobody's request.
+// Restarted begins a slow start because the target answers as a new incarnation, whose
+// cache is empty, even if no request has failed.
 func (b *Breaker) Restarted() {
 	b.state, b.limit, b.inFlight = SlowStart, 1, 0
-	b.round++
+	b.epoch++
 }
--- a/internal/overload/breaker_test.go
+++ b/internal/overload/breaker_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { propertytest.Main(m, 2000) }
 
-// driver sends requests through a breaker as fast as it lets them.
+// driver sends requests through a breaker as fast as it allows.
 type driver struct {
 	b    *Breaker
 	rng  *rand.Rand
@@ -25,41 +25,42 @@
 	return &driver{b: NewBreaker(BreakerConfig{}), rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// run offers the target 100 requests every 100 ms, each answered within it.
-func (d *driver) run(t time.Duration, r Result) (most int) {
+// run offers 100 requests every 100 ms, each answered with r in the same interval. It
+// returns the most requests that were in flight at once.
+func (d *driver) run(t time.Duration, r Result) (maxInFlight int) {
 	for end := d.now + t; d.now < end; d.now += 100 * time.Millisecond {
-		var open []Ticket
+		var tickets []Ticket
 		for range 100 {
 			if d.b.Ready(d.now) {
-				open = append(open, d.b.Begin())
+				tickets = append(tickets, d.b.Begin())
 			}
 		}
-		d.sent += len(open)
-		most = max(most, len(open))
-		for _, ticket := range open {
+		d.sent += len(tickets)
+		maxInFlight = max(maxInFlight, len(tickets))
+		for _, ticket := range tickets {
 			d.b.End(d.now, ticket, r, d.rng)
 		}
 	}
-	return most
+	return maxInFlight
 }
 
-// A target fails every request for a minute. After the first round it gets
-// single probes, ever more seldom: the requests go elsewhere at once.
-func TestFailingTargetGetsProbesOnly(t *testing.T) {
+// A target fails every request for a minute. Once the breaker is open, it must only
+// receive single probes at increasing intervals.
+func TestFailingTargetGetsOnlyProbes(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
 	d.run(time.Second, Succeeded)
 	d.run(time.Second, Failed)
 	is.Equal(d.b.State(), Open)
 	d.sent = 0
-	most := d.run(time.Minute, Failed)
-	is.Equal(most, 1)
+	maxInFlight := d.run(time.Minute, Failed)
+	is.Equal(maxInFlight, 1)
 	is.True(d.sent <= 15)
 }
 
-// The target works again. It is found within the longest wait and gets its
-// full load after a few rounds, the first of them small.
-func TestTargetComesBackSlowly(t *testing.T) {
+// A target recovers. It must be detected within the longest wait, and its load must grow
+// from a few requests to the full load.
+func TestRecoveredTargetStartsSlowly(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
 	d.run(30*time.Second, Failed)
@@ -72,8 +73,8 @@
 	is.Equal(d.b.State(), Closed)
 }
 
-// An engine restarts so fast that no request fails. Its cache is empty: each
-// request costs a whole prefill, and its full load would build a queue.
+// An engine restarts so quickly that no request fails. Its cache is empty, so each request
+// costs a whole prefill, and the full load would build up a queue.
 func TestNewIncarnationStartsSlowly(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
@@ -84,8 +85,7 @@
 	is.Equal(d.b.State(), Closed)
 }
 
-// A few requests in a hundred fail, and callers leave. That is no reason to
-// keep work off the target.
+// A few percent of the requests fail and callers disconnect. The breaker must stay closed.
 func TestFewFailuresAndCancellationsDoNotOpen(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
@@ -104,9 +104,9 @@
 	is.Equal(d.b.State(), Closed)
 }
 
-// A target that fails one request in twenty restarts. It gets back to its full
-// load: one failure on the way must not shut it off again.
-func TestFewFailuresDoNotStopTheSlowStart(t *testing.T) {
+// A target that fails one request in twenty restarts. It must reach its full load: a single
+// failure during slow start must not open the breaker.
+func TestFewFailuresDoNotStopSlowStart(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(1)
 	d.b.Restarted()
@@ -121,8 +121,8 @@
 	is.Equal(d.b.State(), Closed)
 }
 
-// A target that was shut off comes back, and a thousand instances want to
-// probe it. Their waits are spread, so that the probes are no herd.
+// A thousand instances probe a target after its breaker opened. Their waits must be spread,
+// so that the target is not overloaded by simultaneous probes.
 func TestProbesOfManyInstancesAreSpread(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -137,29 +137,29 @@
 	}
 }
 
-// Whatever results come in whatever order, also late ones from before the
-// breaker opened: it never lets more through at once than its state allows,
-// and never counts below zero.
-func TestBreakerKeepsItsLimits(t *testing.T) {
+// For results in any order, including late ones from before the breaker opened, the breaker
+// must never allow more requests in flight than its state permits, and its count must not
+// become negative.
+func TestBreakerNeverExceedsItsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := NewBreaker(BreakerConfig{SlowStartLimit: 4})
 		rng := rand.New(rand.NewPCG(1, 1))
 		var now time.Duration
-		var open []Ticket
+		var tickets []Ticket
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
 			case 0, 1:
 				if b.Ready(now) {
-					open = append(open, b.Begin())
+					tickets = append(tickets, b.Begin())
 					if b.state == Open && b.inFlight > 1 || b.state == SlowStart && b.inFlight > b.limit {
 						rt.Fatalf("state=%d in flight=%d limit=%d", b.state, b.inFlight, b.limit)
 					}
 				}
 			case 2, 3:
-				if len(open) > 0 {
-					i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
-					b.End(now, open[i], Result(rapid.IntRange(0, 2).Draw(rt, "result")), rng)
-					open = append(open[:i], open[i+1:]...)
+				if len(tickets) > 0 {
+					i := rapid.IntRange(0, len(tickets)-1).Draw(rt, "which")
+					b.End(now, tickets[i], Result(rapid.IntRange(0, 2).Draw(rt, "result")), rng)
+					tickets = append(tickets[:i], tickets[i+1:]...)
 				}
 			case 4:
 				now += time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond
--- a/internal/overload/budget_test.go
+++ b/internal/overload/retrybudget_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// Every attempt fails for a long time, as when a whole domain is gone and
-// callers keep coming. The attempts stay within 1.1 times the requests, above
-// what was saved before the failure.
-func TestAttemptsStayNearRequestsWhenAllFail(t *testing.T) {
+// Every attempt fails for a long time, as when a whole domain is lost and callers keep
+// sending. The attempts must stay within 1.1 times the requests, plus the retries that
+// were available before the failure.
+func TestRetriesAreBoundedWhenAllAttemptsFail(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve, DefaultInitialRetries)
 	const requests = 100_000
@@ -17,19 +17,19 @@
 	for range requests {
 		b.AddRequest()
 		attempts++
-		for range 2 { // each request would be repeated twice
+		for range 2 { // each request would be retried twice
 			if b.TakeRetry() {
 				attempts++
 			}
 		}
 	}
 	is.True(attempts <= requests*11/10+DefaultInitialRetries)
-	is.True(attempts > requests*109/100) // and the budget is used
+	is.True(attempts > requests*109/100) // the budget is used
 }
 
-// A fleet grows: each instance's part of what may be saved up shrinks at once,
-// also what it has saved already.
-func TestReserveFollowsTheFleet(t *testing.T) {
+// When the fleet grows, each instance's share of the reserve shrinks immediately, including
+// the retries that it has accumulated already.
+func TestReserveFollowsFleetSize(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget(DefaultRetryRatio, 30, 30)
 	b.SetReserve(5)
@@ -38,9 +38,9 @@
 	is.Equal(b.Available(), 5.0)
 }
 
-// After calm hours a domain with a third of 900 open requests fails. The
-// reserve pays for one repeat of each, so no caller sees the failure.
-func TestReservePaysForLostDomain(t *testing.T) {
+// After a long time without failures, a domain with a third of 900 open requests fails. The
+// reserve must allow one retry of each, so that no caller sees the failure.
+func TestReserveCoversLostDomain(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve, DefaultInitialRetries)
 	for range 20_000 {
--- a/internal/overload/sharedbudget.go
+++ b/internal/overload/sharedretrybudget.go
@@ -2,46 +2,46 @@
 
 import "sync"
 
-// SharedRetryBudget is a Budget that is safe for concurrent use.
+// SharedRetryBudget is a RetryBudget that is safe for concurrent use.
 type SharedRetryBudget struct {
 	mu sync.Mutex
 	b  *RetryBudget
 }
 
-// NewSharedRetryBudget makes one as NewBudget does.
-func NewSharedRetryBudget(ratio, reserve, start float64) *SharedRetryBudget {
-	return &SharedRetryBudget{b: NewRetryBudget(ratio, reserve, start)}
+// NewSharedRetryBudget returns a SharedRetryBudget; see NewRetryBudget.
+func NewSharedRetryBudget(ratio, reserve, initial float64) *SharedRetryBudget {
+	return &SharedRetryBudget{b: NewRetryBudget(ratio, reserve, initial)}
 }
 
-// AddRequest counts a request at its first attempt.
+// AddRequest counts the first attempt of a request.
 func (s *SharedRetryBudget) AddRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.b.AddRequest()
 }
 
-// TakeRetry takes one repeated attempt from the budget; false when it is spent.
+// TakeRetry takes one retry from the budget. It returns false if none is available.
 func (s *SharedRetryBudget) TakeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.TakeRetry()
 }
 
-// TakeRetryAbove takes one repeated attempt if at least a reserve is left then.
+// TakeRetryAbove takes one retry if at least reserve retries remain afterwards.
 func (s *SharedRetryBudget) TakeRetryAbove(reserve float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.TakeRetryAbove(reserve)
 }
 
-// Available is the attempts that could be repeated now.
+// Available returns the number of retries available.
 func (s *SharedRetryBudget) Available() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Available()
 }
 
-// SetReserve changes the most that is saved up.
+// SetReserve changes the maximum number of accumulated retries.
 func (s *SharedRetryBudget) SetReserve(reserve float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
