--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -32,7 +32,7 @@
 	Queue fairqueue.Options
 }
 
-// DefaultOptions returns the defaults; docs/measurements has the runs behind them.
+// DefaultOptions returns the default options; see docs/measurements.
 func DefaultOptions() Options {
 	return Options{
 		MaxTargetBacklog: 150 * time.Millisecond,
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -46,7 +46,7 @@
 	QueueSlack time.Duration
 }
 
-// DefaultOptions returns the defaults; docs/measurements has the runs behind them.
+// DefaultOptions returns the default options; see docs/measurements.
 func DefaultOptions() Options {
 	return Options{
 		CrossDomainDelay:             1500 * time.Microsecond,
--- a/internal/placement/picker.go
+++ b/internal/placement/picker.go
@@ -12,7 +12,7 @@
 
 // ErrNoTarget is returned when filters reject every target of the pool. The request
 // has not run.
-var ErrNoTarget = errors.New("placement: no target")
+var ErrNoTarget = errors.New("placement: filters reject every target of the pool")
 
 // Decision is the result of placing one request.
 type Decision struct {
