--- /dev/null
+++ b/internal/overload/retrybudget_test.go
@@ -0,0 +1,52 @@
+package overload
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// Every attempt fails for a long time, as when a whole domain is lost and callers keep
+// sending. The attempts must stay within 1.1 times the requests, plus the retries that
+// were available before the failure.
+func TestRetriesAreBoundedWhenAllAttemptsFail(t *testing.T) {
+	is := is.New(t)
+	b := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve, DefaultInitialRetries)
+	const requests = 100_000
+	attempts := 0
+	for range requests {
+		b.AddRequest()
+		attempts++
+		for range 2 { // each request would be retried twice
+			if b.TakeRetry() {
+				attempts++
+			}
+		}
+	}
+	is.True(attempts <= requests*11/10+DefaultInitialRetries)
+	is.True(attempts > requests*109/100) // the budget is used
+}
+
+// When the fleet grows, each instance's share of the reserve shrinks immediately, including
+// the retries that it has accumulated already.
+func TestReserveFollowsFleetSize(t *testing.T) {
+	is := is.New(t)
+	b := NewRetryBudget(DefaultRetryRatio, 30, 30)
+	b.SetReserve(5)
+	is.Equal(b.Available(), 5.0)
+	b.SetReserve(30)
+	is.Equal(b.Available(), 5.0)
+}
+
+// After a long time without failures, a domain with a third of 900 open requests fails. The
+// reserve must allow one retry of each, so that no caller sees the failure.
+func TestReserveCoversLostDomain(t *testing.T) {
+	is := is.New(t)
+	b := NewRetryBudget(DefaultRetryRatio, DefaultRetryReserve, DefaultInitialRetries)
+	for range 20_000 {
+		b.AddRequest()
+	}
+	for range 300 {
+		is.True(b.TakeRetry())
+	}
+}
--- a/internal/targetlimit/limiter_test.go
+++ b/internal/targetlimit/limiter_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-var testTarget = directory.Incarnation{ID: "one", Born: 1}
+var testTarget = directory.Incarnation{ID: "one", StartedMs: 1}
 
 // newSingleInstance returns a limiter that knows that it is the only instance.
 func newSingleInstance() *Limiter {
