--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -95,7 +95,7 @@
 // by then.
 func (t *table) applyClaim(env logrec.Envelope, at platform.Offset) change {
 	var c Claim
-	if env.Into(&c) != nil {
+	if env.DecodeBody(&c) != nil {
 		return change{}
 	}
 	if c.Head <= at {
@@ -112,11 +112,11 @@
 
 func (t *table) applyResult(env logrec.Envelope, at platform.Offset) change {
 	var r ResultRecord
-	if env.Into(&r) != nil {
+	if env.DecodeBody(&r) != nil {
 		return change{}
 	}
 	if t.holders[r.Key] == nil {
-		t.take(&Holder{Key: r.Key, Request: r.Request, Attempt: r.Attempt, Incarnation: env.By, Offset: at})
+		t.take(&Holder{Key: r.Key, Request: r.Request, Attempt: r.Attempt, Incarnation: env.Writer, Offset: at})
 	}
 	h := t.holders[r.Key]
 	if h.Attempt == r.Attempt {
@@ -127,7 +127,7 @@
 
 func (t *table) applyAbandon(env logrec.Envelope) change {
 	var a Abandon
-	if env.Into(&a) != nil {
+	if env.DecodeBody(&a) != nil {
 		return change{}
 	}
 	if h := t.holders[a.Key]; h != nil && h.Attempt == a.Attempt && h.Result == nil {
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -46,7 +46,7 @@
 // foldBody decodes a body and hands it to its fold, which changes n.
 func foldBody[B interface{ rules() int }](s, n *State, e logrec.Envelope, fold func(*State, *entryDraft, B)) (*State, error) {
 	var body B
-	if e.Into(&body) != nil {
+	if e.DecodeBody(&body) != nil {
 		return n, nil
 	}
 	if body.rules() > RulesVersion {
@@ -66,7 +66,7 @@
 
 func newDraft(offset int64, e logrec.Envelope) *entryDraft {
 	return &entryDraft{audit.Entry{
-		Stream: platform.StreamConfig, Offset: offset, AtMillis: e.AtMillis, By: e.By, What: string(e.Kind),
+		Stream: platform.StreamConfig, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
 	}}
 }
 
--- a/internal/config/property_test.go
+++ b/internal/config/property_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, r := range records {
 		e, _ := logrec.Decode(r)
-		w.write(t, KindSnapshot, e.By, e.Body)
+		w.write(t, KindSnapshot, e.Writer, e.Body)
 	}
 }
 
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -189,7 +189,7 @@
 		return nil
 	}
 	var p SnapshotPart
-	if e.Into(&p) != nil || p.Rules > RulesVersion || p.Parts < 1 || p.Parts > maxSnapshotParts {
+	if e.DecodeBody(&p) != nil || p.Rules > RulesVersion || p.Parts < 1 || p.Parts > maxSnapshotParts {
 		a.reset()
 		return nil
 	}
--- a/internal/lease/checkpoint.go
+++ b/internal/lease/checkpoint.go
@@ -113,7 +113,7 @@
 		return nil
 	}
 	var c Checkpoint
-	if err := e.Into(&c); err != nil {
+	if err := e.DecodeBody(&c); err != nil {
 		return err
 	}
 	if c.Through < f.floorOffset || c.Through > off {
--- a/internal/lease/fold.go
+++ b/internal/lease/fold.go
@@ -97,7 +97,7 @@
 // fold decodes a body and hands it on.
 func fold[T any](e logrec.Envelope, apply func(T)) error {
 	var body T
-	if err := e.Into(&body); err != nil {
+	if err := e.DecodeBody(&body); err != nil {
 		return err
 	}
 	apply(body)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -131,7 +131,7 @@
 		h.follow(r, off, now, sentAt, own)
 	}
 	var j Join
-	if e.Kind == KindJoin && e.Into(&j) == nil && j.Member.Domain == h.settings.Self.Domain {
+	if e.Kind == KindJoin && e.DecodeBody(&j) == nil && j.Member.Domain == h.settings.Self.Domain {
 		h.renewNow = true
 	}
 	return err
@@ -139,13 +139,13 @@
 
 // settleOwn finds when a record of this incarnation was sent.
 func (h *Holder) settleOwn(e logrec.Envelope) (time.Duration, bool) {
-	if e.By != h.settings.Self.ID {
+	if e.Writer != h.settings.Self.ID {
 		return 0, false
 	}
 	var numbered struct {
 		Seq uint64 `msgpack:"q"`
 	}
-	if e.Into(&numbered) != nil {
+	if e.DecodeBody(&numbered) != nil {
 		return 0, false
 	}
 	at, ok := h.sent[numbered.Seq]
--- a/internal/lease/search_test.go
+++ b/internal/lease/search_test.go
@@ -105,7 +105,7 @@
 	work := a.h.Tick(now)
 	for _, r := range work.Records {
 		e := framed(a.h.settings.Self.ID, r)
-		w.appends = append(w.appends, flight{by: i, seq: r.Seq, env: e, sum: hashOf(e.Kind, e.By, e.Body)})
+		w.appends = append(w.appends, flight{by: i, seq: r.Seq, env: e, sum: hashOf(e.Kind, e.Writer, e.Body)})
 	}
 	for _, ask := range work.Asks {
 		w.calls = append(w.calls, call{by: i, ask: ask})
@@ -127,7 +127,7 @@
 func (w *world) land(k int) {
 	e := w.appends[k].env
 	w.log = append(w.log, e)
-	w.logHash = hashOf(w.logHash, e.Kind, e.By, e.Body)
+	w.logHash = hashOf(w.logHash, e.Kind, e.Writer, e.Body)
 	w.appends = slices.Delete(w.appends, k, k+1)
 }
 
--- a/internal/logrec/envelope.go
+++ b/internal/logrec/envelope.go
@@ -17,8 +17,8 @@
 // Envelope is one record as stored in the log.
 type Envelope struct {
 	Kind Kind `msgpack:"k"`
-	// By is the writer: an instance incarnation or an operator.
-	By string `msgpack:"b"`
+	// Writer is the writer: an instance incarnation or an operator.
+	Writer string `msgpack:"b"`
 	// AtMillis is the writer's wall clock in Unix milliseconds, for people
 	// to read; no decision may depend on it.
 	AtMillis int64              `msgpack:"t"`
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode record body kind=%s", kind)
 	}
-	data, err := msgpack.Marshal(&Envelope{Kind: kind, By: by, AtMillis: atMillis, Body: raw})
+	data, err := msgpack.Marshal(&Envelope{Kind: kind, Writer: by, AtMillis: atMillis, Body: raw})
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode record kind=%s", kind)
 	}
@@ -54,8 +54,8 @@
 	return e, nil
 }
 
-// Into decodes the body into a typed value.
-func (e Envelope) Into(body any) error {
+// DecodeBody decodes the body into a typed value.
+func (e Envelope) DecodeBody(body any) error {
 	if err := msgpack.Unmarshal(e.Body, body); err != nil {
 		return errors.Mark(errors.Wrapf(err, "decode record body kind=%s", e.Kind), ErrMalformed)
 	}
--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -11,22 +11,22 @@
 // ledger found it void.
 func Entry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
-		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.By, What: string(e.Kind),
+		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
 	}
 	switch e.Kind {
 	case KindPool:
 		var r PoolRecord
-		err := e.Into(&r)
+		err := e.DecodeBody(&r)
 		return poolEntry(out, r), err == nil
 	case KindIssued:
 		var r Issued
-		err := e.Into(&r)
+		err := e.DecodeBody(&r)
 		out.Op, out.Outcome = r.ID.String(), audit.Issued
 		out.Subjects = []audit.Subject{{Name: r.Target, Before: r.Before, After: r.Version}}
 		return out, err == nil
 	case KindSettled:
 		var r Settled
-		err := e.Into(&r)
+		err := e.DecodeBody(&r)
 		out.Op, out.Outcome, out.Reason = r.Order.String(), audit.Observed, r.Reason
 		if r.Failed {
 			out.Outcome = audit.Failed
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -70,17 +70,17 @@
 	switch e.Kind {
 	case KindPool:
 		var r PoolRecord
-		if e.Into(&r) == nil && l.valid(r.State.ID.Token) {
+		if e.DecodeBody(&r) == nil && l.valid(r.State.ID.Token) {
 			l.pool(r)
 		}
 	case KindIssued:
 		var r Issued
-		if e.Into(&r) == nil && l.valid(r.ID.Token) {
+		if e.DecodeBody(&r) == nil && l.valid(r.ID.Token) {
 			l.issued(now, r)
 		}
 	case KindSettled:
 		var r Settled
-		if e.Into(&r) == nil && l.valid(r.Token) {
+		if e.DecodeBody(&r) == nil && l.valid(r.Token) {
 			l.settled(now, r)
 		}
 	}
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -260,5 +260,5 @@
 }
 
 func rawEnvelope(kind string, body []byte) logrec.Envelope {
-	return logrec.Envelope{Kind: logrec.Kind(kind), By: "i", Body: body}
+	return logrec.Envelope{Kind: logrec.Kind(kind), Writer: "i", Body: body}
 }
