--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -89,6 +89,6 @@
 	OperatorFeed
 	RegistrationFeed
 	InstanceFeed
-	orderlease.Log
+	orderlease.Store
 	weights.VersionLog
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,8 +118,8 @@
 	}
 	g.quota.SetFleet(0, unknownFleet, quota.PeerTimeout)
 	lease := orderlease.DefaultSettings()
-	lease.Gap = s.LeaseGap
-	g.lease = &sharedLease{l: orderlease.New(g.self.Incarnation, lease).On(g.self.Instance)}
+	lease.HandoverGap = s.LeaseGap
+	g.lease = &sharedLease{l: orderlease.New(g.self.Incarnation, lease).WithInstance(g.self.Instance)}
 	g.configs = newConfigTransfer(g)
 	g.peers = newPeers(g)
 	g.leaseLog = &leaseLog{direct: store, cut: g.feeds.cut, relay: g.peers.relayLease}
--- a/internal/gateway/leaserelay.go
+++ b/internal/gateway/leaserelay.go
@@ -17,7 +17,7 @@
 // instance may take the lease, several seconds later. A write is conditional on
 // its offset, so one that is sent both ways is carried out once at most.
 type leaseLog struct {
-	direct orderlease.Log
+	direct orderlease.Store
 	// cut says that the store was not reached lately.
 	cut func() bool
 	// relay makes the call through one peer; errNoRelay where there is none.
@@ -77,11 +77,11 @@
 }
 
 func toWireLease(r orderlease.Record) wire.LeaseRecord {
-	return wire.LeaseRecord{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.End}
+	return wire.LeaseRecord{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.NextOffset}
 }
 
 func fromWireLease(r wire.LeaseRecord) orderlease.Record {
-	return orderlease.Record{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.End}
+	return orderlease.Record{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, NextOffset: r.End}
 }
 
 // relayLease has a connected peer that reaches the store make the call.
--- a/internal/gateway/leaserelay_test.go
+++ b/internal/gateway/leaserelay_test.go
@@ -22,7 +22,7 @@
 	if l.turnsAway {
 		return orderlease.Record{}, errors.New("turned away")
 	}
-	return orderlease.Record{Holder: "direct", End: 1}, nil
+	return orderlease.Record{Holder: "direct", NextOffset: 1}, nil
 }
 
 func (l *countedLog) WriteLease(context.Context, int64, orderlease.Record) (bool, error) {
--- a/internal/gateway/sharedlease.go
+++ b/internal/gateway/sharedlease.go
@@ -35,19 +35,19 @@
 func (s *sharedLease) until() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.Until()
+	return s.l.ValidUntil()
 }
 
 func (s *sharedLease) heldLast() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.HeldLast()
+	return s.l.IsLastHolder()
 }
 
 func (s *sharedLease) wasHolder() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.WasHolder()
+	return s.l.WasLastKnownHolder()
 }
 
 // readDue says that the record has to be read: it is not known, or another
@@ -58,7 +58,7 @@
 	if now < s.notBefore {
 		return false
 	}
-	if s.l.Stale() {
+	if s.l.NeedsRead() {
 		return true
 	}
 	_, held := s.l.Held(now)
@@ -70,7 +70,7 @@
 func (s *sharedLease) readBefore(now, at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now >= s.notBefore && s.readAt < at && !s.l.HeldLast()
+	return now >= s.notBefore && s.readAt < at && !s.l.IsLastHolder()
 }
 
 // unread takes in a read that failed: the next one waits for the pause.
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readAt = now
-	s.l.Read(now, r)
+	s.l.HandleRead(now, r)
 }
 
 // propose gives the record to write now and notes that it is on its way.
@@ -93,7 +93,7 @@
 	defer s.mu.Unlock()
 	at, r, ok := s.l.Propose(now)
 	if ok {
-		s.l.Sent(now)
+		s.l.MarkSent(now)
 	}
 	return at, r, ok
 }
@@ -109,11 +109,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || !written {
-		s.l.Unwritten(at, err == nil)
+		s.l.HandleWriteFailure(at, err == nil)
 		s.taken = false
 		return false
 	}
-	s.l.Written(now, at, r)
+	s.l.HandleWritten(now, at, r)
 	taken := !s.taken
 	s.taken = true
 	return taken
--- a/internal/gateway/sharedlease_test.go
+++ b/internal/gateway/sharedlease_test.go
@@ -28,7 +28,7 @@
 // record in time, by one call.
 func TestRecordOfAGoneHolderIsSeenInQuietTimes(t *testing.T) {
 	is := is.New(t)
-	store := &memoryStore{newest: 2, targets: onVersions(2, 2), lease: orderlease.Record{Holder: "gone", Instance: "z", End: 7}}
+	store := &memoryStore{newest: 2, targets: onVersions(2, 2), lease: orderlease.Record{Holder: "gone", Instance: "z", NextOffset: 7}}
 	p := startOn(store, "a")
 	p.rolloutStep(t.Context())
 	is.Equal(store.leaseReads, 0)
@@ -37,7 +37,7 @@
 		p.rolloutStep(t.Context())
 	}
 	is.Equal(store.leaseReads, 1)
-	later := p.clock.Now() + p.settings.LeaseGap + orderlease.DefaultSettings().Valid + time.Millisecond
+	later := p.clock.Now() + p.settings.LeaseGap + orderlease.DefaultSettings().TTL + time.Millisecond
 	_, _, may := p.lease.propose(later)
 	is.True(may)
 }
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -25,13 +25,13 @@
 	// Token is the fencing token: the offset of the holder's first record
 	// since another one held the lease.
 	Token int64
-	// End is the offset that the next record will get. A record that was
+	// NextOffset is the offset that the next record will get. A record that was
 	// written again moves it.
-	End int64
+	NextOffset int64
 }
 
-// Log is where the record is kept.
-type Log interface {
+// Store is where the record is kept.
+type Store interface {
 	// ReadLease reads the record; its Holder is empty when there is none.
 	ReadLease(ctx context.Context) (Record, error)
 	// WriteLease writes a record if nothing was written since offset at. An
@@ -41,13 +41,13 @@
 
 // Settings of the protocol; the same on all instances.
 type Settings struct {
-	// Valid is how long a record gives its writer the right to send orders,
+	// TTL is how long a record gives its writer the right to send orders,
 	// counted from before it was written.
-	Valid time.Duration
-	// Gap is the least time between the last order of one holder and the
+	TTL time.Duration
+	// HandoverGap is the least time between the last order of one holder and the
 	// first of the next. Targets that do not check tokens must be done with
 	// the one before they hear the other.
-	Gap time.Duration
+	HandoverGap time.Duration
 	// RenewBefore is how long before its end a right is renewed.
 	RenewBefore time.Duration
 }
@@ -55,8 +55,8 @@
 // DefaultSettings are the times used unless the platform asks for others.
 func DefaultSettings() Settings {
 	return Settings{
-		Valid:       1500 * time.Millisecond, // some renewals may fail before it ends
-		Gap:         3300 * time.Millisecond, // the platform's lease time and a tenth for the clocks
+		TTL:       1500 * time.Millisecond, // some renewals may fail before it ends
+		HandoverGap:         3300 * time.Millisecond, // the platform's lease time and a tenth for the clocks
 		RenewBefore: 700 * time.Millisecond,  // two answers of a slow store
 	}
 }
@@ -96,26 +96,26 @@
 // incarnation: an earlier process of the instance is another holder.
 func New(self string, s Settings) *Lease { return &Lease{settings: s, self: self} }
 
-// On names the instance that this process runs on, of which no two run at once.
-func (l *Lease) On(instance string) *Lease {
+// WithInstance names the instance that this process runs on, of which no two run at once.
+func (l *Lease) WithInstance(instance string) *Lease {
 	l.instance = instance
 	return l
 }
 
-// Read takes in the record as read by a call that was answered at now.
-func (l *Lease) Read(now time.Duration, r Record) {
-	if l.known && r.End <= l.record.End {
+// HandleRead takes in the record as read by a call that was answered at now.
+func (l *Lease) HandleRead(now time.Duration, r Record) {
+	if l.known && r.NextOffset <= l.record.NextOffset {
 		return
 	}
-	if r.End > l.record.End {
+	if r.NextOffset > l.record.NextOffset {
 		l.seenAt = now
 	}
 	l.known, l.record = true, r
-	if !l.open.there || r.End <= l.open.at {
+	if !l.open.there || r.NextOffset <= l.open.at {
 		return // the record is from before them
 	}
 	if r.Holder == l.self {
-		l.validUntil = max(l.validUntil, l.open.first+l.settings.Valid)
+		l.validUntil = max(l.validUntil, l.open.first+l.settings.TTL)
 	}
 	l.open = unsettled{}
 }
@@ -128,19 +128,19 @@
 // Record is the record as it was read or written last.
 func (l *Lease) Record() Record { return l.record }
 
-// Until is when the right to send orders ends.
-func (l *Lease) Until() time.Duration { return l.validUntil }
+// ValidUntil is when the right to send orders ends.
+func (l *Lease) ValidUntil() time.Duration { return l.validUntil }
 
-// HeldLast says that this instance wrote the present record, as far as is
+// IsLastHolder says that this instance wrote the present record, as far as is
 // known: no other has given orders since.
-func (l *Lease) HeldLast() bool { return l.known && l.record.Holder == l.self }
+func (l *Lease) IsLastHolder() bool { return l.known && l.record.Holder == l.self }
 
-// WasHolder says that this instance wrote the last record that it knew, though a
+// WasLastKnownHolder says that this instance wrote the last record that it knew, though a
 // write of unknown outcome may have come after it.
-func (l *Lease) WasHolder() bool { return l.record.Holder == l.self && l.self != "" }
+func (l *Lease) WasLastKnownHolder() bool { return l.record.Holder == l.self && l.self != "" }
 
-// Stale says that the record has to be read before anything can be decided.
-func (l *Lease) Stale() bool { return !l.known }
+// NeedsRead says that the record has to be read before anything can be decided.
+func (l *Lease) NeedsRead() bool { return !l.known }
 
 // Propose gives the record to write now, if one may be written. Call Sent
 // before it is.
@@ -149,11 +149,11 @@
 	case !l.known || l.left:
 		return 0, Record{}, false
 	case l.record.Holder == l.self:
-		return l.record.End, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token}, now >= l.validUntil-l.settings.RenewBefore
+		return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token}, now >= l.validUntil-l.settings.RenewBefore
 	case l.record.Holder != "" && now < l.seenAt+l.wait():
 		return 0, Record{}, false
 	}
-	return l.record.End, Record{Holder: l.self, Instance: l.instance, Token: l.record.End}, true
+	return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.NextOffset}, true
 }
 
 // wait is how long after another holder's record the next may begin. The holder
@@ -161,35 +161,35 @@
 // process of this instance: after a restart of all a rollout goes on 1.5 s sooner.
 func (l *Lease) wait() time.Duration {
 	if l.record.Released || l.instance != "" && l.record.Instance == l.instance {
-		return l.settings.Gap
+		return l.settings.HandoverGap
 	}
-	return l.settings.Valid + l.settings.Gap
+	return l.settings.TTL + l.settings.HandoverGap
 }
 
 // Release gives the record by which a holder ends its right early, and ends it
 // here. False when this instance does not hold the lease.
 func (l *Lease) Release() (at int64, r Record, ok bool) {
-	if !l.HeldLast() || l.record.Released {
+	if !l.IsLastHolder() || l.record.Released {
 		return 0, Record{}, false
 	}
 	l.validUntil, l.left = 0, true
-	return l.record.End, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token, Released: true}, true
+	return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token, Released: true}, true
 }
 
-// Sent notes that a proposed record is on its way.
-func (l *Lease) Sent(now time.Duration) { l.sentAt = now }
+// MarkSent notes that a proposed record is on its way.
+func (l *Lease) MarkSent(now time.Duration) { l.sentAt = now }
 
-// Written takes in that the store has written the record, at offset at.
-func (l *Lease) Written(now time.Duration, at int64, r Record) {
-	r.End = at + 1
+// HandleWritten takes in that the store has written the record, at offset at.
+func (l *Lease) HandleWritten(now time.Duration, at int64, r Record) {
+	r.NextOffset = at + 1
 	l.record, l.seenAt = r, now
-	l.validUntil = l.sentAt + l.settings.Valid
+	l.validUntil = l.sentAt + l.settings.TTL
 	l.open = unsettled{}
 }
 
-// Unwritten takes in that the store refused the record at offset at, or that
+// HandleWriteFailure takes in that the store refused the record at offset at, or that
 // its outcome is unknown. Either way the record has to be read again.
-func (l *Lease) Unwritten(at int64, outcomeKnown bool) {
+func (l *Lease) HandleWriteFailure(at int64, outcomeKnown bool) {
 	l.known = false
 	if !outcomeKnown && (!l.open.there || l.open.at != at) {
 		l.open = unsettled{there: true, at: at, first: l.sentAt}
--- a/internal/orderlease/lease_test.go
+++ b/internal/orderlease/lease_test.go
@@ -17,27 +17,27 @@
 type memory struct{ record Record }
 
 func (m *memory) write(at int64, r Record) bool {
-	if at != m.record.End {
+	if at != m.record.NextOffset {
 		return false
 	}
-	r.End = at + 1
+	r.NextOffset = at + 1
 	m.record = r
 	return true
 }
 
 // acquire reads and writes once, as an instance does that wants the lease.
 func acquire(l *Lease, m *memory, now time.Duration) bool {
-	l.Read(now, m.record)
+	l.HandleRead(now, m.record)
 	at, r, ok := l.Propose(now)
 	if !ok {
 		return false
 	}
-	l.Sent(now)
+	l.MarkSent(now)
 	if !m.write(at, r) {
-		l.Unwritten(at, true)
+		l.HandleWriteFailure(at, true)
 		return false
 	}
-	l.Written(now, at, r)
+	l.HandleWritten(now, at, r)
 	return true
 }
 
@@ -46,13 +46,13 @@
 	var m memory
 	s := DefaultSettings()
 	a, b := New("a", s), New("b", s)
-	a.Read(0, m.record)
-	b.Read(0, m.record)
+	a.HandleRead(0, m.record)
+	b.HandleRead(0, m.record)
 	is.True(acquire(a, &m, 0))
 	at, r, ok := b.Propose(0) // from what it read before
 	is.True(ok)
 	is.True(!m.write(at, r))
-	b.Unwritten(at, true)
+	b.HandleWriteFailure(at, true)
 	is.True(!acquire(b, &m, time.Second))
 	_, held := a.Held(time.Second)
 	is.True(held)
@@ -68,14 +68,14 @@
 	a, b := New("a", s), New("b", s)
 	is.True(acquire(a, &m, 0))
 	first, _ := a.Held(0)
-	b.Read(100*time.Millisecond, m.record)
-	is.True(!acquire(b, &m, s.Valid+s.Gap))
-	is.True(acquire(b, &m, s.Valid+s.Gap+100*time.Millisecond))
-	_, held := a.Held(s.Valid + s.Gap)
+	b.HandleRead(100*time.Millisecond, m.record)
+	is.True(!acquire(b, &m, s.TTL+s.HandoverGap))
+	is.True(acquire(b, &m, s.TTL+s.HandoverGap+100*time.Millisecond))
+	_, held := a.Held(s.TTL + s.HandoverGap)
 	is.True(!held)
-	second, _ := b.Held(s.Valid + s.Gap + 100*time.Millisecond)
+	second, _ := b.Held(s.TTL + s.HandoverGap + 100*time.Millisecond)
 	is.True(second > first)
-	is.True(!a.HeldLast() || a.record.End < m.record.End)
+	is.True(!a.IsLastHolder() || a.record.NextOffset < m.record.NextOffset)
 }
 
 // All instances lose power in a rollout. Callers have few targets until it goes
@@ -86,17 +86,17 @@
 	is := is.New(t)
 	var m memory
 	s := DefaultSettings()
-	is.True(acquire(New("a1", s).On("a"), &m, 0))
+	is.True(acquire(New("a1", s).WithInstance("a"), &m, 0))
 	first := m.record.Token
-	a, b := New("a2", s).On("a"), New("b2", s).On("b")
+	a, b := New("a2", s).WithInstance("a"), New("b2", s).WithInstance("b")
 	start := time.Second
-	a.Read(start, m.record)
-	b.Read(start, m.record)
-	is.True(!acquire(a, &m, start+s.Gap-time.Millisecond))
-	is.True(!acquire(b, &m, start+s.Gap))
-	is.True(acquire(a, &m, start+s.Gap))
+	a.HandleRead(start, m.record)
+	b.HandleRead(start, m.record)
+	is.True(!acquire(a, &m, start+s.HandoverGap-time.Millisecond))
+	is.True(!acquire(b, &m, start+s.HandoverGap))
+	is.True(acquire(a, &m, start+s.HandoverGap))
 	is.True(m.record.Token > first)
-	is.True(!acquire(b, &m, start+s.Gap+s.Valid)) // it has to wait for a's right
+	is.True(!acquire(b, &m, start+s.HandoverGap+s.TTL)) // it has to wait for a's right
 }
 
 // The answer to a write is lost. The holder sends no order until it has read
@@ -105,17 +105,17 @@
 	is := is.New(t)
 	var m memory
 	a := New("a", DefaultSettings())
-	a.Read(0, m.record)
+	a.HandleRead(0, m.record)
 	at, r, _ := a.Propose(0)
-	a.Sent(0)
-	a.Unwritten(at, false)
+	a.MarkSent(0)
+	a.HandleWriteFailure(at, false)
 	_, held := a.Held(0)
 	is.True(!held)
 	is.True(m.write(at, r)) // it was carried out late
-	a.Read(time.Second, m.record)
+	a.HandleRead(time.Second, m.record)
 	_, held = a.Held(time.Second)
 	is.True(held)
-	_, held = a.Held(DefaultSettings().Valid)
+	_, held = a.Held(DefaultSettings().TTL)
 	is.True(!held)
 }
 
@@ -133,9 +133,9 @@
 	is.True(!held)
 	_, _, ok = a.Propose(time.Hour)
 	is.True(!ok)
-	b.Read(0, m.record)
-	is.True(!acquire(b, &m, s.Gap-1))
-	is.True(acquire(b, &m, s.Gap))
+	b.HandleRead(0, m.record)
+	is.True(!acquire(b, &m, s.HandoverGap-1))
+	is.True(acquire(b, &m, s.HandoverGap))
 }
 
 // A renewal is lost on its way, and the holder reads the record again. It still
@@ -147,13 +147,13 @@
 	s := DefaultSettings()
 	a := New("a", s)
 	is.True(acquire(a, &m, 0))
-	renewal := s.Valid - s.RenewBefore
+	renewal := s.TTL - s.RenewBefore
 	at, _, ok := a.Propose(renewal)
 	is.True(ok)
-	a.Sent(renewal)
-	a.Unwritten(at, false)
-	a.Read(s.Valid, m.record)
-	_, held := a.Held(s.Valid)
+	a.MarkSent(renewal)
+	a.HandleWriteFailure(at, false)
+	a.HandleRead(s.TTL, m.record)
+	_, held := a.Held(s.TTL)
 	is.True(!held)
 }
 
@@ -187,7 +187,7 @@
 		for _, n := range names {
 			leases[n] = New(n, s)
 			if restarts {
-				leases[n].On(n)
+				leases[n].WithInstance(n)
 			}
 		}
 		starts := 0
@@ -203,14 +203,14 @@
 			l := leases[who]
 			switch rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0:
-				l.Read(now, m.record)
+				l.HandleRead(now, m.record)
 			case 1:
 				acquire(l, &m, now)
 			case 2: // a write whose answer is lost, carried out later or never
-				l.Read(now, m.record)
+				l.HandleRead(now, m.record)
 				if at, r, ok := l.Propose(now); ok {
-					l.Sent(now)
-					l.Unwritten(at, false)
+					l.MarkSent(now)
+					l.HandleWriteFailure(at, false)
 					out = append(out, late{at, r})
 				}
 			case 3:
@@ -222,7 +222,7 @@
 			case 4:
 				if restarts {
 					starts++
-					leases[who] = New(fmt.Sprintf("%s-%d", who, starts), s).On(who)
+					leases[who] = New(fmt.Sprintf("%s-%d", who, starts), s).WithInstance(who)
 				}
 			}
 			for _, n := range names {
@@ -231,7 +231,7 @@
 					continue
 				}
 				for other, at := range last {
-					if other != l.self && now-at < s.Gap {
+					if other != l.self && now-at < s.HandoverGap {
 						rt.Fatalf("%s may order at %v, %s could at %v", l.self, now, other, at)
 					}
 				}
