--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -90,5 +90,5 @@
 	RegistrationFeed
 	InstanceFeed
 	orderlease.Store
-	weights.VersionLog
+	weights.VersionStore
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -72,7 +72,7 @@
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: onVersions(3, 2, 2, 2)}
 	suspended := startOn(store, "a")
-	store.versionRecord = weights.VersionRecord{End: 1, List: []weights.NamedVersion{{Model: "m", Version: 3, At: time.Now().Add(-9 * time.Second)}}}
+	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(-9 * time.Second)}}}
 	suspended.contacts = contactsOf(suspended.clock.Now() - 8*time.Second)
 	suspended.takeNews(suspended.clock.Now(), named(3))
 	is.Equal(suspended.excluded(), nil)
@@ -179,7 +179,7 @@
 func TestWordWithoutSourceIsAnEstimate(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 4, targets: onVersions(4, 3, 3, 3)}
-	store.versionRecord = weights.VersionRecord{End: 1, List: []weights.NamedVersion{{Model: "m", Version: 4, At: time.Now().Add(-9 * time.Second)}}}
+	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 4, NamedAt: time.Now().Add(-9 * time.Second)}}}
 	p := startOn(store, "a")
 	p.versionRecordStep(t.Context())
 	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 4, Age: 3000}}})
@@ -208,7 +208,7 @@
 	is := is.New(t)
 	store := &memoryStore{newest: 3, targets: onVersions(2)}
 	const trueAge = 10 * time.Second
-	store.versionRecord = weights.VersionRecord{End: 1, List: []weights.NamedVersion{{Model: "m", Version: 3, At: time.Now().Add(3*time.Second - trueAge)}}}
+	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(3*time.Second - trueAge)}}}
 	p := startOn(store, "a")
 	pl, refusal := p.engine("engines").acquire(t.Context(), &waiting{Account: "acc"})
 	is.True(refusal == nil)
@@ -250,9 +250,9 @@
 	store := &memoryStore{newest: 2, targets: onVersions(3, 2, 2, 2)}
 	lived := startOn(store, "a")
 	lived.takeNews(lived.clock.Now(), named(3))
-	store.versionRecord = weights.VersionRecord{End: 1, List: []weights.NamedVersion{{Model: "m", Version: 3, At: time.Now().Add(-time.Hour)}}}
+	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(-time.Hour)}}}
 	lived.versionRecordStep(t.Context())
-	is.Equal(len(store.versionRecord.List), 2) // it wrote what was missing
+	is.Equal(len(store.versionRecord.Versions), 2) // it wrote what was missing
 	is.Equal(lived.excluded(), nil)
 }
 
@@ -346,10 +346,10 @@
 
 func (s *memoryStore) WriteVersionRecord(_ context.Context, at int64, list []weights.NamedVersion) (bool, error) {
 	s.calls++
-	if at != s.versionRecord.End {
+	if at != s.versionRecord.NextOffset {
 		return false, nil
 	}
-	s.versionRecord = weights.VersionRecord{List: list, End: at + 1}
+	s.versionRecord = weights.VersionRecord{Versions: list, NextOffset: at + 1}
 	return true, nil
 }
 
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -64,18 +64,18 @@
 		if held {
 			actions = g.planner.Tick(g.clock.Now(), w.goal, w.targets)
 		} else {
-			actions = g.planner.Follow(g.clock.Now(), w.goal, w.targets)
+			actions = g.planner.TrackLoads(g.clock.Now(), w.goal, w.targets)
 		}
-		ordered := g.planner.Loading()
+		ordered := g.planner.LoadingTargets()
 		g.mu.Unlock()
 		g.setOrdered(ordered)
-		for _, l := range actions.Loaded {
+		for _, l := range actions.Completed {
 			logline.Info("weights_loaded", "target", l.Target.ID, "model", w.goal.Model, "version", l.Version, "took", l.Took, "loading", len(ordered))
 		}
-		for _, a := range actions.Asks {
+		for _, a := range actions.Queries {
 			go g.askState(ctx, a.Target)
 		}
-		for _, s := range actions.Sends {
+		for _, s := range actions.Orders {
 			s.Order.Holder, s.Order.Token = g.self.Incarnation, token
 			go g.giveOrder(ctx, s)
 		}
@@ -95,13 +95,13 @@
 	var work []rollingOut
 	g.eachGoal(func(s *routing.Service, model string, all *namedVersions) {
 		v := all.newest()
-		goal := weights.Goal{Service: s.Name, Model: model, Version: v.version, Oldest: g.oldest[s.Name+"/"+model]}
+		goal := weights.Goal{Service: s.Name, Model: model, Version: v.version, OldestServing: g.oldest[s.Name+"/"+model]}
 		goal.Deadlines = g.weightsDeadlines(all)
 		targets := g.directory.Usable(s.Name)
 		if pool := g.engines[s.Name]; pool != nil {
 			goal.Unreachable = pool.unanswering()
 		}
-		if g.planner.Pending(goal, targets) {
+		if g.planner.HasPending(goal, targets) {
 			work = append(work, rollingOut{goal: goal, targets: targets, since: v.at})
 		}
 	})
@@ -228,11 +228,11 @@
 	defer g.mu.Unlock()
 	if err != nil {
 		logline.Error(err, "state_unknown", "target", t.ID)
-		g.planner.Observed(g.clock.Now(), t.Incarnation(), nil)
+		g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), nil)
 		return
 	}
-	o.Asked = asked
-	g.planner.Observed(g.clock.Now(), t.Incarnation(), &o)
+	o.QueriedAt = asked
+	g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), &o)
 	for model, v := range o.Versions {
 		if pool := g.engines[t.Service]; pool != nil && !o.Busy {
 			pool.served(t.Incarnation(), model, v)
@@ -242,7 +242,7 @@
 
 // giveOrder sends an order if the lease still allows it: the process may have
 // been suspended since it was decided.
-func (g *Gateway) giveOrder(ctx context.Context, s weights.Send) {
+func (g *Gateway) giveOrder(ctx context.Context, s weights.OutgoingOrder) {
 	// An order that is still on its way when the right ends could reach its
 	// target next to one of another holder.
 	left := g.lease.until() - g.clock.Now()
@@ -250,16 +250,16 @@
 	defer cancel()
 	if token, held := g.lease.held(g.clock.Now()); !held || token != s.Order.Token {
 		g.mu.Lock()
-		g.planner.Answered(g.clock.Now(), s.Target.Incarnation(), weights.Conflict)
+		g.planner.HandleReceipt(g.clock.Now(), s.Target.Incarnation(), weights.ReceiptConflict)
 		g.mu.Unlock()
 		return
 	}
 	receipt, err := g.control.Order(ctx, s.Target, s.Order)
-	logline.Info("order", "target", s.Target.ID, "model", s.Order.Model, "version", s.Order.Version, "accepted_before", s.Order.Accepted,
+	logline.Info("order", "target", s.Target.ID, "model", s.Order.Model, "version", s.Order.Version, "accepted_before", s.Order.ExpectedAccepted,
 		"token", s.Order.Token, "receipt", string(receipt), "error", err)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil {
-		g.planner.Answered(g.clock.Now(), s.Target.Incarnation(), receipt)
+		g.planner.HandleReceipt(g.clock.Now(), s.Target.Incarnation(), receipt)
 	}
 }
--- a/internal/gateway/versionrecord.go
+++ b/internal/gateway/versionrecord.go
@@ -90,8 +90,8 @@
 	due := now - g.settings.WeightsBound
 	for model, versions := range g.versions {
 		for _, v := range versions.since(due) {
-			named := weights.NamedVersion{Model: model, Version: v.version, At: wall.Add(v.at - now), Estimate: v.estimated}
-			if !g.versionRecord.Has(named) {
+			named := weights.NamedVersion{Model: model, Version: v.version, NamedAt: wall.Add(v.at - now), Estimated: v.estimated}
+			if !g.versionRecord.Covers(named) {
 				missing = append(missing, named)
 				doubtful = doubtful || v.estimated && v.at > due
 			}
@@ -108,21 +108,21 @@
 		return err
 	}
 	g.versionRecord.VersionRecord, g.versionRecord.current = n, true
-	g.takeVersionRecord(n.List)
+	g.takeVersionRecord(n.Versions)
 	return nil
 }
 
 func (g *Gateway) writeVersionRecord(ctx context.Context, missing []weights.NamedVersion) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	list := g.versionRecord.With(missing, keptVersions)
-	written, err := g.store.WriteVersionRecord(ctx, g.versionRecord.End, list)
+	list := g.versionRecord.Merge(missing, keptVersions)
+	written, err := g.store.WriteVersionRecord(ctx, g.versionRecord.NextOffset, list)
 	if err != nil {
 		return err
 	}
 	g.versionRecord.current = written
 	if written {
-		g.versionRecord.VersionRecord = weights.VersionRecord{List: list, End: g.versionRecord.End + 1}
+		g.versionRecord.VersionRecord = weights.VersionRecord{Versions: list, NextOffset: g.versionRecord.NextOffset + 1}
 		logline.Info("version_record_written", "versions", len(list), "new", len(missing))
 	}
 	return nil
@@ -141,7 +141,7 @@
 	defer g.mu.Unlock()
 	now, wall := g.clock.Now(), g.wall()
 	for _, v := range list {
-		known, age := g.versionsOf(v.Model), max(0, wall.Sub(v.At))+timeOfDayMargin
+		known, age := g.versionsOf(v.Model), max(0, wall.Sub(v.NamedAt))+timeOfDayMargin
 		if known.dates(v.Version, now-age) {
 			known.addEstimate(v.Version, now-age)
 			logline.Info("weights_dated", "model", v.Model, "version", v.Version, "age", age)
--- a/internal/weights/planner.go
+++ b/internal/weights/planner.go
@@ -20,22 +20,22 @@
 
 // Observation is what a target answered to a question about its state.
 type Observation struct {
-	// Asked is when the question was sent.
-	Asked time.Duration
+	// QueriedAt is when the question was sent.
+	QueriedAt time.Duration
 	// Versions are the weights versions of its models.
 	Versions map[string]int64
 	// Busy is set while it carries out an order.
 	Busy bool
-	// Accepted counts the orders accepted since its start.
-	Accepted int64
+	// AcceptedOrders counts the orders accepted since its start.
+	AcceptedOrders int64
 }
 
 // Order makes a target load a version.
 type Order struct {
 	Model   string
 	Version int64
-	// Accepted is the count at which the order is to be carried out.
-	Accepted int64
+	// ExpectedAccepted is the count at which the order is to be carried out.
+	ExpectedAccepted int64
 	// Holder and Token name the lease under which it is given.
 	Holder string
 	Token  int64
@@ -46,15 +46,15 @@
 
 // The receipts. No answer at all leaves open whether the order was accepted.
 const (
-	// Taken: the target carries it out.
-	Taken Receipt = "taken"
-	// InForce: the target has the version already.
-	InForce Receipt = "in_force"
-	// Conflict: another order is under way, or the count is another.
-	Conflict Receipt = "conflict"
-	// Rejected: the order is not valid, its token is stale, or another target
+	// ReceiptAccepted: the target carries it out.
+	ReceiptAccepted Receipt = "taken"
+	// ReceiptAlreadyLoaded: the target has the version already.
+	ReceiptAlreadyLoaded Receipt = "in_force"
+	// ReceiptConflict: another order is under way, or the count is another.
+	ReceiptConflict Receipt = "conflict"
+	// ReceiptRejected: the order is not valid, its token is stale, or another target
 	// has the address.
-	Rejected Receipt = "rejected"
+	ReceiptRejected Receipt = "rejected"
 )
 
 // Settings of a planner.
@@ -65,20 +65,20 @@
 	// is ordered: one exchange between instances and a bit. A request sent
 	// meanwhile would be refused.
 	LeadTime time.Duration
-	// PollEvery is the pause between questions to a target that loads.
-	PollEvery time.Duration
+	// PollInterval is the pause between questions to a target that loads.
+	PollInterval time.Duration
 	// ResendAfter is when an order without an answer is sent again, if the
 	// target's count shows that it was not accepted.
 	ResendAfter time.Duration
 	// RetryAfter is the pause after a target rejected an order or could not
 	// be asked.
 	RetryAfter time.Duration
-	// SilentAfter is when a target without a sign of a load no longer holds up
+	// SilenceTimeout is when a target without a sign of a load no longer holds up
 	// the others.
-	SilentAfter time.Duration
-	// LoadTime is the time from the choice of a target until it serves the new
+	SilenceTimeout time.Duration
+	// InitialLoadTime is the time from the choice of a target until it serves the new
 	// version, before any was observed.
-	LoadTime time.Duration
+	InitialLoadTime time.Duration
 	// LoadTimeout is when a target that does not come back with the version is
 	// ordered again.
 	LoadTimeout time.Duration
@@ -89,11 +89,11 @@
 	return Settings{
 		ParallelDivisor: 5,
 		LeadTime:        300 * time.Millisecond,
-		PollEvery:       250 * time.Millisecond, // reports lag by 100 ms
+		PollInterval:       250 * time.Millisecond, // reports lag by 100 ms
 		ResendAfter:     1200 * time.Millisecond,
 		RetryAfter:      time.Second,
-		SilentAfter:     2 * time.Second,
-		LoadTime:        2 * time.Second,
+		SilenceTimeout:     2 * time.Second,
+		InitialLoadTime:        2 * time.Second,
 		LoadTimeout:     4 * time.Second,
 	}
 }
@@ -109,7 +109,7 @@
 
 // New makes a planner that knows nothing of any target.
 func New(s Settings) *Planner {
-	return &Planner{settings: s, targets: map[string]*progress{}, loadTime: s.LoadTime}
+	return &Planner{settings: s, targets: map[string]*progress{}, loadTime: s.InitialLoadTime}
 }
 
 // Goal is a version that targets of a service should serve.
@@ -117,9 +117,9 @@
 	Service string
 	Model   string
 	Version int64
-	// Oldest is the oldest version that may serve. Targets behind it get no
+	// OldestServing is the oldest version that may serve. Targets behind it get no
 	// requests.
-	Oldest int64
+	OldestServing int64
 	// Deadlines are those still to come, in any order.
 	Deadlines []Deadline
 	// Unreachable are the targets that answer nobody at present.
@@ -133,17 +133,17 @@
 	At      time.Duration
 }
 
-// Ask is a question to send to a target.
-type Ask struct{ Target directory.Registration }
+// StateQuery is a question to send to a target.
+type StateQuery struct{ Target directory.Registration }
 
-// Send is an order to send to a target.
-type Send struct {
+// OutgoingOrder is an order to send to a target.
+type OutgoingOrder struct {
 	Target directory.Registration
 	Order  Order
 }
 
-// Loaded is a load that has ended.
-type Loaded struct {
+// CompletedLoad is a load that has ended.
+type CompletedLoad struct {
 	Target  directory.Registration
 	Version int64
 	// Took is the time from the order to the first sight of the new version.
@@ -152,14 +152,14 @@
 
 // Actions are what to do now.
 type Actions struct {
-	Asks  []Ask
-	Sends []Send
-	// Loaded lists the loads that have ended since the last call.
-	Loaded []Loaded
+	Queries  []StateQuery
+	Orders []OutgoingOrder
+	// Completed lists the loads that have ended since the last call.
+	Completed []CompletedLoad
 }
 
-// Pending says whether some target does not serve its goal, as far as known.
-func (p *Planner) Pending(g Goal, targets []directory.Registration) bool {
+// HasPending says whether some target does not serve its goal, as far as known.
+func (p *Planner) HasPending(g Goal, targets []directory.Registration) bool {
 	return slices.ContainsFunc(targets, func(t directory.Registration) bool { return p.behind(g, &t) })
 }
 
@@ -186,10 +186,10 @@
 	return version, known
 }
 
-// Follow watches the loads that were ordered under a lease that is lost. It
+// TrackLoads watches the loads that were ordered under a lease that is lost. It
 // orders nothing. Without it the targets would count as loading until this
 // instance holds the lease again.
-func (p *Planner) Follow(now time.Duration, g Goal, targets []directory.Registration) Actions {
+func (p *Planner) TrackLoads(now time.Duration, g Goal, targets []directory.Registration) Actions {
 	var out Actions
 	for i := range targets {
 		t := &targets[i]
@@ -238,7 +238,7 @@
 // load together: that takes nothing from callers, and in turns the rollout would
 // not end in time.
 func (p *Planner) late(g Goal, targets []directory.Registration) bool {
-	return 2*p.countOlder(g, targets, g.Oldest) > len(targets)
+	return 2*p.countOlder(g, targets, g.OldestServing) > len(targets)
 }
 
 // mayWait says that a target has the time to load after those that are excluded
@@ -258,7 +258,7 @@
 func (p *Planner) limit(now time.Duration, g Goal, targets []directory.Registration) int {
 	usual := max(1, len(targets)/p.settings.ParallelDivisor)
 	hurried := 1 + (len(targets)+p.settings.ParallelDivisor-1)/p.settings.ParallelDivisor
-	if p.countOlder(g, targets, g.Oldest) > 0 {
+	if p.countOlder(g, targets, g.OldestServing) > 0 {
 		return hurried
 	}
 	expected := p.expectedLoad(now, targets)
@@ -301,12 +301,12 @@
 	if q.phase == asking && q.seen == nil && g.Unreachable[t.ID] || q.unconfirmed() {
 		return false
 	}
-	return q.phase != idle && now-max(q.began, q.busyAt) < p.settings.SilentAfter
+	return q.phase != idle && now-max(q.began, q.busyAt) < p.settings.SilenceTimeout
 }
 
 // excluded says that a target gets no requests, since its weights are too old.
 func (p *Planner) excluded(g Goal, t *directory.Registration) bool {
-	return p.older(t, g.Model, g.Oldest)
+	return p.older(t, g.Model, g.OldestServing)
 }
 
 // candidates are the targets to start on: those with the oldest weights first,
@@ -355,9 +355,9 @@
 	forgetFloor  = 64
 )
 
-// Loading lists the targets that are about to be ordered, or were and are not
+// LoadingTargets lists the targets that are about to be ordered, or were and are not
 // done yet: they refuse requests. One that took no order goes on serving.
-func (p *Planner) Loading() []string {
+func (p *Planner) LoadingTargets() []string {
 	var ids []string
 	for id, q := range p.targets {
 		if q.phase != idle && !q.unconfirmed() {
--- a/internal/weights/planner_property_test.go
+++ b/internal/weights/planner_property_test.go
@@ -49,7 +49,7 @@
 		w.source = rapid.IntRange(max(1, len(w.targets)/5), len(w.targets)).Draw(rt, "source")
 		// A round is the announcement, the load at the rate that the source has for
 		// as many, and the poll that shows its end.
-		round := w.planner.settings.LeadTime + w.planner.settings.PollEvery + 2*testTick +
+		round := w.planner.settings.LeadTime + w.planner.settings.PollInterval + 2*testTick +
 			w.loadTime*time.Duration(max(1, (w.mostAtOnce()+w.source-1)/w.source))
 		rounds := (len(w.targets) + w.mostAtOnce() - 1) / w.mostAtOnce()
 		bound := time.Duration(rounds+1)*round + time.Duration(rapid.IntRange(0, 50).Draw(rt, "spare"))*testTick
@@ -78,7 +78,7 @@
 			for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 				w.expire()
 				w.disturb(rt)
-				was, known := w.planner.Loading(), w.known()
+				was, known := w.planner.LoadingTargets(), w.known()
 				w.step(version)
 				w.checkChosen(rt, was, known)
 			}
@@ -117,7 +117,7 @@
 // checkChosen checks the targets that were chosen in the last step, by what was
 // known before.
 func (w *world) checkChosen(rt *rapid.T, was []string, known map[string]int64) {
-	loading := w.planner.Loading()
+	loading := w.planner.LoadingTargets()
 	chosen, serving := 0, 0
 	for _, id := range loading {
 		if known[id] < w.oldest {
--- a/internal/weights/planner_test.go
+++ b/internal/weights/planner_test.go
@@ -69,15 +69,15 @@
 
 func (t *target) take(o Order, load time.Duration) Receipt {
 	switch {
-	case o.Accepted != t.accepted || t.loading != 0:
-		return Conflict
+	case o.ExpectedAccepted != t.accepted || t.loading != 0:
+		return ReceiptConflict
 	case t.version == o.Version:
-		return InForce
+		return ReceiptAlreadyLoaded
 	}
 	t.accepted++
 	t.loading, t.left = o.Version, load
 	t.loads++
-	return Taken
+	return ReceiptAccepted
 }
 
 func (w *world) regs() []directory.Registration {
@@ -110,20 +110,20 @@
 	w.load()
 	decide := w.planner.Tick
 	if w.lost {
-		decide = w.planner.Follow
+		decide = w.planner.TrackLoads
 	}
-	actions := decide(w.now, Goal{Service: "s", Model: "m", Version: version, Oldest: w.oldest, Deadlines: w.deadlines, Unreachable: w.unreachable}, w.regs())
-	for _, a := range actions.Asks {
+	actions := decide(w.now, Goal{Service: "s", Model: "m", Version: version, OldestServing: w.oldest, Deadlines: w.deadlines, Unreachable: w.unreachable}, w.regs())
+	for _, a := range actions.Queries {
 		t := w.find(a.Target.ID)
 		if t.silent {
-			w.planner.Observed(w.now, t.reg.Incarnation(), nil)
+			w.planner.HandleObservation(w.now, t.reg.Incarnation(), nil)
 			continue
 		}
-		w.planner.Observed(w.now, t.reg.Incarnation(), &Observation{
-			Asked: w.now, Versions: map[string]int64{"m": t.version}, Busy: t.loading != 0, Accepted: t.accepted,
+		w.planner.HandleObservation(w.now, t.reg.Incarnation(), &Observation{
+			QueriedAt: w.now, Versions: map[string]int64{"m": t.version}, Busy: t.loading != 0, AcceptedOrders: t.accepted,
 		})
 	}
-	for _, s := range actions.Sends {
+	for _, s := range actions.Orders {
 		w.deliver(s)
 	}
 }
@@ -148,14 +148,14 @@
 	w.most = max(w.most, loading)
 }
 
-func (w *world) deliver(s Send) {
+func (w *world) deliver(s OutgoingOrder) {
 	t := w.find(s.Target.ID)
 	if t.unanswers > 0 {
 		t.unanswers--
 		w.late = append(w.late, lateOrder{at: w.now + 3*time.Second, to: t, o: s.Order})
 		return
 	}
-	w.planner.Answered(w.now, t.reg.Incarnation(), t.take(s.Order, w.loadTime))
+	w.planner.HandleReceipt(w.now, t.reg.Incarnation(), t.take(s.Order, w.loadTime))
 }
 
 // until steps until all targets serve the version, at most for the time.
@@ -239,12 +239,12 @@
 	for range 5 {
 		w.step(2)
 	}
-	is.Equal(len(w.planner.Loading()), 2)
+	is.Equal(len(w.planner.LoadingTargets()), 2)
 	w.lost = true
 	for range 15 {
 		w.step(2)
 	}
-	is.Equal(w.planner.Loading(), nil)
+	is.Equal(w.planner.LoadingTargets(), nil)
 	is.Equal(w.targets[0].version, int64(2))
 	is.Equal(w.targets[2].loads, 0) // nothing was ordered without the lease
 }
@@ -276,9 +276,9 @@
 	}
 	asked := map[string]bool{}
 	for now := time.Duration(0); now < 6*time.Second; now += testTick {
-		for _, a := range p.Tick(now, Goal{Service: "s", Model: "m", Version: 2}, regs).Asks {
+		for _, a := range p.Tick(now, Goal{Service: "s", Model: "m", Version: 2}, regs).Queries {
 			asked[a.Target.ID] = true
-			p.Observed(now, a.Target.Incarnation(), nil)
+			p.HandleObservation(now, a.Target.Incarnation(), nil)
 		}
 	}
 	is.True(asked["a"])
@@ -294,7 +294,7 @@
 	kept := 0
 	for range 60 {
 		w.step(2)
-		if slices.Contains(w.planner.Loading(), "t00") {
+		if slices.Contains(w.planner.LoadingTargets(), "t00") {
 			kept++
 		}
 	}
@@ -308,7 +308,7 @@
 	is := is.New(t)
 	w := newWorld(3)
 	w.step(2)
-	is.Equal(w.planner.Loading(), []string{"t00"})
+	is.Equal(w.planner.LoadingTargets(), []string{"t00"})
 	is.Equal(w.targets[0].accepted, int64(0))
 	for range 4 {
 		w.step(2)
@@ -340,7 +340,7 @@
 	for w.now < 2*time.Second && slices.ContainsFunc(w.targets, excluded) {
 		w.step(3)
 		for _, x := range serve {
-			is.True(x.loads == 0 && !slices.Contains(w.planner.Loading(), x.reg.ID))
+			is.True(x.loads == 0 && !slices.Contains(w.planner.LoadingTargets(), x.reg.ID))
 		}
 	}
 	is.Equal(w.most, 8)
@@ -399,7 +399,7 @@
 	away := 0
 	for range 60 {
 		w.step(2)
-		for _, id := range w.planner.Loading() {
+		for _, id := range w.planner.LoadingTargets() {
 			if w.find(id).loading == 0 {
 				away++
 			}
--- a/internal/weights/progress.go
+++ b/internal/weights/progress.go
@@ -54,7 +54,7 @@
 	version, _ := p.served(t, g.Model)
 	if q.version != 0 && version >= q.version {
 		p.observeLoad(now - q.began)
-		out.Loaded = append(out.Loaded, Loaded{Target: *t, Version: version, Took: now - q.sentAt})
+		out.Completed = append(out.Completed, CompletedLoad{Target: *t, Version: version, Took: now - q.sentAt})
 		*q = progress{incarnation: q.incarnation, seen: q.seen}
 		return
 	}
@@ -62,13 +62,13 @@
 		*q = progress{incarnation: q.incarnation, seen: q.seen}
 		return
 	}
-	if q.phase == asking && q.version == 0 && q.seen == nil && now-q.began >= p.settings.SilentAfter {
+	if q.phase == asking && q.version == 0 && q.seen == nil && now-q.began >= p.settings.SilenceTimeout {
 		// Nothing was ordered, and callers may reach it though this instance
 		// does not.
 		*q = progress{incarnation: q.incarnation, askAt: now + p.settings.RetryAfter}
 		return
 	}
-	if q.phase == asking && q.seen != nil && !q.seen.Busy && (p.excluded(g, t) || now-q.began >= p.settings.LeadTime) && now-q.seen.Asked < p.settings.RetryAfter {
+	if q.phase == asking && q.seen != nil && !q.seen.Busy && (p.excluded(g, t) || now-q.began >= p.settings.LeadTime) && now-q.seen.QueriedAt < p.settings.RetryAfter {
 		p.send(now, g, t, q, out)
 		return
 	}
@@ -81,8 +81,8 @@
 	}
 	if !q.asking && now >= q.askAt {
 		q.asking = true
-		q.askAt = now + p.settings.PollEvery
-		out.Asks = append(out.Asks, Ask{Target: *t})
+		q.askAt = now + p.settings.PollInterval
+		out.Queries = append(out.Queries, StateQuery{Target: *t})
 	}
 }
 
@@ -97,14 +97,14 @@
 
 func (p *Planner) send(now time.Duration, g Goal, t *directory.Registration, q *progress, out *Actions) {
 	q.phase, q.sentAt, q.version = ordered, now, g.Version
-	q.askAt = now + p.settings.PollEvery
-	out.Sends = append(out.Sends, Send{Target: *t, Order: Order{
-		Model: g.Model, Version: g.Version, Accepted: q.seen.Accepted,
+	q.askAt = now + p.settings.PollInterval
+	out.Orders = append(out.Orders, OutgoingOrder{Target: *t, Order: Order{
+		Model: g.Model, Version: g.Version, ExpectedAccepted: q.seen.AcceptedOrders,
 	}})
 }
 
-// Observed takes in the answer to a question; nil for none.
-func (p *Planner) Observed(now time.Duration, t directory.Incarnation, o *Observation) {
+// HandleObservation takes in the answer to a question; nil for none.
+func (p *Planner) HandleObservation(now time.Duration, t directory.Incarnation, o *Observation) {
 	q := p.targets[t.ID]
 	if q == nil || q.incarnation != t {
 		return
@@ -116,37 +116,37 @@
 	}
 	// While an order is under way, an answer to an older question would give
 	// the count from before it.
-	if q.phase == ordered && o.Asked < q.sentAt {
+	if q.phase == ordered && o.QueriedAt < q.sentAt {
 		return
 	}
 	switch {
 	case o.Busy:
-		q.busyAt = o.Asked
+		q.busyAt = o.QueriedAt
 	case q.phase == asking && q.version != 0:
-		q.idleAt = o.Asked
+		q.idleAt = o.QueriedAt
 	}
-	if q.phase == ordered && (o.Busy || q.seen != nil && o.Accepted > q.seen.Accepted) {
+	if q.phase == ordered && (o.Busy || q.seen != nil && o.AcceptedOrders > q.seen.AcceptedOrders) {
 		q.phase = loading
 	}
-	if q.phase == loading && !o.Busy && o.Versions != nil && o.Asked > q.sentAt+p.settings.PollEvery {
+	if q.phase == loading && !o.Busy && o.Versions != nil && o.QueriedAt > q.sentAt+p.settings.PollInterval {
 		// Done, or failed: the next step compares versions.
 		q.phase = asking
 	}
 	q.seen = o
 }
 
-// Answered takes in the receipt of an order; empty when there was no answer.
-func (p *Planner) Answered(now time.Duration, t directory.Incarnation, r Receipt) {
+// HandleReceipt takes in the receipt of an order; empty when there was no answer.
+func (p *Planner) HandleReceipt(now time.Duration, t directory.Incarnation, r Receipt) {
 	q := p.targets[t.ID]
 	if q == nil || q.incarnation != t || q.phase != ordered {
 		return
 	}
 	switch r {
-	case Taken:
+	case ReceiptAccepted:
 		q.phase, q.idleAt = loading, 0
-	case InForce, Conflict:
+	case ReceiptAlreadyLoaded, ReceiptConflict:
 		q.phase, q.seen, q.askAt = asking, nil, now
-	case Rejected:
+	case ReceiptRejected:
 		q.phase, q.seen, q.askAt = idle, nil, now+p.settings.RetryAfter
 	}
 }
--- a/internal/weights/versionrecord_test.go
+++ b/internal/weights/versionrecord_test.go
@@ -13,20 +13,20 @@
 func TestRecordedVersionsStay(t *testing.T) {
 	is := is.New(t)
 	version := func(model string, number, at int64) NamedVersion {
-		return NamedVersion{Model: model, Version: number, At: time.Unix(at, 0)}
+		return NamedVersion{Model: model, Version: number, NamedAt: time.Unix(at, 0)}
 	}
-	estimate := func(v NamedVersion) NamedVersion { v.Estimate = true; return v }
-	n := VersionRecord{List: []NamedVersion{version("m", 2, 20), version("m", 3, 30)}}
-	list := n.With([]NamedVersion{version("m", 3, 38), version("m", 4, 39), version("other", 1, 5)}, 8)
+	estimate := func(v NamedVersion) NamedVersion { v.Estimated = true; return v }
+	n := VersionRecord{Versions: []NamedVersion{version("m", 2, 20), version("m", 3, 30)}}
+	list := n.Merge([]NamedVersion{version("m", 3, 38), version("m", 4, 39), version("other", 1, 5)}, 8)
 	is.Equal(list, []NamedVersion{version("m", 4, 39), version("m", 3, 30), version("m", 2, 20), version("other", 1, 5)})
-	is.Equal(n.With([]NamedVersion{version("m", 4, 39)}, 2), []NamedVersion{version("m", 4, 39), version("m", 3, 30)})
-	is.Equal(len(n.List), 2) // the record itself is as it was
-	is.True(n.Has(version("m", 3, 0)))
-	is.True(n.Has(estimate(version("m", 3, 0))))
-	is.True(!n.Has(version("other", 3, 0)))
+	is.Equal(n.Merge([]NamedVersion{version("m", 4, 39)}, 2), []NamedVersion{version("m", 4, 39), version("m", 3, 30)})
+	is.Equal(len(n.Versions), 2) // the record itself is as it was
+	is.True(n.Covers(version("m", 3, 0)))
+	is.True(n.Covers(estimate(version("m", 3, 0))))
+	is.True(!n.Covers(version("other", 3, 0)))
 
-	late := VersionRecord{List: []NamedVersion{estimate(version("m", 3, 38))}}
-	is.True(!late.Has(version("m", 3, 0)))
-	is.Equal(late.With([]NamedVersion{version("m", 3, 30)}, 8), []NamedVersion{version("m", 3, 30)})
-	is.Equal(late.With([]NamedVersion{estimate(version("m", 3, 30))}, 8), late.List)
+	late := VersionRecord{Versions: []NamedVersion{estimate(version("m", 3, 38))}}
+	is.True(!late.Covers(version("m", 3, 0)))
+	is.Equal(late.Merge([]NamedVersion{version("m", 3, 30)}, 8), []NamedVersion{version("m", 3, 30)})
+	is.Equal(late.Merge([]NamedVersion{estimate(version("m", 3, 30))}, 8), late.Versions)
 }
