--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -92,7 +92,7 @@
 			if err != nil {
 				continue
 			}
-			if entry, ok := rollout.Entry(int64(r.Offset), envelope); ok {
+			if entry, ok := rollout.AuditEntry(int64(r.Offset), envelope); ok {
 				found = append(found, entry)
 			}
 		}
--- a/internal/cli/command_test.go
+++ b/internal/cli/command_test.go
@@ -258,7 +258,7 @@
 	is.Equal(strings.Count(out, "\n"), 2)
 	_, out, _ = s.run("audit", "--by", "beat")
 	is.Equal(out, "1970-01-01T00:00:00Z  config@1  beat  key.create  accepted  k1 none->a\n")
-	order := rollout.Issued{ID: rollout.OrderID{Token: 4, N: 2}, Target: "t1", Before: "v1", Version: "v2"}
+	order := rollout.Issued{ID: rollout.OrderID{Token: 4, Seq: 2}, Target: "t1", Before: "v1", Version: "v2"}
 	record, err := logrec.Encode(rollout.KindIssued, "entry-1", 1000, order)
 	is.NoErr(err)
 	s.log.control = []platform.Record{{Data: record}}
--- a/internal/entry/rolloutdriver.go
+++ b/internal/entry/rolloutdriver.go
@@ -41,7 +41,7 @@
 	http *http.Client
 
 	mu         sync.Mutex
-	ledger     *rollout.Ledger
+	ledger     *rollout.State
 	controller *rollout.Controller
 	token      platform.Offset
 	trail      []audit.Entry
@@ -49,7 +49,7 @@
 
 func newRolloutDriver(c clock, s rollout.Settings, log platform.Log, self string) *rolloutDriver {
 	return &rolloutDriver{
-		clock: c, settings: s, log: log, self: self, ledger: rollout.NewLedger(),
+		clock: c, settings: s, log: log, self: self, ledger: rollout.NewState(),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 	}
 }
@@ -61,7 +61,7 @@
 	defer d.mu.Unlock()
 	d.ledger.Fence(int64(newest))
 	d.ledger.Apply(d.clock.now(), e)
-	if entry, ok := rollout.Entry(int64(offset), e); ok {
+	if entry, ok := rollout.AuditEntry(int64(offset), e); ok {
 		d.trail = audit.Append(d.trail, entry, maxTrail)
 	}
 }
@@ -97,14 +97,14 @@
 	if len(ready.Records) > 0 {
 		go d.append(ctx, ready.Records)
 	}
-	for _, s := range ready.Sends {
+	for _, s := range ready.Orders {
 		go d.send(ctx, token, s)
 	}
 }
 
 // decide ticks the controller of this term. The lease of a former holder has
 // lapsed by the time this one takes it, so only its margin is waited out.
-func (d *rolloutDriver) decide(token platform.Offset, goals []rollout.Goal, seen map[string]rollout.Observation) rollout.Ready {
+func (d *rolloutDriver) decide(token platform.Offset, goals []rollout.Goal, seen map[string]rollout.Observation) rollout.Actions {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
@@ -199,8 +199,8 @@
 // send gives one order. A process that was paused since the decision may have
 // lost the lease meanwhile, so the duty is checked again right here; the call
 // ends within the margin that the next holder waits out.
-func (d *rolloutDriver) send(ctx context.Context, token platform.Offset, s rollout.Send) {
-	ctx, cancel := context.WithTimeout(ctx, d.settings.Margin/2)
+func (d *rolloutDriver) send(ctx context.Context, token platform.Offset, s rollout.OutgoingOrder) {
+	ctx, cancel := context.WithTimeout(ctx, d.settings.MaxOrderDelay/2)
 	defer cancel()
 	body, err := json.Marshal(order{Op: "load", Model: s.Model, Version: s.Version, Fence: s.Fence, OrderID: s.ID.String()})
 	if err != nil {
--- a/internal/entry/rolloutdriver_test.go
+++ b/internal/entry/rolloutdriver_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	s := rollout.DefaultSettings
-	s.Margin, s.Soak, s.Resend, s.Repropose = 100*time.Millisecond, 100*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
+	s.MaxOrderDelay, s.SoakTime, s.ResendInterval, s.ReproposeAfter = 100*time.Millisecond, 100*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	b.driver = newRolloutDriver(newClock(), s, b.log, "entry-1")
 	b.driver.intent = func() *config.Intent { return b.intent }
 	b.driver.duty = func() (platform.Offset, bool) { return 0, true }
@@ -86,11 +86,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	b := newRolloutBench(t)
-	b.until(ctx, func(s rollout.PoolState) bool { return s.Good == "v1" })
+	b.until(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v1" })
 	wanted := *b.intent
 	wanted.Models = map[string]config.Model{"m": {Name: "m", Version: "v2"}}
 	b.intent = &wanted
-	b.until(ctx, func(s rollout.PoolState) bool { return s.Good == "v2" })
+	b.until(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v2" })
 	for _, e := range b.engines {
 		is.Equal(e.State().Version, "v2")
 	}
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	b := newRolloutBench(t)
 	b.driver.duty = func() (platform.Offset, bool) { return 0, false }
-	b.driver.send(context.Background(), 0, rollout.Send{
+	b.driver.send(context.Background(), 0, rollout.OutgoingOrder{
 		Target: "a", Address: b.intent.Targets["a"].Address, Model: "m", Version: "v2", Fence: 9,
 	})
 	is.Equal(b.engines[0].State().Fence, int64(0))
--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -6,10 +6,10 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Entry is the audit entry of a record of the control stream; false for
+// AuditEntry is the audit entry of a record of the control stream; false for
 // records that change no target. It shows what was written, also where the
 // ledger found it void.
-func Entry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
+func AuditEntry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
 		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
 	}
@@ -42,6 +42,6 @@
 	if r.State.Halted {
 		out.Outcome = audit.Halted
 	}
-	out.Subjects = []audit.Subject{{Name: r.Pool, Before: r.State.Good, After: r.State.Effective()}}
+	out.Subjects = []audit.Subject{{Name: r.Pool, Before: r.State.LastGood, After: r.State.Effective()}}
 	return out
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -6,7 +6,7 @@
 // not safe for concurrent use. Once in Stale it decides nothing more.
 type Controller struct {
 	settings Settings
-	ledger   *Ledger
+	ledger   *State
 	token    int64
 	// quietUntil is when no order of an older holder can still arrive.
 	quietUntil time.Duration
@@ -53,14 +53,14 @@
 // oldEnds is when the former holder's lease has surely lapsed on its own
 // clock, 0 when there was none. The ledger goes on being fed by the caller
 // and has to hold the control stream up to the token.
-func NewController(s Settings, l *Ledger, token int64, oldEnds time.Duration) *Controller {
+func NewController(s Settings, l *State, token int64, oldEnds time.Duration) *Controller {
 	c := &Controller{
 		settings: s, ledger: l, token: token,
 		seen: map[string]Observation{}, proposed: map[string]proposal{},
 		sent: map[string]sending{}, matched: map[string]match{}, restated: map[string]statement{},
 	}
 	if oldEnds > 0 {
-		c.quietUntil = oldEnds + s.Margin
+		c.quietUntil = oldEnds + s.MaxOrderDelay
 	}
 	l.Fence(token)
 	return c
@@ -77,15 +77,15 @@
 // Tick decides. validUntil is when this instance's own right to the lease
 // ends; the caller checks it again right before each send. The records are
 // to be appended, in order, whatever becomes of the answers.
-func (c *Controller) Tick(now, validUntil time.Duration, goals []Goal) Ready {
+func (c *Controller) Tick(now, validUntil time.Duration, goals []Goal) Actions {
 	if c.stale || c.ledger.token > c.token {
 		c.stale = true
-		return Ready{Stale: true}
+		return Actions{Stale: true}
 	}
 	if now >= validUntil {
-		return Ready{}
+		return Actions{}
 	}
-	var r Ready
+	var r Actions
 	for _, g := range goals {
 		t := &tick{Controller: c, now: now, goal: g, ready: &r}
 		t.run()
@@ -100,12 +100,12 @@
 func (t *tick) propose(key string, content any, build func(OrderID) Record) {
 	p, there := t.proposed[key]
 	if there && p.content == content {
-		if t.now-p.at < t.settings.Repropose {
+		if t.now-p.at < t.settings.ReproposeAfter {
 			return
 		}
 	} else {
 		t.n++
-		p = proposal{content: content, id: OrderID{Token: t.token, N: t.n}}
+		p = proposal{content: content, id: OrderID{Token: t.token, Seq: t.n}}
 		p.record = build(p.id)
 	}
 	p.at = t.now
@@ -118,7 +118,7 @@
 	*Controller
 	now   time.Duration
 	goal  Goal
-	ready *Ready
+	ready *Actions
 }
 
 func (t *tick) run() {
@@ -128,7 +128,7 @@
 		t.start(state)
 		return
 	}
-	if t.failing() && !state.Halted && state.Good != state.Version {
+	if t.failing() && !state.Halted && state.LastGood != state.Version {
 		t.halt(state)
 		return
 	}
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -14,13 +14,13 @@
 // bench drives one controller by hand, with a log that keeps everything.
 type bench struct {
 	*Controller
-	ledger *Ledger
+	ledger *State
 	now    time.Duration
 	goal   Goal
 }
 
 func newBench(token int64, oldEnds time.Duration, checks ...bool) *bench {
-	b := &bench{ledger: NewLedger(), goal: Goal{Pool: "p", Model: "m", Version: "v1", MaxLoads: 9}}
+	b := &bench{ledger: NewState(), goal: Goal{Pool: "p", Model: "m", Version: "v1", MaxLoads: 9}}
 	for i, c := range checks {
 		b.goal.Targets = append(b.goal.Targets, config.Target{Name: string(rune('a' + i)), ChecksFencing: c})
 	}
@@ -39,17 +39,17 @@
 }
 
 // tick decides and folds what it asks to append.
-func (b *bench) tick() Ready {
+func (b *bench) tick() Actions {
 	r := b.Tick(b.now, day, []Goal{b.goal})
 	b.fold(r.Records...)
 	return r
 }
 
 // sends ticks a few times and gives the orders sent.
-func (b *bench) sends() []Send {
-	var out []Send
+func (b *bench) sends() []OutgoingOrder {
+	var out []OutgoingOrder
 	for range 5 {
-		out = append(out, b.tick().Sends...)
+		out = append(out, b.tick().Orders...)
 	}
 	return out
 }
@@ -59,10 +59,10 @@
 // so folding it would open an order that nobody counts.
 func TestRecordsOfAnOlderHolderAreVoid(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger()
+	l := NewState()
 	l.Fence(7)
-	l.Apply(0, encode(Record{Issued: &Issued{ID: OrderID{Token: 3, N: 9}, Pool: "p", Target: "a", Version: "v2"}}))
-	l.Apply(0, encode(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 3, N: 10}, Version: "v2"}}}))
+	l.Apply(0, encode(Record{Issued: &Issued{ID: OrderID{Token: 3, Seq: 9}, Pool: "p", Target: "a", Version: "v2"}}))
+	l.Apply(0, encode(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 3, Seq: 10}, Version: "v2"}}}))
 	_, known := l.Order("a")
 	is.True(!known)
 	_, known = l.Pool("p")
@@ -74,12 +74,12 @@
 // target would count as loading for ever, and the bad version would go on.
 func TestLateCopiesOfRecordsChangeNothing(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger()
-	id := func(n uint64) OrderID { return OrderID{Token: 3, N: n} }
-	start := Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: id(1), Version: "v2", Good: "v1"}}}
+	l := NewState()
+	id := func(n uint64) OrderID { return OrderID{Token: 3, Seq: n} }
+	start := Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: id(1), Version: "v2", LastGood: "v1"}}}
 	issued := Record{Issued: &Issued{ID: id(2), Pool: "p", Target: "a", Version: "v2"}}
 	settled := Record{Settled: &Settled{Token: 3, Order: id(2), Pool: "p", Target: "a", Version: "v2", Failed: true}}
-	halt := Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: id(3), Version: "v2", Good: "v1", Halted: true}}}
+	halt := Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: id(3), Version: "v2", LastGood: "v1", Halted: true}}}
 	for _, r := range []Record{start, issued, settled, halt, issued, start} {
 		l.Apply(0, encode(r))
 	}
@@ -104,7 +104,7 @@
 	is.Equal(len(sent), 1)
 	is.Equal(sent[0].Target, "a")
 	is.Equal(sent[0].Fence, int64(5))
-	b.now = 10*time.Second + DefaultSettings.Margin
+	b.now = 10*time.Second + DefaultSettings.MaxOrderDelay
 	b.see("b", "1", "v1")
 	sent = b.sends()
 	is.Equal(len(sent), 1)
@@ -128,7 +128,7 @@
 	is.True(o.Open)
 	b.Observe("a", Observation{At: b.now, Incarnation: "1", Model: "m", Version: "v1", Loading: "v2"})
 	is.Equal(len(b.sends()), 0)
-	b.now = DefaultSettings.Margin
+	b.now = DefaultSettings.MaxOrderDelay
 	b.Observe("a", Observation{At: b.now, Incarnation: "1", Model: "m", Version: "v1", Loading: "v2"})
 	sent := b.sends()
 	is.Equal(len(sent), 1)
@@ -141,7 +141,7 @@
 func TestRecordThatIsNotFoldedIsReplaced(t *testing.T) {
 	is := is.New(t)
 	b := newBench(5, 0, true)
-	b.fold(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 5}, Model: "m", Version: "v2", Good: "v1"}}})
+	b.fold(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 5}, Model: "m", Version: "v2", LastGood: "v1"}}})
 	b.goal.Version = "v2"
 	b.see("a", "1", "v1")
 	lost := b.Tick(b.now, day, []Goal{b.goal}).Records
@@ -164,7 +164,7 @@
 	b.ledger.Fence(6)
 	r := b.tick()
 	is.True(r.Stale)
-	is.Equal(len(r.Sends)+len(r.Records), 0)
+	is.Equal(len(r.Orders)+len(r.Records), 0)
 
 	b = newBench(5, 0, true)
 	b.Observe("a", Observation{Fence: 6})
@@ -180,7 +180,7 @@
 	b := newBench(5, 0, true)
 	b.see("a", "1", "v1")
 	r := b.Tick(time.Second, time.Second, []Goal{b.goal})
-	is.Equal(len(r.Sends)+len(r.Records), 0)
+	is.Equal(len(r.Orders)+len(r.Records), 0)
 }
 
 // A target crashes on the version, comes back and loads it again by a
@@ -192,7 +192,7 @@
 	b.goal.Version = "v2"
 	b.see("a", "1", "v1")
 	is.Equal(len(b.sends()), 1)
-	b.now = DefaultSettings.Margin
+	b.now = DefaultSettings.MaxOrderDelay
 	b.see("a", "2", "v2")
 	b.tick()
 	o, _ := b.ledger.Order("a")
@@ -207,7 +207,7 @@
 	b.goal.Version = "v2"
 	b.see("a", "1", "v1")
 	is.Equal(len(b.sends()), 1)
-	b.now = DefaultSettings.Resend
+	b.now = DefaultSettings.ResendInterval
 	b.see("a", "2", "v1")
 	is.Equal(len(b.sends()), 0)
 }
@@ -224,7 +224,7 @@
 	b.now = DefaultSettings.LoadTimeout
 	b.see("a", "1", "v1")
 	r := b.Tick(b.now, day, []Goal{b.goal})
-	is.Equal(len(r.Sends), 0)
+	is.Equal(len(r.Orders), 0)
 	is.Equal(r.Records[0].Settled.Failed, true)
 }
 
@@ -233,10 +233,10 @@
 func TestFewFailuresAmongManyDoNotHalt(t *testing.T) {
 	is := is.New(t)
 	b := newBench(5, 0, make([]bool, 12)...)
-	b.fold(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 5}, Model: "m", Version: "v2", Good: "v1"}}})
+	b.fold(Record{Pool: &PoolRecord{Pool: "p", State: PoolState{ID: OrderID{Token: 5}, Model: "m", Version: "v2", LastGood: "v1"}}})
 	b.goal.Version = "v2"
 	settle := func(target string, failed bool) {
-		id := OrderID{Token: 5, N: uint64(target[0])}
+		id := OrderID{Token: 5, Seq: uint64(target[0])}
 		b.fold(Record{Issued: &Issued{ID: id, Pool: "p", Target: target, Version: "v2"}},
 			Record{Settled: &Settled{Token: 5, Order: id, Pool: "p", Target: target, Version: "v2", Failed: failed}})
 	}
@@ -259,7 +259,7 @@
 func FuzzLedger(f *testing.F) {
 	f.Add([]byte("\x81\xa1k\xacorder.issued"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		l := NewLedger()
+		l := NewState()
 		for _, kind := range []string{string(KindPool), string(KindIssued), string(KindSettled)} {
 			l.Apply(0, rawEnvelope(kind, body))
 		}
--- a/internal/rollout/goal.go
+++ b/internal/rollout/goal.go
@@ -56,8 +56,8 @@
 	Fence int64
 }
 
-// Send is an order to be sent to a target now.
-type Send struct {
+// OutgoingOrder is an order to be sent to a target now.
+type OutgoingOrder struct {
 	ID      OrderID
 	Target  string
 	Address string
@@ -74,10 +74,10 @@
 	Settled *Settled
 }
 
-// Ready is what one tick asks for.
-type Ready struct {
+// Actions is what one tick asks for.
+type Actions struct {
 	Records []Record
-	Sends   []Send
+	Orders   []OutgoingOrder
 	// Stale is set when a target has accepted a newer token: the lease went
 	// to another instance, and this controller must be thrown away.
 	Stale bool
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -11,14 +11,14 @@
 	Issued
 	// Open until the order is settled: the target may load at any moment.
 	Open bool
-	// FoldedAt is this process's clock when it folded the last record.
-	FoldedAt time.Duration
+	// AppliedAt is this process's clock when it folded the last record.
+	AppliedAt time.Duration
 	Failed   bool
 }
 
-// Ledger is the fold of the rollout records in the control stream. But for
+// State is the fold of the rollout records in the control stream. But for
 // the times it is the same on every instance.
-type Ledger struct {
+type State struct {
 	// token is the newest fencing token; records of older ones are void.
 	token  int64
 	pools  map[string]PoolState
@@ -28,9 +28,9 @@
 	results map[string]map[string]bool
 }
 
-// NewLedger is the fold of no record.
-func NewLedger() *Ledger {
-	return &Ledger{
+// NewState is the fold of no record.
+func NewState() *State {
+	return &State{
 		pools: map[string]PoolState{}, orders: map[string]Order{}, results: map[string]map[string]bool{},
 	}
 }
@@ -38,23 +38,23 @@
 // Fence takes the token of a new holder of the lease, at its place in the
 // stream. What an older holder appends from there on is void: the new one
 // has read up to here and no further when it starts to decide.
-func (l *Ledger) Fence(token int64) { l.token = max(l.token, token) }
+func (l *State) Fence(token int64) { l.token = max(l.token, token) }
 
 // Pool is the state of a pool's rollout.
-func (l *Ledger) Pool(name string) (PoolState, bool) {
+func (l *State) Pool(name string) (PoolState, bool) {
 	s, ok := l.pools[name]
 	return s, ok
 }
 
 // Order is the newest order of a target.
-func (l *Ledger) Order(target string) (Order, bool) {
+func (l *State) Order(target string) (Order, bool) {
 	o, ok := l.orders[target]
 	return o, ok
 }
 
 // Results counts the targets that the pool's version failed on, and those
 // that it passed on.
-func (l *Ledger) Results(pool string) (failed, passed int) {
+func (l *State) Results(pool string) (failed, passed int) {
 	for _, f := range l.results[pool] {
 		if f {
 			failed++
@@ -66,7 +66,7 @@
 }
 
 // Apply folds one record; other kinds and malformed ones change nothing.
-func (l *Ledger) Apply(now time.Duration, e logrec.Envelope) {
+func (l *State) Apply(now time.Duration, e logrec.Envelope) {
 	switch e.Kind {
 	case KindPool:
 		var r PoolRecord
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *Ledger) valid(token int64) bool {
+func (l *State) valid(token int64) bool {
 	if token < l.token {
 		return false
 	}
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (l *Ledger) pool(r PoolRecord) {
+func (l *State) pool(r PoolRecord) {
 	old, known := l.pools[r.Pool]
 	if known && !r.State.ID.after(old.ID) {
 		return
@@ -105,19 +105,19 @@
 	l.pools[r.Pool] = r.State
 }
 
-func (l *Ledger) issued(now time.Duration, r Issued) {
+func (l *State) issued(now time.Duration, r Issued) {
 	if old, known := l.orders[r.Target]; known && !r.ID.after(old.ID) {
 		return
 	}
-	l.orders[r.Target] = Order{Issued: r, Open: true, FoldedAt: now}
+	l.orders[r.Target] = Order{Issued: r, Open: true, AppliedAt: now}
 }
 
-func (l *Ledger) settled(now time.Duration, r Settled) {
+func (l *State) settled(now time.Duration, r Settled) {
 	o, known := l.orders[r.Target]
 	if !known || !o.Open || o.ID != r.Order {
 		return
 	}
-	o.Open, o.Failed, o.FoldedAt = false, r.Failed, now
+	o.Open, o.Failed, o.AppliedAt = false, r.Failed, now
 	l.orders[r.Target] = o
 	if r.Version != l.pools[r.Pool].Version {
 		return
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -16,11 +16,11 @@
 	switch {
 	// Also when it serves the version: it may have crashed on it between
 	// two observations, and have loaded it again by a repeated order.
-	case fresh && seen.Incarnation != o.Incarnation && seen.At > o.FoldedAt:
+	case fresh && seen.Incarnation != o.Incarnation && seen.At > o.AppliedAt:
 		t.proposeSettled(o, "restarted after the order")
 	case t.serves(target, o.Version):
 		t.settleServing(o)
-	case t.since(o.FoldedAt) >= t.settings.LoadTimeout:
+	case t.since(o.AppliedAt) >= t.settings.LoadTimeout:
 		t.proposeSettled(o, "did not reach the version in time")
 	}
 }
@@ -33,7 +33,7 @@
 		return t.now < t.quietUntil
 	}
 	last, sent := t.sent[o.Target]
-	return sent && t.since(last.at) < t.settings.Margin
+	return sent && t.since(last.at) < t.settings.MaxOrderDelay
 }
 
 // settleServing waits until the target has served for the soak time: a bad
@@ -46,7 +46,7 @@
 		t.matched[o.Target] = m
 	}
 	state, _ := t.ledger.Pool(t.goal.Pool)
-	if state.Halted || t.since(m.since) >= t.settings.Soak {
+	if state.Halted || t.since(m.since) >= t.settings.SoakTime {
 		t.proposeSettled(o, "")
 	}
 }
@@ -101,7 +101,7 @@
 	if _, out := t.proposed[issueKey(target)]; out {
 		return true
 	}
-	if known && o.Failed && o.Version == version && t.since(o.FoldedAt) < t.settings.RetryAfter {
+	if known && o.Failed && o.Version == version && t.since(o.AppliedAt) < t.settings.RetryAfter {
 		return false
 	}
 	return !t.serves(target, version)
@@ -180,15 +180,15 @@
 		return
 	}
 	last, sent := t.sent[target.Name]
-	if sent && last.id == o.ID && t.since(last.at) < t.settings.Resend {
+	if sent && last.id == o.ID && t.since(last.at) < t.settings.ResendInterval {
 		return
 	}
 	// Our own earlier order may be under way too, and the token is the same.
-	if sent && last.version != o.Version && t.since(last.at) < t.settings.Margin {
+	if sent && last.version != o.Version && t.since(last.at) < t.settings.MaxOrderDelay {
 		return
 	}
 	t.sent[target.Name] = sending{version: o.Version, id: o.ID, at: t.now}
-	t.ready.Sends = append(t.ready.Sends, Send{
+	t.ready.Orders = append(t.ready.Orders, OutgoingOrder{
 		ID: o.ID, Target: target.Name, Address: target.Address, Model: o.Model, Version: o.Version, Fence: t.token,
 	})
 }
--- a/internal/rollout/pool.go
+++ b/internal/rollout/pool.go
@@ -15,14 +15,14 @@
 func (t *tick) start(old PoolState) {
 	next := PoolState{Model: t.goal.Model, Version: t.goal.Version}
 	if old.Model == t.goal.Model {
-		next.Good = old.Good
+		next.LastGood = old.LastGood
 	}
 	seen, uniform := t.uniformVersion()
 	if !seen {
 		return
 	}
-	if next.Good == "" {
-		next.Good = uniform
+	if next.LastGood == "" {
+		next.LastGood = uniform
 	}
 	t.proposePool(next)
 }
@@ -66,7 +66,7 @@
 	failed, passed := t.ledger.Results(t.goal.Pool)
 	s.Halted = true
 	s.Reason = fmt.Sprintf("%d targets failed on %s, %d passed", failed, s.Version, passed)
-	if s.Good == "" {
+	if s.LastGood == "" {
 		s.Reason += "; no good version is known to go back to"
 	}
 	t.proposePool(s)
@@ -75,8 +75,8 @@
 // conclude records that all targets serve the version, and writes the state
 // anew from time to time, before the log's retention ends.
 func (t *tick) conclude(s PoolState) {
-	if !s.Halted && s.Good != s.Version && t.allServe(s.Version) {
-		s.Good = s.Version
+	if !s.Halted && s.LastGood != s.Version && t.allServe(s.Version) {
+		s.LastGood = s.Version
 		t.proposePool(s)
 		return
 	}
@@ -93,7 +93,7 @@
 		last = statement{id: s.ID, at: t.now}
 		t.restated[t.goal.Pool] = last
 	}
-	return s.ID.Token != t.token || t.since(last.at) >= t.settings.Restate
+	return s.ID.Token != t.token || t.since(last.at) >= t.settings.RestateInterval
 }
 
 func (t *tick) allServe(version string) bool {
@@ -109,7 +109,7 @@
 // fresh gives the target's state if it was seen lately.
 func (t *tick) fresh(target string) (Observation, bool) {
 	o, seen := t.seen[target]
-	return o, seen && t.now-o.At <= t.settings.Fresh
+	return o, seen && t.now-o.At <= t.settings.MaxObservationAge
 }
 
 func (t *tick) serves(target, version string) bool {
--- a/internal/rollout/property_test.go
+++ b/internal/rollout/property_test.go
@@ -70,7 +70,7 @@
 				t.Fatalf("%s: %d targets serve one version, floor %d", w.now, n, w.goal.ServingFloor)
 			}
 		})
-		if w.at("v2") != targets || w.state().Good != "v2" {
+		if w.at("v2") != targets || w.state().LastGood != "v2" {
 			t.Fatalf("%d of %d targets at v2, state %+v", w.at("v2"), targets, w.state())
 		}
 	})
@@ -112,7 +112,7 @@
 		if most := loads + DefaultSettings.MaxFailedTargets - 1; hit > most {
 			t.Fatalf("%d targets were crashed, at most %d", hit, most)
 		}
-		if s := w.state(); !s.Halted || s.Good != bootVersion || w.at(bootVersion) != targets {
+		if s := w.state(); !s.Halted || s.LastGood != bootVersion || w.at(bootVersion) != targets {
 			t.Fatalf("%d of %d targets at %s, state %+v", w.at(bootVersion), targets, bootVersion, s)
 		}
 	})
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -20,14 +20,14 @@
 // by the holder's own count.
 type OrderID struct {
 	Token int64  `msgpack:"t"`
-	N     uint64 `msgpack:"n"`
+	Seq     uint64 `msgpack:"n"`
 }
 
 // String is the order id as targets and logs see it.
-func (o OrderID) String() string { return fmt.Sprintf("%d-%d", o.Token, o.N) }
+func (o OrderID) String() string { return fmt.Sprintf("%d-%d", o.Token, o.Seq) }
 
 func (o OrderID) after(p OrderID) bool {
-	return o.Token > p.Token || o.Token == p.Token && o.N > p.N
+	return o.Token > p.Token || o.Token == p.Token && o.Seq > p.Seq
 }
 
 // PoolState is what a rollout of one pool has come to.
@@ -38,8 +38,8 @@
 	Model string  `msgpack:"m"`
 	// Version is what operators want.
 	Version string `msgpack:"v"`
-	// Good is the last version that all targets served; empty if unknown.
-	Good string `msgpack:"g,omitempty"`
+	// LastGood is the last version that all targets served; empty if unknown.
+	LastGood string `msgpack:"g,omitempty"`
 	// Halted versions are rolled back to Good. Operators go on by wanting
 	// another version.
 	Halted bool   `msgpack:"h,omitempty"`
@@ -49,7 +49,7 @@
 // Effective is the version that targets are brought to; empty for none.
 func (p PoolState) Effective() string {
 	if p.Halted {
-		return p.Good
+		return p.LastGood
 	}
 	return p.Version
 }
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -35,7 +35,7 @@
 	e.version, e.loading = bootVersion, ""
 }
 
-func (e *engine) order(now time.Duration, s Send) {
+func (e *engine) order(now time.Duration, s OutgoingOrder) {
 	if e.ChecksFencing && s.Fence < e.fence {
 		return
 	}
@@ -66,7 +66,7 @@
 // holder is an instance that holds, or held, the lease.
 type holder struct {
 	*Controller
-	ledger *Ledger
+	ledger *State
 	read   int
 	until  time.Duration
 	paused bool
@@ -74,7 +74,7 @@
 
 // flight is an order under way.
 type flight struct {
-	send Send
+	send OutgoingOrder
 	at   time.Duration
 }
 
@@ -123,7 +123,7 @@
 	}
 	token := int64(len(w.log))
 	w.log = append(w.log, entry{fence: token})
-	h := &holder{ledger: NewLedger(), until: w.now + leaseTime}
+	h := &holder{ledger: NewState(), until: w.now + leaseTime}
 	h.catchUp(w, len(w.log))
 	h.Controller = NewController(DefaultSettings, h.ledger, token, oldEnds)
 	w.holders = append(w.holders, h)
@@ -210,10 +210,10 @@
 	for _, record := range r.Records {
 		w.append(record)
 	}
-	for _, s := range r.Sends {
+	for _, s := range r.Orders {
 		for range 1 + w.rand.IntN(2) {
 			if !w.chance(20) {
-				delay := time.Duration(w.rand.Int64N(int64(DefaultSettings.Margin)))
+				delay := time.Duration(w.rand.Int64N(int64(DefaultSettings.MaxOrderDelay)))
 				w.flights = append(w.flights, flight{s, w.now + delay})
 			}
 		}
