--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -80,10 +80,10 @@
 func (s *snapshotter) checkpoint(ctx context.Context) {
 	now := s.clock.now()
 	c, start, ok := s.rates.checkpoint()
-	if !ok || !s.checkpointDue(now, c.Through, start) {
+	if !ok || !s.checkpointDue(now, c.NextOffset, start) {
 		return
 	}
-	s.writtenAt, s.through = now, c.Through
+	s.writtenAt, s.through = now, c.NextOffset
 	record, err := logrec.Encode(lease.KindCheckpoint, s.self, s.clock.wallMillis(), c)
 	s.append(ctx, platform.StreamControl, [][]byte{record}, err)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -85,7 +85,7 @@
 	e.rollouts.intent = e.config.intent
 	e.rollouts.duty = func() (platform.Offset, bool) { return e.rates.valid(dutyRollout) }
 	e.rates.folded = append(e.rates.folded, func(offset platform.Offset, env logrec.Envelope) {
-		duty, _ := e.rates.holder.Fold().State(dutyRollout)
+		duty, _ := e.rates.holder.Table().State(dutyRollout)
 		e.rollouts.fold(offset, env, duty.Token)
 	})
 	e.pools = newPools(e.ctx, e.clock, s.Domain)
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -18,7 +18,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.HandleAsk(d.clock.now(), ask), nil
+	return d.holder.HandlePromiseRequest(d.clock.now(), ask), nil
 }
 
 // tickLease does the lease holder's due work.
@@ -30,7 +30,7 @@
 	for _, r := range ready.Records {
 		go d.append(ctx, r)
 	}
-	for _, a := range ready.Asks {
+	for _, a := range ready.PromiseRequests {
 		go d.promise(ctx, a)
 	}
 }
@@ -56,11 +56,11 @@
 		_, err = d.log.Append(ctx, platform.StreamControl, [][]byte{data})
 	}
 	d.mu.Lock()
-	d.holder.Appended(r.Seq, err)
+	d.holder.HandleAppendResult(r.Seq, err)
 	d.mu.Unlock()
 }
 
-func (d *rateDriver) promise(ctx context.Context, a lease.Ask) {
+func (d *rateDriver) promise(ctx context.Context, a lease.PromiseRequest) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
 	var ans wire.LeasePromiseAnswer
@@ -69,7 +69,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holder.HandleAnswer(a.ID, ans)
+	d.holder.HandlePromiseAnswer(a.ID, ans)
 	d.refreshParts()
 }
 
@@ -87,7 +87,7 @@
 func (d *rateDriver) next() platform.Offset {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Fold().Next()
+	return d.holder.Table().NextOffset()
 }
 
 func (d *rateDriver) read(b platform.Batch) error {
@@ -108,7 +108,7 @@
 		}
 	}
 	if len(b.Records) == 0 || b.Records[len(b.Records)-1].Offset+1 >= b.Next {
-		d.holder.CaughtUp()
+		d.holder.MarkCaughtUp()
 	}
 	d.refreshSplit(now)
 	if len(b.Records) > 0 {
@@ -120,7 +120,7 @@
 
 func (d *rateDriver) trimmed(start platform.Offset) {
 	d.mu.Lock()
-	d.holder.Trimmed(start)
+	d.holder.HandleTrim(start)
 	d.mu.Unlock()
 	logline.Info("control_trimmed", "start", start)
 }
@@ -130,7 +130,7 @@
 func (d *rateDriver) checkpoint() (c lease.Checkpoint, logStart platform.Offset, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c, ok = d.holder.Fold().Checkpoint()
+	c, ok = d.holder.Table().Checkpoint()
 	return c, d.logStart, ok
 }
 
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -60,7 +60,7 @@
 	member := lease.Member{ID: self.Incarnation, Domain: self.Domain, Address: self.Address}
 	wanted := []lease.Resource{dutyRollout, dutySnapshot}
 	for slot := range f.slotsPerDomain {
-		wanted = append(wanted, lease.Mint(self.Domain, slot))
+		wanted = append(wanted, lease.MintSlot(self.Domain, slot))
 	}
 	d := &rateDriver{
 		clock:   c,
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	var records []platform.Record
 	h := lease.NewHolder(lease.DefaultSettings(m, []lease.Resource{r}))
-	h.CaughtUp()
+	h.MarkCaughtUp()
 	for now := time.Second; !h.Valid(now, r); now += 100 * time.Millisecond {
 		is.True(now < time.Minute) // a free lease is taken
 		for _, rec := range h.Tick(now).Records {
@@ -52,7 +52,7 @@
 	d.setPeers([]wire.Identity{poor, rich})
 
 	member := lease.Member{ID: rich.Incarnation, Domain: rich.Domain, Address: rich.Address}
-	records := takeLease(t, member, lease.Mint("d", 0))
+	records := takeLease(t, member, lease.MintSlot("d", 0))
 	is.NoErr(d.read(platform.Batch{Next: platform.Offset(len(records)), Records: records}))
 
 	now := d.clock.now() + time.Second
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -39,13 +39,13 @@
 	list := make([]rate.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
 	for _, domain := range d.fleet.domains {
-		factors[domain] = rate.FactorsOf(d.holder.Fold(), domain, len(d.fleet.domains))
+		factors[domain] = rate.FactorsOf(d.holder.Table(), domain, len(d.fleet.domains))
 	}
 	for _, p := range d.peers {
 		list = append(list, rate.Peer{
 			ID:    p.Address,
 			Local: p.Domain == d.node.Self().Domain,
-			Share: max(rate.ShareOf(d.holder.Fold(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
+			Share: max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
 
 			Factors: factors[p.Domain],
 		})
--- a/internal/entry/splitdriver.go
+++ b/internal/entry/splitdriver.go
@@ -22,12 +22,12 @@
 // the next renewal is written, because that says that it was done. Callers hold
 // mu.
 func (d *rateDriver) refreshSplit(now time.Duration) {
-	v := d.holder.Fold().SplitVersion()
+	v := d.holder.Table().SplitVersion()
 	if v == d.splitSeen {
 		return
 	}
 	d.splitSeen = v
-	d.limiter.SetFactors(now, rate.FactorsOf(d.holder.Fold(), d.node.Self().Domain, len(d.fleet.domains)))
+	d.limiter.SetFactors(now, rate.FactorsOf(d.holder.Table(), d.node.Self().Domain, len(d.fleet.domains)))
 	d.refreshPeers()
 }
 
@@ -39,8 +39,8 @@
 		if _, held := d.valid(dutySnapshot); !held {
 			continue
 		}
-		if s := d.planSplit(); len(s.Rows) > 0 {
-			logline.Info("rate_split", "accounts", len(s.Rows), "first", s.Rows[0].Account)
+		if s := d.planSplit(); len(s.Accounts) > 0 {
+			logline.Info("rate_split", "accounts", len(s.Accounts), "first", s.Accounts[0].Account)
 			d.append(ctx, lease.Record{Kind: lease.KindSplit, Body: s})
 		}
 	}
@@ -64,5 +64,5 @@
 			return lease.Split{}
 		}
 	}
-	return rate.PlanSplit(d.holder.Fold(), d.fleet.domains, d.limiter.DomainDemand(now, own, domainOf))
+	return rate.PlanSplit(d.holder.Table(), d.fleet.domains, d.limiter.DomainDemand(now, own, domainOf))
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -125,7 +125,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []leaseView
-	d.holder.Fold().Resources(func(r lease.Resource, s lease.State) {
+	d.holder.Table().EachHeld(func(r lease.Resource, s lease.State) {
 		list = append(list, leaseView{
 			Resource: string(r), Holder: s.Holder, Address: s.Address, Token: int64(s.Token),
 			Mine: s.Holder == d.node.Self().Incarnation,
--- a/internal/lease/checkpoint.go
+++ b/internal/lease/checkpoint.go
@@ -17,21 +17,21 @@
 
 // Checkpoint is the body of KindCheckpoint.
 type Checkpoint struct {
-	// Through is the first offset that is not in the state.
-	Through platform.Offset   `msgpack:"t"`
-	Members []CheckpointEntry `msgpack:"m"`
+	// NextOffset is the first offset that is not in the state.
+	NextOffset platform.Offset   `msgpack:"t"`
+	Members []CheckpointMember `msgpack:"m"`
 	Leases  []CheckpointLease `msgpack:"l"`
-	// Split is the split in force, Pending the one on its way since
+	// ActiveSplit is the split in force, Pending the one on its way since
 	// PendingAt.
-	Split     []SplitRow      `msgpack:"s,omitempty"`
-	Pending   []SplitRow      `msgpack:"p,omitempty"`
+	ActiveSplit     []AccountSplit      `msgpack:"s,omitempty"`
+	PendingSplit   []AccountSplit      `msgpack:"p,omitempty"`
 	PendingAt platform.Offset `msgpack:"pa,omitempty"`
 }
 
-// CheckpointEntry is one member with the offset of its join.
-type CheckpointEntry struct {
+// CheckpointMember is one member with the offset of its join.
+type CheckpointMember struct {
 	Member Member          `msgpack:"m"`
-	At     platform.Offset `msgpack:"a"`
+	JoinedAt     platform.Offset `msgpack:"a"`
 }
 
 // CheckpointLease is the state of one resource, without the times that each
@@ -41,10 +41,10 @@
 	Holder   string          `msgpack:"h"`
 	Address  string          `msgpack:"a"`
 	Token    platform.Offset `msgpack:"k"`
-	Last     platform.Offset `msgpack:"l"`
-	Seen     platform.Offset `msgpack:"s"`
-	Floor    bool            `msgpack:"f"`
-	First    bool            `msgpack:"n,omitempty"`
+	LastOffset     platform.Offset `msgpack:"l"`
+	HolderApplied     platform.Offset `msgpack:"s"`
+	HasFloor    bool            `msgpack:"f"`
+	FirstHolder    bool            `msgpack:"n,omitempty"`
 	// FloorOwner and FloorAddress are those of the State.
 	FloorOwner   string `msgpack:"o,omitempty"`
 	FloorAddress string `msgpack:"d,omitempty"`
@@ -52,32 +52,32 @@
 
 // Checkpoint is the state of the fold up to Next, and false while the fold
 // searches for one itself.
-func (f *Fold) Checkpoint() (Checkpoint, bool) {
+func (f *Table) Checkpoint() (Checkpoint, bool) {
 	if f.searching {
 		return Checkpoint{}, false
 	}
 	c := Checkpoint{
-		Through: f.next,
-		Split:   rowsOf(f.splits.inForce), Pending: rowsOf(f.splits.pending), PendingAt: f.splits.at,
+		NextOffset: f.next,
+		ActiveSplit:   rowsOf(f.splits.inForce), PendingSplit: rowsOf(f.splits.pending), PendingAt: f.splits.at,
 	}
 	for _, j := range f.members {
-		c.Members = append(c.Members, CheckpointEntry{Member: j.member, At: j.at})
+		c.Members = append(c.Members, CheckpointMember{Member: j.member, JoinedAt: j.at})
 	}
 	for r, s := range f.states {
 		c.Leases = append(c.Leases, CheckpointLease{
 			Resource: r, Holder: s.Holder, Address: s.Address,
-			Token: s.Token, Last: s.Last, Seen: s.Seen, Floor: s.Floor, First: s.First,
+			Token: s.Token, LastOffset: s.LastOffset, HolderApplied: s.HolderApplied, HasFloor: s.HasFloor, FirstHolder: s.FirstHolder,
 			FloorOwner: s.FloorOwner, FloorAddress: s.FloorAddress,
 		})
 	}
-	slices.SortFunc(c.Members, func(a, b CheckpointEntry) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(c.Members, func(a, b CheckpointMember) int { return cmp.Compare(a.JoinedAt, b.JoinedAt) })
 	slices.SortFunc(c.Leases, func(a, b CheckpointLease) int { return cmp.Compare(a.Resource, b.Resource) })
 	return c, true
 }
 
-// Trimmed tells that the records before start are lost. Until a checkpoint is
+// HandleTrim tells that the records before start are lost. Until a checkpoint is
 // found that stands for them, the fold knows nothing new.
-func (f *Fold) Trimmed(start platform.Offset) {
+func (f *Table) HandleTrim(start platform.Offset) {
 	f.seen = f.lastSeen()
 	f.searching = true
 	f.next, f.floorOffset = start, start
@@ -88,15 +88,15 @@
 // searches still renews: were it to name the records that it has read but not
 // folded, the others would take it that it knows of a newcomer, who may then
 // take its lease over, or that it mints by a new split.
-func (f *Fold) lastSeen() platform.Offset {
+func (f *Table) lastSeen() platform.Offset {
 	if f.searching {
 		return f.seen
 	}
 	return f.next - 1
 }
 
-// Searching says that the fold waits for a checkpoint.
-func (f *Fold) Searching() bool { return f.searching }
+// AwaitingCheckpoint says that the fold waits for a checkpoint.
+func (f *Table) AwaitingCheckpoint() bool { return f.searching }
 
 // heldRecord is a record read while the fold searches.
 type heldRecord struct {
@@ -106,7 +106,7 @@
 
 // search keeps records until a checkpoint stands for all that is lost. It
 // reports whether the fold goes on from here.
-func (f *Fold) search(now time.Duration, off platform.Offset, e logrec.Envelope) error {
+func (f *Table) search(now time.Duration, off platform.Offset, e logrec.Envelope) error {
 	f.next = off + 1
 	if e.Kind != KindCheckpoint {
 		f.held = append(f.held, heldRecord{off, e})
@@ -116,13 +116,13 @@
 	if err := e.DecodeBody(&c); err != nil {
 		return err
 	}
-	if c.Through < f.floorOffset || c.Through > off {
+	if c.NextOffset < f.floorOffset || c.NextOffset > off {
 		return nil
 	}
 	later := f.held
 	f.restore(now, c)
 	for _, r := range later {
-		if r.off >= c.Through {
+		if r.off >= c.NextOffset {
 			_ = f.Apply(now, r.off, r.env)
 		}
 	}
@@ -132,21 +132,21 @@
 
 // restore takes a checkpoint's state. All waits for holders begin anew: when
 // this process would have folded their records is not known.
-func (f *Fold) restore(now time.Duration, c Checkpoint) {
+func (f *Table) restore(now time.Duration, c Checkpoint) {
 	f.searching, f.held = false, nil
-	f.next = c.Through
+	f.next = c.NextOffset
 	f.splits = splits{
-		inForce: rowsBy(c.Split), pending: rowsBy(c.Pending), at: c.PendingAt, version: f.splits.version + 1,
+		inForce: rowsBy(c.ActiveSplit), pending: rowsBy(c.PendingSplit), at: c.PendingAt, version: f.splits.version + 1,
 	}
 	f.members = make(map[string]joined, len(c.Members))
 	f.states = make(map[Resource]State, len(c.Leases))
 	for _, m := range c.Members {
-		f.members[m.Member.ID] = joined{member: m.Member, at: m.At}
+		f.members[m.Member.ID] = joined{member: m.Member, at: m.JoinedAt}
 	}
 	for _, l := range c.Leases {
 		f.states[l.Resource] = State{
-			Holder: l.Holder, Address: l.Address, Token: l.Token, Last: l.Last,
-			Seen: l.Seen, Floor: l.Floor, First: l.First, FloorOwner: l.FloorOwner, FloorAddress: l.FloorAddress, FoldedAt: now, FloorSince: now,
+			Holder: l.Holder, Address: l.Address, Token: l.Token, LastOffset: l.LastOffset,
+			HolderApplied: l.HolderApplied, HasFloor: l.HasFloor, FirstHolder: l.FirstHolder, FloorOwner: l.FloorOwner, FloorAddress: l.FloorAddress, AppliedAt: now, FloorSince: now,
 		}
 	}
 }
--- a/internal/lease/checkpoint_test.go
+++ b/internal/lease/checkpoint_test.go
@@ -26,16 +26,16 @@
 // heldLog is a control stream in which a joined and acquired a mint slot long
 // ago and renewed it at offset 2.
 func heldLog(t *testing.T) []logrec.Envelope {
-	slot := Mint("d", 0)
+	slot := MintSlot("d", 0)
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
 	return []logrec.Envelope{
 		encoded(t, KindJoin, "a", Join{Member: a}),
-		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, BasedOn: NoOffset, Seen: 0, Seq: 1}),
-		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: slot, Token: 1}}, Seen: 1, Seq: 2}),
+		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 0, Seq: 1}),
+		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: slot, Token: 1}}, AppliedThrough: 1, Seq: 2}),
 	}
 }
 
-func foldAll(f *Fold, log []logrec.Envelope, from platform.Offset) {
+func foldAll(f *Table, log []logrec.Envelope, from platform.Offset) {
 	for i, e := range log[from:] {
 		_ = f.Apply(0, from+platform.Offset(i), e)
 	}
@@ -49,28 +49,28 @@
 func TestFreshInstanceKnowsHoldersBehindTrimmedLog(t *testing.T) {
 	is := is.New(t)
 	log := heldLog(t)
-	whole := NewFold()
+	whole := NewTable()
 	foldAll(whole, log, 0)
 	c, ok := whole.Checkpoint()
 	is.True(ok)
 	log = append(log, encoded(t, KindCheckpoint, "a", c),
-		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: Mint("d", 0), Token: 1}}, Seen: 3, Seq: 3}))
+		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: MintSlot("d", 0), Token: 1}}, AppliedThrough: 3, Seq: 3}))
 	foldAll(whole, log, 3)
 
-	h := NewHolder(DefaultSettings(Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}, []Resource{Mint("d", 0)}))
-	h.Trimmed(2)
+	h := NewHolder(DefaultSettings(Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}, []Resource{MintSlot("d", 0)}))
+	h.HandleTrim(2)
 	for i, e := range log[2:] {
-		h.CaughtUp()
+		h.MarkCaughtUp()
 		is.True(!acquires(h.Tick(time.Hour))) // knows nothing yet, or knows the holder
 		is.NoErr(h.Apply(time.Hour, platform.Offset(2+i), e))
 	}
 	want, _ := whole.Checkpoint()
-	got, ok := h.Fold().Checkpoint()
+	got, ok := h.Table().Checkpoint()
 	is.True(ok)
 	is.Equal(got, want)
 }
 
-func acquires(r Ready) bool {
+func acquires(r Actions) bool {
 	for _, rec := range r.Records {
 		if rec.Kind == KindAcquire {
 			return true
@@ -84,13 +84,13 @@
 // records in between, so the fold goes on searching.
 func TestCheckpointThatMissesRecordsIsNotTaken(t *testing.T) {
 	is := is.New(t)
-	f := NewFold()
-	f.Trimmed(5)
-	is.NoErr(f.Apply(0, 5, encoded(t, KindCheckpoint, "a", Checkpoint{Through: 4})))
-	is.True(f.Searching())
-	is.NoErr(f.Apply(0, 6, encoded(t, KindCheckpoint, "a", Checkpoint{Through: 5})))
-	is.True(!f.Searching())
-	is.Equal(f.Next(), platform.Offset(7))
+	f := NewTable()
+	f.HandleTrim(5)
+	is.NoErr(f.Apply(0, 5, encoded(t, KindCheckpoint, "a", Checkpoint{NextOffset: 4})))
+	is.True(f.AwaitingCheckpoint())
+	is.NoErr(f.Apply(0, 6, encoded(t, KindCheckpoint, "a", Checkpoint{NextOffset: 5})))
+	is.True(!f.AwaitingCheckpoint())
+	is.Equal(f.NextOffset(), platform.Offset(7))
 }
 
 // An instance's own acquire is covered by the checkpoint that it starts its
@@ -98,13 +98,13 @@
 // on that ground, but has to renew it: else the slot would lie idle.
 func TestOwnLeaseInCheckpointIsRenewedBeforeUse(t *testing.T) {
 	is := is.New(t)
-	slot := Mint("d", 0)
+	slot := MintSlot("d", 0)
 	self := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
-	whole := NewFold()
+	whole := NewTable()
 	foldAll(whole, heldLog(t), 0)
 	c, _ := whole.Checkpoint()
 	h := NewHolder(DefaultSettings(self, []Resource{slot}))
-	h.Trimmed(3)
+	h.HandleTrim(3)
 	is.NoErr(h.Apply(time.Second, 3, encoded(t, KindCheckpoint, "b", c)))
 	is.True(!h.Valid(time.Second, slot))
 	work := h.Tick(time.Hour)
@@ -120,17 +120,17 @@
 // over while promises of the members it knows extend the lease.
 func TestSearchingHolderClaimsToHaveSeenNothingNew(t *testing.T) {
 	is := is.New(t)
-	slot := Mint("d", 0)
+	slot := MintSlot("d", 0)
 	h := NewHolder(DefaultSettings(Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, []Resource{slot}))
 	for i, e := range heldLog(t) {
 		is.NoErr(h.Apply(0, platform.Offset(i), e))
 	}
-	h.Trimmed(10)
-	h.Trimmed(11)
+	h.HandleTrim(10)
+	h.HandleTrim(11)
 	is.NoErr(h.Apply(0, 11, encoded(t, KindJoin, "b", Join{Member: Member{ID: "b", Domain: "d"}})))
 	for _, r := range h.Tick(time.Minute).Records {
 		if renew, ok := r.Body.(Renew); ok {
-			is.Equal(renew.Seen, platform.Offset(2))
+			is.Equal(renew.AppliedThrough, platform.Offset(2))
 			return
 		}
 	}
--- a/internal/lease/fold.go
+++ b/internal/lease/fold.go
@@ -16,19 +16,19 @@
 	Address string
 	// Token is the offset of the acquire: the fencing token.
 	Token platform.Offset
-	// Last is the offset of the last valid record of the resource.
-	Last platform.Offset
-	// First is set while the resource has its first holder ever.
-	First bool
-	// Seen is the last offset that the holder had folded when it wrote Last.
-	Seen platform.Offset
-	// Floor is set while the holder, or nobody, holds the floor. It is
+	// LastOffset is the offset of the last valid record of the resource.
+	LastOffset platform.Offset
+	// FirstHolder is set while the resource has its first holder ever.
+	FirstHolder bool
+	// HolderApplied is the last offset that the holder had folded when it wrote Last.
+	HolderApplied platform.Offset
+	// HasFloor is set while the holder, or nobody, holds the floor. It is
 	// unset after a take-over whose former holder may still use it.
-	Floor bool
+	HasFloor bool
 	// FloorOwner and FloorAddress name that former holder.
 	FloorOwner, FloorAddress string
-	// FoldedAt is this process's clock when it folded Last.
-	FoldedAt time.Duration
+	// AppliedAt is this process's clock when it folded Last.
+	AppliedAt time.Duration
 	// FloorSince is this process's clock when it folded the last record of
 	// the holder that may still use the floor.
 	FloorSince time.Duration
@@ -40,8 +40,8 @@
 	at     platform.Offset
 }
 
-// Fold is the state of all leases, from the control stream in offset order.
-type Fold struct {
+// Table is the state of all leases, from the control stream in offset order.
+type Table struct {
 	next    platform.Offset
 	members map[string]joined
 	states  map[Resource]State
@@ -56,14 +56,14 @@
 	held        []heldRecord
 }
 
-// NewFold is the fold before offset 0.
-func NewFold() *Fold {
-	return &Fold{members: map[string]joined{}, states: map[Resource]State{}}
+// NewTable is the fold before offset 0.
+func NewTable() *Table {
+	return &Table{members: map[string]joined{}, states: map[Resource]State{}}
 }
 
 // Apply folds one record. Records of other kinds and void ones change
 // nothing but the position. now is this process's clock.
-func (f *Fold) Apply(now time.Duration, off platform.Offset, e logrec.Envelope) error {
+func (f *Table) Apply(now time.Duration, off platform.Offset, e logrec.Envelope) error {
 	if off < f.next {
 		return nil
 	}
@@ -76,7 +76,7 @@
 	return err
 }
 
-func (f *Fold) applyKind(now time.Duration, off platform.Offset, e logrec.Envelope) error {
+func (f *Table) applyKind(now time.Duration, off platform.Offset, e logrec.Envelope) error {
 	switch e.Kind {
 	case KindJoin:
 		return fold(e, func(j Join) { f.join(off, j) })
@@ -104,17 +104,17 @@
 	return nil
 }
 
-// Next is the offset that the fold has not seen yet.
-func (f *Fold) Next() platform.Offset { return f.next }
+// NextOffset is the offset that the fold has not seen yet.
+func (f *Table) NextOffset() platform.Offset { return f.next }
 
 // State is the state of a resource; ok is false when no record named it.
-func (f *Fold) State(r Resource) (s State, ok bool) {
+func (f *Table) State(r Resource) (s State, ok bool) {
 	s, ok = f.states[r]
 	return s, ok
 }
 
-// Resources calls visit for each resource that has a holder.
-func (f *Fold) Resources(visit func(Resource, State)) {
+// EachHeld calls visit for each resource that has a holder.
+func (f *Table) EachHeld(visit func(Resource, State)) {
 	for r, s := range f.states {
 		if s.Holder != "" {
 			visit(r, s)
@@ -124,7 +124,7 @@
 
 // join makes a member known; a repeat, such as after a lost answer, changes
 // nothing.
-func (f *Fold) join(off platform.Offset, j Join) {
+func (f *Table) join(off platform.Offset, j Join) {
 	if _, known := f.members[j.Member.ID]; !known {
 		f.members[j.Member.ID] = joined{member: j.Member, at: off}
 	}
@@ -133,32 +133,32 @@
 // acquire gives the resource to the writer unless another valid record came
 // in between: then both the old holder's renewal and a rival's acquire win
 // over it, on every instance alike.
-func (f *Fold) acquire(off platform.Offset, now time.Duration, a Acquire) {
+func (f *Table) acquire(off platform.Offset, now time.Duration, a Acquire) {
 	s, known := f.states[a.Resource]
 	if !known {
-		s = State{Last: NoOffset, Floor: true}
+		s = State{LastOffset: NoOffset, HasFloor: true}
 	}
-	s.First = !known
+	s.FirstHolder = !known
 	m, ok := f.members[a.Holder]
-	if !ok || s.Last != a.BasedOn || !f.due(a, s, m) {
+	if !ok || s.LastOffset != a.ExpectedOffset || !f.due(a, s, m) {
 		return
 	}
-	if a.Basis == BasisHold {
-		s.Floor = true
+	if a.Basis == BasisHoldExpired {
+		s.HasFloor = true
 	}
-	if a.Basis == BasisLapsed && s.Floor {
-		s.Floor = false
-		s.FloorSince = s.FoldedAt
+	if a.Basis == BasisExpired && s.HasFloor {
+		s.HasFloor = false
+		s.FloorSince = s.AppliedAt
 		s.FloorOwner, s.FloorAddress = s.Holder, s.Address
 	}
 	s.Holder, s.Address = a.Holder, m.member.Address
-	s.Token, s.Last, s.Seen, s.FoldedAt = off, off, a.Seen, now
+	s.Token, s.LastOffset, s.HolderApplied, s.AppliedAt = off, off, a.AppliedThrough, now
 	f.states[a.Resource] = s
 }
 
 // due checks the basis as far as the log shows it. That the time of a lapse is
 // over is the writer's word, by its own clock.
-func (f *Fold) due(a Acquire, s State, m joined) bool {
+func (f *Table) due(a Acquire, s State, m joined) bool {
 	if d := a.Resource.Domain(); d != "" && d != m.member.Domain {
 		return false
 	}
@@ -168,29 +168,29 @@
 	case BasisSuccessor:
 		old, known := f.members[s.Holder]
 		return s.Holder != "" && s.Address == m.member.Address && (!known || old.at < m.at)
-	case BasisLapsed:
-		return s.Holder != "" && m.at <= s.Seen
-	case BasisHold:
+	case BasisExpired:
+		return s.Holder != "" && m.at <= s.HolderApplied
+	case BasisHoldExpired:
 		return s.Holder != ""
 	}
 	return false
 }
 
 // renew extends the leases that the writer still holds.
-func (f *Fold) renew(off platform.Offset, now time.Duration, r Renew) {
+func (f *Table) renew(off platform.Offset, now time.Duration, r Renew) {
 	for _, l := range r.Leases {
 		s, ok := f.states[l.Resource]
 		if !ok || s.Holder != r.Holder || s.Token != l.Token {
 			continue
 		}
-		s.Last, s.Seen, s.FoldedAt = off, r.Seen, now
-		s.Floor = s.Floor || l.Floor
+		s.LastOffset, s.HolderApplied, s.AppliedAt = off, r.AppliedThrough, now
+		s.HasFloor = s.HasFloor || l.ClaimsFloor
 		f.states[l.Resource] = s
 	}
 }
 
 // leave forgets an incarnation and frees what it held.
-func (f *Fold) leave(off platform.Offset, now time.Duration, l Leave) {
+func (f *Table) leave(off platform.Offset, now time.Duration, l Leave) {
 	delete(f.members, l.ID)
 	for r, s := range f.states {
 		if s.Holder == l.ID {
@@ -199,8 +199,8 @@
 	}
 }
 
-func (f *Fold) free(r Resource, s State, off platform.Offset, now time.Duration) {
+func (f *Table) free(r Resource, s State, off platform.Offset, now time.Duration) {
 	s.Holder, s.Address = "", ""
-	s.Last, s.FoldedAt = off, now
+	s.LastOffset, s.AppliedAt = off, now
 	f.states[r] = s
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -16,7 +16,7 @@
 // concurrent use.
 type Holder struct {
 	settings Settings
-	fold     *Fold
+	fold     *Table
 	caughtUp bool
 	leaving  bool
 
@@ -70,10 +70,10 @@
 	Seq  uint64
 }
 
-// Ready is the work that a Tick found.
-type Ready struct {
+// Actions is the work that a Tick found.
+type Actions struct {
 	Records []Record
-	Asks    []Ask
+	PromiseRequests    []PromiseRequest
 }
 
 // Grant is a lease that may be used now.
@@ -87,15 +87,15 @@
 	// FloorSince and FloorUntil bound the use of the floor; both are 0 when
 	// an earlier holder may still use it.
 	FloorSince, FloorUntil time.Duration
-	// First says that nobody has held the resource before.
-	First bool
+	// FirstHolder says that nobody has held the resource before.
+	FirstHolder bool
 }
 
 // NewHolder makes a holder that has folded nothing.
 func NewHolder(s Settings) *Holder {
 	return &Holder{
 		settings: s,
-		fold:     NewFold(),
+		fold:     NewTable(),
 		sent:     map[uint64]time.Duration{},
 		held:     map[Resource]*holding{},
 		acquires: map[Resource]attempt{},
@@ -104,27 +104,27 @@
 	}
 }
 
-// Fold is the state of all leases, for reading.
-func (h *Holder) Fold() *Fold { return h.fold }
+// Table is the state of all leases, for reading.
+func (h *Holder) Table() *Table { return h.fold }
 
-// Trimmed tells that the log lost the records before start. Leases that are
+// HandleTrim tells that the log lost the records before start. Leases that are
 // held stay in use as long as their right lasts; nothing is acquired before a
 // checkpoint shows who holds what.
-func (h *Holder) Trimmed(start platform.Offset) {
+func (h *Holder) HandleTrim(start platform.Offset) {
 	h.caughtUp = false
-	h.fold.Trimmed(start)
+	h.fold.HandleTrim(start)
 }
 
-// CaughtUp tells that the fold has reached the end of the stream once. Before
+// MarkCaughtUp tells that the fold has reached the end of the stream once. Before
 // that nothing is acquired.
-func (h *Holder) CaughtUp() { h.caughtUp = !h.fold.Searching() }
+func (h *Holder) MarkCaughtUp() { h.caughtUp = !h.fold.AwaitingCheckpoint() }
 
 // Apply folds one record of the control stream. now is read after the record
 // was received.
 func (h *Holder) Apply(now time.Duration, off platform.Offset, e logrec.Envelope) error {
 	err := h.fold.Apply(now, off, e)
 	sentAt, own := h.settleOwn(e)
-	if h.fold.Searching() {
+	if h.fold.AwaitingCheckpoint() {
 		return err
 	}
 	for _, r := range h.settings.Wanted {
@@ -156,7 +156,7 @@
 // follow brings what is held of one resource in line with the fold.
 func (h *Holder) follow(r Resource, off platform.Offset, now, sentAt time.Duration, own bool) {
 	s, ok := h.fold.State(r)
-	if a, open := h.acquires[r]; open && ok && s.Last != a.basedOn {
+	if a, open := h.acquires[r]; open && ok && s.LastOffset != a.basedOn {
 		delete(h.acquires, r)
 	}
 	if !ok || s.Holder != h.settings.Self.ID || (h.held[r] != nil && h.held[r].token != s.Token) {
@@ -167,22 +167,22 @@
 	}
 	l := h.held[r]
 	if l == nil {
-		l = &holding{token: s.Token, first: s.First, sentAt: unknownSend, since: now, promises: map[string]time.Duration{}}
+		l = &holding{token: s.Token, first: s.FirstHolder, sentAt: unknownSend, since: now, promises: map[string]time.Duration{}}
 		h.held[r] = l
 	}
-	if !own || s.Last != off {
+	if !own || s.LastOffset != off {
 		return
 	}
 	l.sentAt = max(l.sentAt, sentAt)
-	if s.Floor && !l.floor {
+	if s.HasFloor && !l.floor {
 		l.floor, l.floorSince = true, now
 	}
 }
 
-// Appended takes the result of an append: nil or an error of platform.Log.
+// HandleAppendResult takes the result of an append: nil or an error of platform.Log.
 // A refusal without effect settles the record. After ErrUnknown it stays open
 // until the fold shows it or shows that it came too late.
-func (h *Holder) Appended(seq uint64, err error) {
+func (h *Holder) HandleAppendResult(seq uint64, err error) {
 	if !errors.IsAny(err, platform.ErrOutage, platform.ErrRateLimited) {
 		return
 	}
@@ -219,9 +219,9 @@
 		if l == nil || h.leaving {
 			continue
 		}
-		g := Grant{Resource: r, Token: l.token, Since: l.since, Until: h.until(r, l), First: l.first}
+		g := Grant{Resource: r, Token: l.token, Since: l.since, Until: h.until(r, l), FirstHolder: l.first}
 		if l.floor {
-			g.FloorSince, g.FloorUntil = l.floorSince, l.sentAt+h.settings.use(h.settings.Hold)
+			g.FloorSince, g.FloorUntil = l.floorSince, l.sentAt+h.settings.use(h.settings.HoldTime)
 		}
 		if now < g.Until || now < g.FloorUntil {
 			list = append(list, g)
@@ -237,7 +237,7 @@
 	if r.Domain() == "" {
 		return renewed
 	}
-	promised := l.sentAt + h.settings.use(h.settings.Hold)
+	promised := l.sentAt + h.settings.use(h.settings.HoldTime)
 	for _, m := range h.rivals(r) {
 		promised = min(promised, l.promises[m.ID])
 	}
@@ -276,8 +276,8 @@
 	askedAt time.Duration
 }
 
-// Ask is a call to make to another member.
-type Ask struct {
+// PromiseRequest is a call to make to another member.
+type PromiseRequest struct {
 	ID     uint64
 	Member Member
 	Body   wire.LeasePromiseAsk
--- a/internal/lease/join_test.go
+++ b/internal/lease/join_test.go
@@ -21,20 +21,20 @@
 	for i, e := range log {
 		is.NoErr(h.Apply(time.Second, platform.Offset(i), e))
 	}
-	h.CaughtUp()
+	h.MarkCaughtUp()
 	h.Tick(time.Second)
-	is.Equal(len(renewals(h.Tick(time.Second+h.settings.RenewEvery/joinGap))), 0)
+	is.Equal(len(renewals(h.Tick(time.Second+h.settings.RenewInterval/joinGap))), 0)
 
 	b := Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}
 	is.NoErr(h.Apply(time.Second, 2, encoded(t, KindJoin, "b", Join{Member: b})))
-	soon := time.Second + h.settings.RenewEvery/joinGap
+	soon := time.Second + h.settings.RenewInterval/joinGap
 	got := renewals(h.Tick(soon))
 	is.Equal(len(got), 1)
-	is.Equal(got[0].Seen, platform.Offset(2))
-	is.Equal(len(renewals(h.Tick(soon+h.settings.RenewEvery/joinGap))), 0) // once
+	is.Equal(got[0].AppliedThrough, platform.Offset(2))
+	is.Equal(len(renewals(h.Tick(soon+h.settings.RenewInterval/joinGap))), 0) // once
 }
 
-func renewals(r Ready) []Renew {
+func renewals(r Actions) []Renew {
 	var list []Renew
 	for _, rec := range r.Records {
 		if body, ok := rec.Body.(Renew); ok {
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -7,12 +7,12 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// HandleAsk promises not to append an acquire for the named leases for a
+// HandlePromiseRequest promises not to append an acquire for the named leases for a
 // while. It promises nothing where an own acquire may still take effect, or
 // where the log shows another holder: the asker's right is over there.
-func (h *Holder) HandleAsk(now time.Duration, ask wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
+func (h *Holder) HandlePromiseRequest(now time.Duration, ask wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
 	answer := wire.LeasePromiseAnswer{By: h.settings.Self.ID, Address: h.settings.Self.Address}
-	span := min(time.Duration(ask.ForMillis)*time.Millisecond, h.settings.PromiseFor)
+	span := min(time.Duration(ask.ForMillis)*time.Millisecond, h.settings.PromiseTime)
 	for _, l := range ask.Leases {
 		r := Resource(l.Resource)
 		s, known := h.fold.State(r)
@@ -28,10 +28,10 @@
 	return answer
 }
 
-// HandleAnswer counts a promise, from before it was asked for. An answer of a
+// HandlePromiseAnswer counts a promise, from before it was asked for. An answer of a
 // newer incarnation at the member's address counts for the member: an address
 // belongs to one process at a time, so the member itself is dead.
-func (h *Holder) HandleAnswer(id uint64, a wire.LeasePromiseAnswer) {
+func (h *Holder) HandlePromiseAnswer(id uint64, a wire.LeasePromiseAnswer) {
 	p, ok := h.asks[id]
 	delete(h.asks, id)
 	if !ok || (a.By != p.member.ID && a.Address != p.member.Address) {
@@ -40,7 +40,7 @@
 	for _, l := range a.Leases {
 		mine := h.held[Resource(l.Resource)]
 		if mine != nil && mine.token == platform.Offset(l.Token) {
-			mine.promises[p.member.ID] = p.askedAt + h.settings.use(h.settings.PromiseFor)
+			mine.promises[p.member.ID] = p.askedAt + h.settings.use(h.settings.PromiseTime)
 		}
 	}
 }
--- a/internal/lease/records.go
+++ b/internal/lease/records.go
@@ -22,8 +22,8 @@
 
 const mintPrefix = "mint/"
 
-// Mint names a slot of a domain's part of all rates.
-func Mint(domain string, slot int) Resource {
+// MintSlot names a slot of a domain's part of all rates.
+func MintSlot(domain string, slot int) Resource {
 	return Resource(mintPrefix + domain + "/" + strconv.Itoa(slot))
 }
 
@@ -67,10 +67,10 @@
 	BasisFree Basis = "free"
 	// BasisSuccessor: the holder was an earlier incarnation at this address.
 	BasisSuccessor Basis = "successor"
-	// BasisLapsed: the holder did not renew for longer than the TTL.
-	BasisLapsed Basis = "lapsed"
-	// BasisHold: the holder did not renew for longer than the hold time.
-	BasisHold Basis = "hold"
+	// BasisExpired: the holder did not renew for longer than the TTL.
+	BasisExpired Basis = "lapsed"
+	// BasisHoldExpired: the holder did not renew for longer than the hold time.
+	BasisHoldExpired Basis = "hold"
 )
 
 // Acquire takes a resource.
@@ -78,11 +78,11 @@
 	Resource Resource `msgpack:"r"`
 	Holder   string   `msgpack:"h"`
 	Basis    Basis    `msgpack:"b"`
-	// BasedOn is the offset of the resource's last valid record that the
+	// ExpectedOffset is the offset of the resource's last valid record that the
 	// writer had folded, or NoOffset.
-	BasedOn platform.Offset `msgpack:"o"`
-	// Seen is the last offset that the writer had folded.
-	Seen platform.Offset `msgpack:"s"`
+	ExpectedOffset platform.Offset `msgpack:"o"`
+	// AppliedThrough is the last offset that the writer had folded.
+	AppliedThrough platform.Offset `msgpack:"s"`
 	// Seq numbers the writer's records.
 	Seq uint64 `msgpack:"q"`
 }
@@ -91,7 +91,7 @@
 type Renew struct {
 	Holder string          `msgpack:"h"`
 	Leases []Renewal       `msgpack:"l"`
-	Seen   platform.Offset `msgpack:"s"`
+	AppliedThrough   platform.Offset `msgpack:"s"`
 	Seq    uint64          `msgpack:"q"`
 }
 
@@ -99,9 +99,9 @@
 type Renewal struct {
 	Resource Resource        `msgpack:"r"`
 	Token    platform.Offset `msgpack:"t"`
-	// Floor says that the holder has waited out the hold time of an earlier
+	// ClaimsFloor says that the holder has waited out the hold time of an earlier
 	// holder and from this record on holds the floor too.
-	Floor bool `msgpack:"f,omitempty"`
+	ClaimsFloor bool `msgpack:"f,omitempty"`
 }
 
 // Yield gives up the floor of a lapsed lease before the hold time is over.
@@ -109,9 +109,9 @@
 	Resource Resource `msgpack:"r"`
 	// Owner is the former holder that might still use the floor.
 	Owner string `msgpack:"o"`
-	// By is the owner itself, or a later incarnation at its address: then
+	// Writer is the owner itself, or a later incarnation at its address: then
 	// the owner is dead.
-	By string `msgpack:"b"`
+	Writer string `msgpack:"b"`
 }
 
 // NoOffset stands for "no record".
--- a/internal/lease/search_test.go
+++ b/internal/lease/search_test.go
@@ -48,19 +48,19 @@
 // call is a promise asked for, or with answer set its answer.
 type call struct {
 	by     int
-	ask    Ask
+	ask    PromiseRequest
 	answer *wire.LeasePromiseAnswer
 }
 
 const unit = time.Second
 
 // slot is the resource that all compete for.
-var slot = Mint("d", 0)
+var slot = MintSlot("d", 0)
 
 func searchSettings(self Member, hold time.Duration) Settings {
 	s := DefaultSettings(self, []Resource{slot})
-	s.TTL, s.PromiseFor, s.RenewEvery, s.Hold = 2*unit, 2*unit, unit/2, hold
-	s.Margin, s.Drift, s.Stagger = unit/2, 0.05, 0
+	s.TTL, s.PromiseTime, s.RenewInterval, s.HoldTime = 2*unit, 2*unit, unit/2, hold
+	s.Margin, s.MaxDrift, s.Stagger = unit/2, 0.05, 0
 	return s
 }
 
@@ -100,14 +100,14 @@
 		_ = a.h.Apply(now, platform.Offset(a.read), w.log[a.read])
 	}
 	if read {
-		a.h.CaughtUp()
+		a.h.MarkCaughtUp()
 	}
 	work := a.h.Tick(now)
 	for _, r := range work.Records {
 		e := framed(a.h.settings.Self.ID, r)
 		w.appends = append(w.appends, flight{by: i, seq: r.Seq, env: e, sum: hashOf(e.Kind, e.Writer, e.Body)})
 	}
-	for _, ask := range work.Asks {
+	for _, ask := range work.PromiseRequests {
 		w.calls = append(w.calls, call{by: i, ask: ask})
 	}
 }
@@ -135,7 +135,7 @@
 func (w *world) refuse(k int) {
 	f := w.appends[k]
 	w.appends = slices.Delete(w.appends, k, k+1)
-	w.change(f.by).h.Appended(f.seq, platform.ErrOutage)
+	w.change(f.by).h.HandleAppendResult(f.seq, platform.ErrOutage)
 }
 
 // carry delivers a call to whoever lives at the address, or its answer.
@@ -143,13 +143,13 @@
 	c := w.calls[k]
 	w.calls = slices.Delete(w.calls, k, k+1)
 	if c.answer != nil {
-		w.change(c.by).h.HandleAnswer(c.ask.ID, *c.answer)
+		w.change(c.by).h.HandlePromiseAnswer(c.ask.ID, *c.answer)
 		return
 	}
 	for i, a := range w.members {
 		if !a.dead && a.h.settings.Self.Address == c.ask.Member.Address {
 			a = w.change(i)
-			answer := a.h.HandleAsk(a.clock(w.now), c.ask.Body)
+			answer := a.h.HandlePromiseRequest(a.clock(w.now), c.ask.Body)
 			w.calls = append(w.calls, call{by: c.by, ask: c.ask, answer: &answer})
 		}
 	}
@@ -236,7 +236,7 @@
 
 func (h *Holder) clone() *Holder {
 	c := *h
-	c.fold = &Fold{next: h.fold.next, members: maps.Clone(h.fold.members), states: maps.Clone(h.fold.states)}
+	c.fold = &Table{next: h.fold.next, members: maps.Clone(h.fold.members), states: maps.Clone(h.fold.states)}
 	c.sent, c.asks, c.promised = maps.Clone(h.sent), maps.Clone(h.asks), maps.Clone(h.promised)
 	c.held, c.acquires = map[Resource]*holding{}, map[Resource]attempt{}
 	for r, l := range h.held {
--- a/internal/lease/split.go
+++ b/internal/lease/split.go
@@ -19,27 +19,27 @@
 // mint slot uses the lower of the old and the new part; once every slot's
 // holder has written a record that has seen it, the new parts are in force.
 type Split struct {
-	Rows []SplitRow `msgpack:"r"`
+	Accounts []AccountSplit `msgpack:"r"`
 }
 
-// SplitRow splits one account's rate. Domains not named get nothing.
-type SplitRow struct {
+// AccountSplit splits one account's rate. Domains not named get nothing.
+type AccountSplit struct {
 	Account string       `msgpack:"a"`
-	Parts   []DomainPart `msgpack:"p"`
+	Shares   []DomainShare `msgpack:"p"`
 }
 
-// DomainPart is one domain's part in thousandths.
-type DomainPart struct {
+// DomainShare is one domain's part in thousandths.
+type DomainShare struct {
 	Domain      string `msgpack:"d"`
 	Thousandths uint16 `msgpack:"n"`
 }
 
 // valid reports that the parts do not sum up to more than the whole.
-func (r SplitRow) valid() bool {
+func (r AccountSplit) valid() bool {
 	sum := 0
-	for i, p := range r.Parts {
+	for i, p := range r.Shares {
 		sum += int(p.Thousandths)
-		if slices.ContainsFunc(r.Parts[:i], func(o DomainPart) bool { return o.Domain == p.Domain }) {
+		if slices.ContainsFunc(r.Shares[:i], func(o DomainShare) bool { return o.Domain == p.Domain }) {
 			return false
 		}
 	}
@@ -47,8 +47,8 @@
 }
 
 // part is the domain's part of the rate.
-func (r SplitRow) part(domain string) float64 {
-	for _, p := range r.Parts {
+func (r AccountSplit) part(domain string) float64 {
+	for _, p := range r.Shares {
 		if p.Domain == domain {
 			return float64(p.Thousandths) / whole
 		}
@@ -59,19 +59,19 @@
 // splits is the state of the split of all accounts. The maps are never
 // changed in place.
 type splits struct {
-	inForce map[string]SplitRow // by account; others are split equally
-	pending map[string]SplitRow
+	inForce map[string]AccountSplit // by account; others are split equally
+	pending map[string]AccountSplit
 	at      platform.Offset // of the pending split
 	version int             // goes up with each change
 }
 
 // split takes a change unless another is still on its way.
-func (f *Fold) split(off platform.Offset, s Split) {
-	if f.splits.pending != nil || len(s.Rows) == 0 {
+func (f *Table) split(off platform.Offset, s Split) {
+	if f.splits.pending != nil || len(s.Accounts) == 0 {
 		return
 	}
-	rows := map[string]SplitRow{}
-	for _, r := range s.Rows {
+	rows := map[string]AccountSplit{}
+	for _, r := range s.Accounts {
 		if !r.valid() {
 			return
 		}
@@ -82,13 +82,13 @@
 }
 
 // settleSplit puts the pending split into force when all have seen it.
-func (f *Fold) settleSplit() {
+func (f *Table) settleSplit() {
 	if f.splits.pending == nil || !f.splitSeen() {
 		return
 	}
 	merged := maps.Clone(f.splits.inForce)
 	if merged == nil {
-		merged = map[string]SplitRow{}
+		merged = map[string]AccountSplit{}
 	}
 	maps.Copy(merged, f.splits.pending)
 	f.splits.inForce, f.splits.pending = merged, nil
@@ -98,9 +98,9 @@
 // splitSeen reports that nobody mints by the parts before the pending split.
 // A holder that cannot be heard, and one whose floor was not taken over yet,
 // may still do so.
-func (f *Fold) splitSeen() bool {
+func (f *Table) splitSeen() bool {
 	for r, s := range f.states {
-		if r.Domain() != "" && (!s.Floor || (s.Holder != "" && s.Seen < f.splits.at)) {
+		if r.Domain() != "" && (!s.HasFloor || (s.Holder != "" && s.HolderApplied < f.splits.at)) {
 			return false
 		}
 	}
@@ -108,14 +108,14 @@
 }
 
 // SplitVersion goes up whenever Part may give other answers.
-func (f *Fold) SplitVersion() int { return f.splits.version }
+func (f *Table) SplitVersion() int { return f.splits.version }
 
 // SplitPending reports that a split is on its way; another would be void.
-func (f *Fold) SplitPending() bool { return f.splits.pending != nil }
+func (f *Table) SplitPending() bool { return f.splits.pending != nil }
 
-// Part is the part (0 to 1) of an account's rate that the domain's slots may
+// Share is the part (0 to 1) of an account's rate that the domain's slots may
 // mint together, where equal is the part of a domain in an equal split.
-func (f *Fold) Part(account, domain string, equal float64) float64 {
+func (f *Table) Share(account, domain string, equal float64) float64 {
 	part := equal
 	if r, ok := f.splits.inForce[account]; ok {
 		part = r.part(domain)
@@ -127,7 +127,7 @@
 }
 
 // SplitAccounts are the accounts that are not split equally.
-func (f *Fold) SplitAccounts() []string {
+func (f *Table) SplitAccounts() []string {
 	names := slices.Collect(maps.Keys(f.splits.inForce))
 	for name := range f.splits.pending {
 		if _, ok := f.splits.inForce[name]; !ok {
@@ -139,8 +139,8 @@
 }
 
 // rowsOf lists rows by account, for a checkpoint.
-func rowsOf(rows map[string]SplitRow) []SplitRow {
-	var list []SplitRow
+func rowsOf(rows map[string]AccountSplit) []AccountSplit {
+	var list []AccountSplit
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		list = append(list, rows[name])
 	}
@@ -148,11 +148,11 @@
 }
 
 // rowsBy is the reverse of rowsOf.
-func rowsBy(list []SplitRow) map[string]SplitRow {
+func rowsBy(list []AccountSplit) map[string]AccountSplit {
 	if len(list) == 0 {
 		return nil
 	}
-	rows := make(map[string]SplitRow, len(list))
+	rows := make(map[string]AccountSplit, len(list))
 	for _, r := range list {
 		rows[r.Account] = r
 	}
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -18,8 +18,8 @@
 const maxRank = 40
 
 // Tick finds the records and asks that are due.
-func (h *Holder) Tick(now time.Duration) Ready {
-	var r Ready
+func (h *Holder) Tick(now time.Duration) Actions {
+	var r Actions
 	if h.leaving {
 		return r
 	}
@@ -37,7 +37,7 @@
 		}
 		r.Records = append(r.Records, h.yields(now)...)
 	}
-	r.Asks = h.askPromises(now)
+	r.PromiseRequests = h.askPromises(now)
 	return r
 }
 
@@ -48,7 +48,7 @@
 
 // join makes this incarnation known, again when the record did not appear.
 func (h *Holder) join(now time.Duration) (Record, bool) {
-	if h.joined() || (h.joinAt != 0 && now-h.joinAt < h.settings.RenewEvery) {
+	if h.joined() || (h.joinAt != 0 && now-h.joinAt < h.settings.RenewInterval) {
 		return Record{}, false
 	}
 	h.joinAt = max(now, 1)
@@ -65,7 +65,7 @@
 // over from it. A holder lost before that record would keep its slots for the
 // hold time.
 func (h *Holder) renew(now time.Duration) (Record, bool) {
-	period := h.settings.RenewEvery
+	period := h.settings.RenewInterval
 	if h.renewNow {
 		period /= joinGap
 	}
@@ -73,10 +73,10 @@
 		return Record{}, false
 	}
 	h.renewAt, h.renewNow = now, false
-	body := Renew{Holder: h.settings.Self.ID, Seen: h.fold.lastSeen(), Seq: h.number(now)}
+	body := Renew{Holder: h.settings.Self.ID, AppliedThrough: h.fold.lastSeen(), Seq: h.number(now)}
 	for _, r := range h.settings.Wanted {
 		if l := h.held[r]; l != nil {
-			body.Leases = append(body.Leases, Renewal{Resource: r, Token: l.token, Floor: h.floorDue(now, r)})
+			body.Leases = append(body.Leases, Renewal{Resource: r, Token: l.token, ClaimsFloor: h.floorDue(now, r)})
 		}
 	}
 	return Record{Kind: KindRenew, Body: body, Seq: body.Seq}, true
@@ -85,7 +85,7 @@
 // floorDue reports that the hold time of an earlier holder is over.
 func (h *Holder) floorDue(now time.Duration, r Resource) bool {
 	s, ok := h.fold.State(r)
-	return ok && (s.Floor || now >= s.FloorSince+h.settings.wait(h.settings.Hold))
+	return ok && (s.HasFloor || now >= s.FloorSince+h.settings.wait(h.settings.HoldTime))
 }
 
 // number counts a record and notes when it was sent.
@@ -99,21 +99,21 @@
 func (h *Holder) acquire(now time.Duration, r Resource) (Record, bool) {
 	s, known := h.fold.State(r)
 	if !known {
-		s = State{Last: NoOffset}
+		s = State{LastOffset: NoOffset}
 	}
 	basis, from := h.basis(r, s)
 	if basis == "" || now < from || now < h.promised[r] {
 		return Record{}, false
 	}
 	a, open := h.acquires[r]
-	if open && now-a.sentAt < h.settings.RenewEvery {
+	if open && now-a.sentAt < h.settings.RenewInterval {
 		return Record{}, false
 	}
 	body := Acquire{
 		Resource: r, Holder: h.settings.Self.ID, Basis: basis,
-		BasedOn: s.Last, Seen: h.fold.lastSeen(), Seq: h.number(now),
+		ExpectedOffset: s.LastOffset, AppliedThrough: h.fold.lastSeen(), Seq: h.number(now),
 	}
-	h.acquires[r] = attempt{basedOn: s.Last, seqs: append(a.seqs, body.Seq), sentAt: now}
+	h.acquires[r] = attempt{basedOn: s.LastOffset, seqs: append(a.seqs, body.Seq), sentAt: now}
 	return Record{Kind: KindAcquire, Body: body, Seq: body.Seq}, true
 }
 
@@ -126,13 +126,13 @@
 	case s.Holder == h.settings.Self.ID:
 		return "", 0
 	case s.Holder == "":
-		return BasisFree, s.FoldedAt + delay
+		return BasisFree, s.AppliedAt + delay
 	case s.Address == self.member.Address && (!known || old.at < self.at):
 		return BasisSuccessor, 0
-	case self.at <= s.Seen:
-		return BasisLapsed, s.FoldedAt + h.settings.wait(h.settings.TTL) + delay
+	case self.at <= s.HolderApplied:
+		return BasisExpired, s.AppliedAt + h.settings.wait(h.settings.TTL) + delay
 	}
-	return BasisHold, s.FoldedAt + h.settings.wait(h.settings.Hold) + delay
+	return BasisHoldExpired, s.AppliedAt + h.settings.wait(h.settings.HoldTime) + delay
 }
 
 // rank is this instance's place among the candidates for a resource, the same
@@ -158,14 +158,14 @@
 func compareIDs(a, b string) int { return cmp.Compare(a, b) }
 
 // askPromises asks all rivals once renewing has failed for a while.
-func (h *Holder) askPromises(now time.Duration) []Ask {
-	if now-h.askAt < h.settings.RenewEvery {
+func (h *Holder) askPromises(now time.Duration) []PromiseRequest {
+	if now-h.askAt < h.settings.RenewInterval {
 		return nil
 	}
 	wanted := map[Member][]wire.LeaseName{}
 	for _, r := range h.settings.Wanted {
 		l := h.held[r]
-		if l == nil || r.Domain() == "" || now-l.sentAt < 2*h.settings.RenewEvery {
+		if l == nil || r.Domain() == "" || now-l.sentAt < 2*h.settings.RenewInterval {
 			continue
 		}
 		for _, m := range h.rivals(r) {
@@ -179,15 +179,15 @@
 	return h.asksFor(now, wanted)
 }
 
-func (h *Holder) asksFor(now time.Duration, wanted map[Member][]wire.LeaseName) []Ask {
-	var asks []Ask
+func (h *Holder) asksFor(now time.Duration, wanted map[Member][]wire.LeaseName) []PromiseRequest {
+	var asks []PromiseRequest
 	for m, leases := range wanted {
-		asks = append(asks, Ask{Member: m, Body: wire.LeasePromiseAsk{
+		asks = append(asks, PromiseRequest{Member: m, Body: wire.LeasePromiseAsk{
 			Holder: h.settings.Self.ID, Member: m.ID,
-			ForMillis: h.settings.PromiseFor.Milliseconds(), Leases: leases,
+			ForMillis: h.settings.PromiseTime.Milliseconds(), Leases: leases,
 		}})
 	}
-	slices.SortFunc(asks, func(a, b Ask) int { return compareIDs(a.Member.ID, b.Member.ID) })
+	slices.SortFunc(asks, func(a, b PromiseRequest) int { return compareIDs(a.Member.ID, b.Member.ID) })
 	clear(h.asks)
 	for i := range asks {
 		h.lastAsk++
--- a/internal/lease/yield.go
+++ b/internal/lease/yield.go
@@ -10,17 +10,17 @@
 // It is safe because the floor is not in use here: the fold has shown the loss
 // of the lease, and with it ended every grant of this instance on it.
 func (h *Holder) yields(now time.Duration) []Record {
-	if now-h.yieldAt < h.settings.RenewEvery {
+	if now-h.yieldAt < h.settings.RenewInterval {
 		return nil
 	}
 	var list []Record
 	for _, r := range h.settings.Wanted {
 		s, ok := h.fold.State(r)
-		if !ok || s.Floor || !h.fold.mayYield(s, h.settings.Self.ID) || h.usesFloor(r) {
+		if !ok || s.HasFloor || !h.fold.mayYield(s, h.settings.Self.ID) || h.usesFloor(r) {
 			continue
 		}
 		h.seq++
-		body := Yield{Resource: r, Owner: s.FloorOwner, By: h.settings.Self.ID}
+		body := Yield{Resource: r, Owner: s.FloorOwner, Writer: h.settings.Self.ID}
 		list = append(list, Record{Kind: KindYield, Body: body, Seq: h.seq})
 	}
 	if len(list) > 0 {
@@ -36,18 +36,18 @@
 }
 
 // yield gives the floor to the present holder.
-func (f *Fold) yield(y Yield) {
+func (f *Table) yield(y Yield) {
 	s, ok := f.states[y.Resource]
-	if !ok || s.Floor || s.FloorOwner != y.Owner || !f.mayYield(s, y.By) {
+	if !ok || s.HasFloor || s.FloorOwner != y.Owner || !f.mayYield(s, y.Writer) {
 		return
 	}
-	s.Floor, s.FloorOwner, s.FloorAddress = true, "", ""
+	s.HasFloor, s.FloorOwner, s.FloorAddress = true, "", ""
 	f.states[y.Resource] = s
 }
 
 // mayYield reports that a member speaks for the owner of a floor: it is the
 // owner, or a later incarnation at the owner's address.
-func (f *Fold) mayYield(s State, by string) bool {
+func (f *Table) mayYield(s State, by string) bool {
 	m, joined := f.members[by]
 	if !joined || s.FloorOwner == "" {
 		return false
--- a/internal/lease/yield_test.go
+++ b/internal/lease/yield_test.go
@@ -18,8 +18,8 @@
 	return []logrec.Envelope{
 		encoded(t, KindJoin, "a", Join{Member: a}),
 		encoded(t, KindJoin, "b", Join{Member: b}),
-		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, BasedOn: NoOffset, Seen: 1, Seq: 1}),
-		encoded(t, KindAcquire, "b", Acquire{Resource: slot, Holder: "b", Basis: BasisLapsed, BasedOn: 2, Seen: 2, Seq: 1}),
+		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 1, Seq: 1}),
+		encoded(t, KindAcquire, "b", Acquire{Resource: slot, Holder: "b", Basis: BasisExpired, ExpectedOffset: 2, AppliedThrough: 2, Seq: 1}),
 	}
 }
 
@@ -31,11 +31,11 @@
 			t.Fatal(err)
 		}
 	}
-	h.CaughtUp()
+	h.MarkCaughtUp()
 	return h
 }
 
-func yielded(r Ready) (Yield, bool) {
+func yielded(r Actions) (Yield, bool) {
 	for _, rec := range r.Records {
 		if y, ok := rec.Body.(Yield); ok {
 			return y, true
@@ -55,11 +55,11 @@
 	is.True(ok)
 	is.Equal(len(a.Grants(time.Minute)), 0) // a uses nothing of it any more
 
-	s, _ := a.Fold().State(slot)
-	is.True(!s.Floor)
+	s, _ := a.Table().State(slot)
+	is.True(!s.HasFloor)
 	is.NoErr(a.Apply(time.Minute, 4, encoded(t, KindYield, "a", y)))
-	s, _ = a.Fold().State(slot)
-	is.True(s.Floor)
+	s, _ = a.Table().State(slot)
+	is.True(s.HasFloor)
 	is.Equal(s.Holder, "b")
 	_, again := yielded(a.Tick(time.Hour))
 	is.True(!again)
@@ -82,11 +82,11 @@
 			is := is.New(t)
 			log := append(lapsedLog(t),
 				encoded(t, KindJoin, x.by.ID, Join{Member: x.by}),
-				encoded(t, KindYield, x.by.ID, Yield{Resource: slot, Owner: "a", By: x.by.ID}))
-			f := NewFold()
+				encoded(t, KindYield, x.by.ID, Yield{Resource: slot, Owner: "a", Writer: x.by.ID}))
+			f := NewTable()
 			foldAll(f, log, 0)
 			s, _ := f.State(slot)
-			is.Equal(s.Floor, x.floor)
+			is.Equal(s.HasFloor, x.floor)
 		})
 	}
 }
--- a/internal/rate/factor.go
+++ b/internal/rate/factor.go
@@ -51,11 +51,11 @@
 
 // FactorsOf are the factors of a domain, one of the given number, from the
 // split that the log shows.
-func FactorsOf(f *lease.Fold, domain string, domains int) map[string]float64 {
+func FactorsOf(f *lease.Table, domain string, domains int) map[string]float64 {
 	factors := map[string]float64{}
 	equal := 1 / float64(domains)
 	for _, account := range f.SplitAccounts() {
-		factors[account] = f.Part(account, domain, equal) / equal
+		factors[account] = f.Share(account, domain, equal) / equal
 	}
 	return factors
 }
--- a/internal/rate/fleet_test.go
+++ b/internal/rate/fleet_test.go
@@ -104,11 +104,11 @@
 	p.limiter.SetAccount(0, "acct", f.part*f.rate, f.part*f.burst)
 	var wanted []lease.Resource
 	for s := range testSlots {
-		wanted = append(wanted, lease.Mint(p.domain, s))
+		wanted = append(wanted, lease.MintSlot(p.domain, s))
 	}
 	set := lease.DefaultSettings(lease.Member{ID: p.id, Domain: p.domain, Address: p.addr}, wanted)
-	set.TTL, set.RenewEvery, set.PromiseFor = 3*time.Second, time.Second, 3*time.Second
-	set.Margin, set.Hold = 200*time.Millisecond, f.hold
+	set.TTL, set.RenewInterval, set.PromiseTime = 3*time.Second, time.Second, 3*time.Second
+	set.Margin, set.HoldTime = 200*time.Millisecond, f.hold
 	p.leases = lease.NewHolder(set)
 }
 
@@ -202,17 +202,17 @@
 				_ = p.leases.Apply(now, p.read, env)
 			}
 		}
-		p.leases.CaughtUp()
+		p.leases.MarkCaughtUp()
 	}
-	if v := p.leases.Fold().SplitVersion(); v != p.splitSeen {
+	if v := p.leases.Table().SplitVersion(); v != p.splitSeen {
 		p.splitSeen = v
-		p.limiter.SetFactors(now, FactorsOf(p.leases.Fold(), p.domain, len(f.domains())))
+		p.limiter.SetFactors(now, FactorsOf(p.leases.Table(), p.domain, len(f.domains())))
 	}
 	work := p.leases.Tick(now)
 	for _, rec := range work.Records {
 		f.append(p, rec)
 	}
-	for _, ask := range work.Asks {
+	for _, ask := range work.PromiseRequests {
 		f.askPromise(p, ask)
 	}
 	slots := testSlots * len(f.domains())
@@ -235,8 +235,8 @@
 	for _, o := range f.procs {
 		if o != p {
 			peers = append(peers, Peer{
-				ID: o.addr, Local: o.domain == p.domain, Share: ShareOf(p.leases.Fold(), o.id, slots),
-				Factors: FactorsOf(p.leases.Fold(), o.domain, len(f.domains())),
+				ID: o.addr, Local: o.domain == p.domain, Share: ShareOf(p.leases.Table(), o.id, slots),
+				Factors: FactorsOf(p.leases.Table(), o.domain, len(f.domains())),
 			})
 		}
 	}
@@ -255,8 +255,8 @@
 			p.limiter.HandleHints(f.clock(p), o.addr, o.limiter.Hints(f.clock(o)))
 		}
 	}
-	s := PlanSplit(p.leases.Fold(), f.domains(), p.limiter.DomainDemand(f.clock(p), p.domain, domainOf))
-	if len(s.Rows) > 0 {
+	s := PlanSplit(p.leases.Table(), f.domains(), p.limiter.DomainDemand(f.clock(p), p.domain, domainOf))
+	if len(s.Accounts) > 0 {
 		f.append(p, lease.Record{Kind: lease.KindSplit, Body: s})
 	}
 }
--- a/internal/rate/limiter_test.go
+++ b/internal/rate/limiter_test.go
@@ -201,13 +201,13 @@
 func TestPlanSplitFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	domains := []string{"d", "e"}
-	f := lease.NewFold()
+	f := lease.NewTable()
 	s := PlanSplit(f, domains, map[string]map[string]float64{
 		"acct":  {"d": 900, "e": 100},
 		"even":  {"d": 510, "e": 490},
 		"quiet": {"d": 0.1},
 	})
-	is.Equal(s.Rows, []lease.SplitRow{{Account: "acct", Parts: []lease.DomainPart{
+	is.Equal(s.Accounts, []lease.AccountSplit{{Account: "acct", Shares: []lease.DomainShare{
 		{Domain: "d", Thousandths: 860}, {Domain: "e", Thousandths: 140},
 	}}})
 }
--- a/internal/rate/links_test.go
+++ b/internal/rate/links_test.go
@@ -19,11 +19,11 @@
 		panic(err)
 	}
 	if !f.logReachable(p) {
-		p.leases.Appended(rec.Seq, platform.ErrOutage)
+		p.leases.HandleAppendResult(rec.Seq, platform.ErrOutage)
 		return
 	}
 	if f.rng.Float64() < f.lost/2 {
-		p.leases.Appended(rec.Seq, platform.ErrUnknown)
+		p.leases.HandleAppendResult(rec.Seq, platform.ErrUnknown)
 		return
 	}
 	f.schedule(f.delay(), nil, func() { f.log = append(f.log, data) })
@@ -54,10 +54,10 @@
 	})
 }
 
-func (f *fleet) askPromise(p *process, ask lease.Ask) {
+func (f *fleet) askPromise(p *process, ask lease.PromiseRequest) {
 	f.call(p, ask.Member.Address, func(to *process) func() {
-		a := to.leases.HandleAsk(f.clock(to), ask.Body)
-		return func() { p.leases.HandleAnswer(ask.ID, a) }
+		a := to.leases.HandlePromiseRequest(f.clock(to), ask.Body)
+		return func() { p.leases.HandlePromiseAnswer(ask.ID, a) }
 	})
 }
 
--- a/internal/rate/parts.go
+++ b/internal/rate/parts.go
@@ -90,9 +90,9 @@
 		}
 		slot := 1 / float64(slots)
 		name := string(g.Resource)
-		parts = append(parts, Part{Name: name, Full: g.First, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
+		parts = append(parts, Part{Name: name, Full: g.FirstHolder, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
 		if g.FloorUntil > 0 {
-			parts = append(parts, Part{Name: name + floorSuffix, Full: g.First, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
+			parts = append(parts, Part{Name: name + floorSuffix, Full: g.FirstHolder, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
 		}
 	}
 	return parts
@@ -100,9 +100,9 @@
 
 // ShareOf is the part of all rates that a peer mints, as the log shows it. It
 // only steers asks.
-func ShareOf(f *lease.Fold, peer string, slots int) float64 {
+func ShareOf(f *lease.Table, peer string, slots int) float64 {
 	n := 0
-	f.Resources(func(r lease.Resource, s lease.State) {
+	f.EachHeld(func(r lease.Resource, s lease.State) {
 		if s.Holder == peer && r.Domain() != "" {
 			n++
 		}
--- a/internal/rate/split.go
+++ b/internal/rate/split.go
@@ -44,7 +44,7 @@
 // domain, tokens per second), or no rows when it is near enough. Call it on the
 // holder of a duty lease, not more often than every 30 s, and only while all
 // domains are heard: the demand of a domain that is cut off is not 0.
-func PlanSplit(f *lease.Fold, domains []string, demand map[string]map[string]float64) lease.Split {
+func PlanSplit(f *lease.Table, domains []string, demand map[string]map[string]float64) lease.Split {
 	var s lease.Split
 	if f.SplitPending() {
 		return s
@@ -52,10 +52,10 @@
 	equal := 1 / float64(len(domains))
 	for _, account := range slices.Sorted(maps.Keys(demand)) {
 		row, change := planRow(account, domains, demand[account], func(domain string) float64 {
-			return f.Part(account, domain, equal)
+			return f.Share(account, domain, equal)
 		})
 		if change >= splitStep {
-			s.Rows = append(s.Rows, row)
+			s.Accounts = append(s.Accounts, row)
 		}
 	}
 	return s
@@ -63,9 +63,9 @@
 
 // planRow is the wanted split of one account and how far the largest change
 // of a part goes.
-func planRow(account string, domains []string, demand map[string]float64, part func(string) float64) (lease.SplitRow, float64) {
+func planRow(account string, domains []string, demand map[string]float64, part func(string) float64) (lease.AccountSplit, float64) {
 	const thousandths = 1000
-	row, change, sum := lease.SplitRow{Account: account}, 0.0, 0.0
+	row, change, sum := lease.AccountSplit{Account: account}, 0.0, 0.0
 	for _, d := range domains {
 		sum += demand[d]
 	}
@@ -75,7 +75,7 @@
 	for _, d := range domains {
 		want := splitFloor/float64(len(domains)) + (1-splitFloor)*demand[d]/sum
 		change = max(change, math.Abs(want-part(d)))
-		row.Parts = append(row.Parts, lease.DomainPart{Domain: d, Thousandths: uint16(thousandths * want)})
+		row.Shares = append(row.Shares, lease.DomainShare{Domain: d, Thousandths: uint16(thousandths * want)})
 	}
 	return row, change
 }
--- a/internal/rate/window_test.go
+++ b/internal/rate/window_test.go
@@ -90,15 +90,15 @@
 
 // moveTo splits the rate anew, most of it to one domain.
 func (f *fleet) moveTo(p *process) {
-	row := lease.SplitRow{Account: "acct"}
+	row := lease.AccountSplit{Account: "acct"}
 	for _, d := range f.domains() {
 		n := uint16(50)
 		if d == p.domain {
 			n = 900
 		}
-		row.Parts = append(row.Parts, lease.DomainPart{Domain: d, Thousandths: n})
+		row.Shares = append(row.Shares, lease.DomainShare{Domain: d, Thousandths: n})
 	}
-	f.append(p, lease.Record{Kind: lease.KindSplit, Body: lease.Split{Rows: []lease.SplitRow{row}}})
+	f.append(p, lease.Record{Kind: lease.KindSplit, Body: lease.Split{Accounts: []lease.AccountSplit{row}}})
 }
 
 // configure changes the rate and burst; the instances follow one by one.
--- a/internal/slopes/records.go
+++ b/internal/slopes/records.go
@@ -93,16 +93,16 @@
 	sizes := []int{50, 200, 800, 2400}
 	return []Slope{
 		measure("lease-record", "leases in a renewal", "bytes of the record", []int{1, 4, 16, 64}, func(n int) float64 {
-			r := lease.Renew{Holder: incarnation, Seen: 1 << 30, Seq: 1 << 20}
+			r := lease.Renew{Holder: incarnation, AppliedThrough: 1 << 30, Seq: 1 << 20}
 			for i := range n {
-				r.Leases = append(r.Leases, lease.Renewal{Resource: lease.Mint("domain-01", i), Token: 1 << 30})
+				r.Leases = append(r.Leases, lease.Renewal{Resource: lease.MintSlot("domain-01", i), Token: 1 << 30})
 			}
 			return float64(len(record(lease.KindRenew, r)))
 		}),
 		measure("lease-fold", "renewals", "ns for all", sizes, func(n int) float64 {
 			raws := renewals(n)
 			return nanos(1, func() {
-				f := lease.NewFold()
+				f := lease.NewTable()
 				for i, raw := range raws {
 					e, _ := logrec.Decode(raw)
 					_ = f.Apply(0, platform.Offset(i), e)
@@ -113,7 +113,7 @@
 			raws := renewals(n)
 			defer runtime.KeepAlive(raws)
 			return heapBytes(func() any {
-				f := lease.NewFold()
+				f := lease.NewTable()
 				for i, raw := range raws {
 					e, _ := logrec.Decode(raw)
 					_ = f.Apply(0, platform.Offset(i), e)
@@ -130,12 +130,12 @@
 	add := func(kind logrec.Kind, body any) { out = append(out, record(kind, body)) }
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", incarnation, i)
-		r := lease.Mint("domain-01", i)
+		r := lease.MintSlot("domain-01", i)
 		add(lease.KindJoin, lease.Join{Member: lease.Member{ID: id, Domain: "domain-01", Address: fmt.Sprintf("10.0.%d.%d:7000", i>>8, i&255)}})
 		token := platform.Offset(len(out))
 		seen := token - 1
-		add(lease.KindAcquire, lease.Acquire{Resource: r, Holder: id, Basis: lease.BasisFree, BasedOn: lease.NoOffset, Seen: seen, Seq: 1})
-		add(lease.KindRenew, lease.Renew{Holder: id, Leases: []lease.Renewal{{Resource: r, Token: token}}, Seen: token, Seq: 2})
+		add(lease.KindAcquire, lease.Acquire{Resource: r, Holder: id, Basis: lease.BasisFree, ExpectedOffset: lease.NoOffset, AppliedThrough: seen, Seq: 1})
+		add(lease.KindRenew, lease.Renew{Holder: id, Leases: []lease.Renewal{{Resource: r, Token: token}}, AppliedThrough: token, Seq: 2})
 	}
 	return out
 }
