--- a/internal/logrec/envelope.go
+++ b/internal/logrec/envelope.go
@@ -5,33 +5,34 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxRecordBytes bounds one encoded record.
+// MaxRecordBytes is the greatest size of one encoded record.
 const MaxRecordBytes = 256 << 10
 
-// ErrMalformed is returned for bytes that are no envelope.
-var ErrMalformed = errors.New("log record: malformed")
+// ErrMalformed marks errors about bytes that do not decode as a record.
+var ErrMalformed = errors.New("malformed log record")
 
-// Kind says what a record's body is, such as "claim" or "lease.renew".
+// Kind identifies the type of a record's body, such as "claim" or
+// "lease.renew".
 type Kind string
 
 // Envelope is one record as stored in the log.
 type Envelope struct {
 	Kind Kind `msgpack:"k"`
-	// Writer is the writer: an instance incarnation or an operator.
+	// Writer is the instance incarnation or the operator that wrote the record.
 	Writer string `msgpack:"b"`
-	// AtMillis is the writer's wall clock in Unix milliseconds, for people
-	// to read; no decision may depend on it.
+	// AtMillis is the writer's wall clock in Unix milliseconds. It is for
+	// people to read; no decision may depend on it.
 	AtMillis int64              `msgpack:"t"`
 	Body     msgpack.RawMessage `msgpack:"d"`
 }
 
-// Encode builds a record from a typed body.
-func Encode(kind Kind, by string, atMillis int64, body any) ([]byte, error) {
+// Encode returns the encoded record for a typed body.
+func Encode(kind Kind, writer string, atMillis int64, body any) ([]byte, error) {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode record body kind=%s", kind)
 	}
-	data, err := msgpack.Marshal(&Envelope{Kind: kind, Writer: by, AtMillis: atMillis, Body: raw})
+	data, err := msgpack.Marshal(&Envelope{Kind: kind, Writer: writer, AtMillis: atMillis, Body: raw})
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode record kind=%s", kind)
 	}
@@ -41,12 +42,13 @@
 	return data, nil
 }
 
-// Decode reads the envelope. Bytes that do not decode give ErrMalformed:
-// a fold skips such a record, the same way on every instance.
+// Decode decodes the envelope of a record. It returns an error marked
+// ErrMalformed for bytes that do not decode; every instance skips such a
+// record.
 func Decode(data []byte) (Envelope, error) {
 	var e Envelope
 	if len(data) > MaxRecordBytes {
-		return e, errors.Wrapf(ErrMalformed, "%d bytes", len(data))
+		return e, errors.Wrapf(ErrMalformed, "%d bytes, at most %d", len(data), MaxRecordBytes)
 	}
 	if err := msgpack.Unmarshal(data, &e); err != nil {
 		return e, errors.Mark(errors.Wrap(err, "decode record"), ErrMalformed)
