--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -1,12 +1,14 @@
-// Package orderlease makes sure that one instance at a time gives orders to
-// targets, on a record in the platform's store.
+// Package orderlease ensures that only one instance at a time sends orders to
+// targets. The lease is a record in the platform's store.
 //
-// The lease is held only while there is work: no instance renews it in quiet
-// times, and the last holder may go on at once when there is work again. The
-// record is written under the condition that nobody wrote since it was read,
-// so of two writers one fails, whatever becomes of their answers.
+// The lease is held only while there is work. Nobody renews it otherwise, and
+// the last holder may continue at once when there is work again. The record is
+// written by compare-and-set: a write succeeds only if nothing was written
+// since the record was read. So of two competing writers one fails, even if
+// their answers are lost.
 //
-// The package is pure: time and the store's answers come in as arguments.
+// The package does no I/O and reads no clock: times and the store's answers are
+// arguments.
 package orderlease
 
 import (
@@ -14,184 +16,194 @@
 	"time"
 )
 
-// Record is the lease as it stands in the store.
+// Record is the lease as stored.
 type Record struct {
-	// Holder is the incarnation of the instance that wrote it, Instance its
-	// name.
+	// Holder is the incarnation of the instance that wrote the record, Instance
+	// that instance's name.
 	Holder   string
 	Instance string
-	// Released is set by a holder that gives no more orders.
+	// Released is set by a holder that sends no more orders.
 	Released bool
-	// Token is the fencing token: the offset of the holder's first record
-	// since another one held the lease.
+	// Token is the fencing token: the offset of the first record that the
+	// holder wrote after another holder's.
 	Token int64
-	// NextOffset is the offset that the next record will get. A record that was
-	// written again moves it.
+	// NextOffset is the offset that the next record will get. Each write of the
+	// record advances it.
 	NextOffset int64
 }
 
-// Store is where the record is kept.
+// Store keeps the record.
 type Store interface {
-	// ReadLease reads the record; its Holder is empty when there is none.
+	// ReadLease reads the record. Its Holder is empty when there is none.
 	ReadLease(ctx context.Context) (Record, error)
-	// WriteLease writes a record if nothing was written since offset at. An
-	// error leaves open whether it was, or still will be.
+	// WriteLease writes a record if nothing was written since offset at. After
+	// an error it is unknown whether the record was written or still will be.
 	WriteLease(ctx context.Context, at int64, r Record) (written bool, err error)
 }
 
-// Settings of the protocol; the same on all instances.
+// Settings configure the protocol. They must be equal on all instances.
 type Settings struct {
-	// TTL is how long a record gives its writer the right to send orders,
-	// counted from before it was written.
+	// TTL is how long a record entitles its writer to send orders, counted from
+	// before it was written.
 	TTL time.Duration
-	// HandoverGap is the least time between the last order of one holder and the
-	// first of the next. Targets that do not check tokens must be done with
-	// the one before they hear the other.
+	// HandoverGap is the minimum time between the last order of one holder and
+	// the first order of the next. Targets that do not check fencing tokens
+	// must have finished the former before they receive the latter.
 	HandoverGap time.Duration
-	// RenewBefore is how long before its end a right is renewed.
+	// RenewBefore is how long before its end a lease is renewed.
 	RenewBefore time.Duration
 }
 
-// DefaultSettings are the times used unless the platform asks for others.
+// DefaultSettings returns the settings used unless the platform requires
+// others.
 func DefaultSettings() Settings {
 	return Settings{
-		TTL:       1500 * time.Millisecond, // some renewals may fail before it ends
-		HandoverGap:         3300 * time.Millisecond, // the platform's lease time and a tenth for the clocks
-		RenewBefore: 700 * time.Millisecond,  // two answers of a slow store
+		TTL:         1500 * time.Millisecond, // leaves time for retries of a failed renewal
+		HandoverGap: 3300 * time.Millisecond, // the platform's lease time plus 10% for clock drift
+		RenewBefore: 700 * time.Millisecond,  // two round trips to a slow store
 	}
 }
 
-// Lease is one instance's view. It is not safe for concurrent use.
+// Lease is one instance's view of the lease. It is not safe for concurrent use.
 type Lease struct {
 	settings Settings
 	self     string
 	// instance is the name of the instance that this process runs on.
 	instance string
 
-	known  bool
-	record Record
-	// seenAt is when the present record was first seen here.
+	recordKnown bool
+	record      Record
+	// seenAt is when this process first saw the current record.
 	seenAt time.Duration
-	// validUntil ends the right that the own record gives.
+	// validUntil is when the last own record stops entitling this instance to
+	// send orders.
 	validUntil time.Duration
-	// sentAt is when the own write under way was sent.
-	sentAt time.Duration
-	// open is the own writes of unknown outcome.
-	open unsettled
-	// left is set once this instance has released the lease.
-	left bool
+	// writeSentAt is when the own write in flight was sent.
+	writeSentAt time.Duration
+	// pendingWrite describes the own writes whose outcome is unknown.
+	pendingWrite unresolvedWrite
+	// released is set once this instance has released the lease.
+	released bool
 }
 
-// unsettled is own writes at one offset whose answers were lost. At most one of
-// them is ever carried out, and nothing tells which.
-type unsettled struct {
-	there bool
-	at    int64
-	// first is when the first of them was sent. Others count their wait from
-	// when they see the record, which may be any time after that.
-	first time.Duration
+// unresolvedWrite describes own writes at one offset whose answers were lost.
+// At most one of them takes effect, and it is unknown which.
+type unresolvedWrite struct {
+	present bool
+	offset  int64
+	// firstSentAt is when the first of them was sent. Validity is counted from
+	// here, since the other instances count their wait from when they see the
+	// record, which may be any time later.
+	firstSentAt time.Duration
 }
 
-// New makes a view that knows nothing yet. self is this process's
-// incarnation: an earlier process of the instance is another holder.
+// New returns a view that has not read the record yet. self is this process's
+// incarnation; an earlier process of the same instance is another holder.
 func New(self string, s Settings) *Lease { return &Lease{settings: s, self: self} }
 
-// WithInstance names the instance that this process runs on, of which no two run at once.
+// WithInstance sets the name of the instance that this process runs on, and
+// returns l. No two processes of an instance run at the same time.
 func (l *Lease) WithInstance(instance string) *Lease {
 	l.instance = instance
 	return l
 }
 
-// HandleRead takes in the record as read by a call that was answered at now.
+// HandleRead handles a record that was read by a call answered at now.
 func (l *Lease) HandleRead(now time.Duration, r Record) {
-	if l.known && r.NextOffset <= l.record.NextOffset {
+	if l.recordKnown && r.NextOffset <= l.record.NextOffset {
 		return
 	}
 	if r.NextOffset > l.record.NextOffset {
 		l.seenAt = now
 	}
-	l.known, l.record = true, r
-	if !l.open.there || r.NextOffset <= l.open.at {
-		return // the record is from before them
+	l.recordKnown, l.record = true, r
+	if !l.pendingWrite.present || r.NextOffset <= l.pendingWrite.offset {
+		return // the record is from before these writes
 	}
 	if r.Holder == l.self {
-		l.validUntil = max(l.validUntil, l.open.first+l.settings.TTL)
+		l.validUntil = max(l.validUntil, l.pendingWrite.firstSentAt+l.settings.TTL)
 	}
-	l.open = unsettled{}
+	l.pendingWrite = unresolvedWrite{}
 }
 
-// Held gives the fencing token while this instance may send orders.
+// Held returns the fencing token; ok is false unless this instance may send
+// orders at now.
 func (l *Lease) Held(now time.Duration) (token int64, ok bool) {
-	return l.record.Token, l.known && l.record.Holder == l.self && now < l.validUntil
+	return l.record.Token, l.recordKnown && l.record.Holder == l.self && now < l.validUntil
 }
 
-// Record is the record as it was read or written last.
+// Record returns the record as last read or written.
 func (l *Lease) Record() Record { return l.record }
 
-// ValidUntil is when the right to send orders ends.
+// ValidUntil returns when this instance must stop sending orders.
 func (l *Lease) ValidUntil() time.Duration { return l.validUntil }
 
-// IsLastHolder says that this instance wrote the present record, as far as is
-// known: no other has given orders since.
-func (l *Lease) IsLastHolder() bool { return l.known && l.record.Holder == l.self }
+// IsLastHolder reports whether this instance wrote the current record, as far
+// as is known: nobody else has sent orders since.
+func (l *Lease) IsLastHolder() bool { return l.recordKnown && l.record.Holder == l.self }
 
-// WasLastKnownHolder says that this instance wrote the last record that it knew, though a
-// write of unknown outcome may have come after it.
+// WasLastKnownHolder reports whether this instance wrote the last record that
+// it knows of, even if a write of unknown outcome may have followed.
 func (l *Lease) WasLastKnownHolder() bool { return l.record.Holder == l.self && l.self != "" }
 
-// NeedsRead says that the record has to be read before anything can be decided.
-func (l *Lease) NeedsRead() bool { return !l.known }
+// NeedsRead reports whether the record has to be read before a new one can be
+// proposed.
+func (l *Lease) NeedsRead() bool { return !l.recordKnown }
 
-// Propose gives the record to write now, if one may be written. Call Sent
-// before it is.
+// Propose returns the record to write now and the offset to write it at; ok is
+// false if none may be written or no renewal is due. Call MarkSent before the
+// write.
 func (l *Lease) Propose(now time.Duration) (at int64, r Record, ok bool) {
 	switch {
-	case !l.known || l.left:
+	case !l.recordKnown || l.released:
 		return 0, Record{}, false
 	case l.record.Holder == l.self:
 		return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token}, now >= l.validUntil-l.settings.RenewBefore
-	case l.record.Holder != "" && now < l.seenAt+l.wait():
+	case l.record.Holder != "" && now < l.seenAt+l.takeoverDelay():
 		return 0, Record{}, false
 	}
 	return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.NextOffset}, true
 }
 
-// wait is how long after another holder's record the next may begin. The holder
-// gives no more orders if it has released the lease, or if it was an earlier
-// process of this instance: after a restart of all a rollout goes on 1.5 s sooner.
-func (l *Lease) wait() time.Duration {
+// takeoverDelay returns how long after another holder's record was first seen
+// this instance may take over. The other holder sends no more orders, and the
+// TTL need not pass, if it has released the lease or was an earlier process of
+// this instance. The latter lets a rollout continue 1.5 s earlier after all
+// instances restarted.
+func (l *Lease) takeoverDelay() time.Duration {
 	if l.record.Released || l.instance != "" && l.record.Instance == l.instance {
 		return l.settings.HandoverGap
 	}
 	return l.settings.TTL + l.settings.HandoverGap
 }
 
-// Release gives the record by which a holder ends its right early, and ends it
-// here. False when this instance does not hold the lease.
+// Release ends the lease here and returns the record by which others learn of
+// it; ok is false when this instance is not the holder.
 func (l *Lease) Release() (at int64, r Record, ok bool) {
 	if !l.IsLastHolder() || l.record.Released {
 		return 0, Record{}, false
 	}
-	l.validUntil, l.left = 0, true
+	l.validUntil, l.released = 0, true
 	return l.record.NextOffset, Record{Holder: l.self, Instance: l.instance, Token: l.record.Token, Released: true}, true
 }
 
-// MarkSent notes that a proposed record is on its way.
-func (l *Lease) MarkSent(now time.Duration) { l.sentAt = now }
+// MarkSent notes that the proposed record is about to be written.
+func (l *Lease) MarkSent(now time.Duration) { l.writeSentAt = now }
 
-// HandleWritten takes in that the store has written the record, at offset at.
+// HandleWritten handles the store's answer that the record was written at
+// offset at.
 func (l *Lease) HandleWritten(now time.Duration, at int64, r Record) {
 	r.NextOffset = at + 1
 	l.record, l.seenAt = r, now
-	l.validUntil = l.sentAt + l.settings.TTL
-	l.open = unsettled{}
+	l.validUntil = l.writeSentAt + l.settings.TTL
+	l.pendingWrite = unresolvedWrite{}
 }
 
-// HandleWriteFailure takes in that the store refused the record at offset at, or that
-// its outcome is unknown. Either way the record has to be read again.
+// HandleWriteFailure handles a write at offset at that the store refused or
+// whose outcome is unknown. In both cases the record has to be read again.
 func (l *Lease) HandleWriteFailure(at int64, outcomeKnown bool) {
-	l.known = false
-	if !outcomeKnown && (!l.open.there || l.open.at != at) {
-		l.open = unsettled{there: true, at: at, first: l.sentAt}
+	l.recordKnown = false
+	if !outcomeKnown && (!l.pendingWrite.present || l.pendingWrite.offset != at) {
+		l.pendingWrite = unresolvedWrite{present: true, offset: at, firstSentAt: l.writeSentAt}
 	}
 }
