--- a/internal/weights/planner.go
+++ b/internal/weights/planner.go
@@ -1,13 +1,14 @@
-// Package weights brings model servers to the newest weights that operators
-// named.
+// Package weights brings model servers to the newest weights version that
+// operators named.
 //
-// The planner compares what targets report with what is wanted and says which
-// target to ask and which to order next. It keeps no ledger: targets report
-// the orders that they have accepted, an order carries the count at which it
-// is to be carried out, and an older one that arrives late finds another
-// count. So a new holder of the lease starts from the targets' own word.
+// The planner compares what targets report with what operators want, and tells
+// which target to query and which to order next. It keeps no log of orders:
+// targets report how many orders they have accepted, and each order carries the
+// count that it expects, so that an older order that arrives late finds another
+// count and is refused. Therefore a new holder of the lease can start from the
+// targets' reports alone.
 //
-// The package is pure.
+// The package does no I/O and reads no clock.
 package weights
 
 import (
@@ -18,25 +19,26 @@
 	"github.com/mastictray/mastictray/internal/directory"
 )
 
-// Observation is what a target answered to a question about its state.
+// Observation is a target's answer to a state query.
 type Observation struct {
-	// QueriedAt is when the question was sent.
+	// QueriedAt is when the query was sent.
 	QueriedAt time.Duration
-	// Versions are the weights versions of its models.
+	// Versions maps each of the target's models to its weights version.
 	Versions map[string]int64
-	// Busy is set while it carries out an order.
+	// Busy is set while the target carries out an order.
 	Busy bool
-	// AcceptedOrders counts the orders accepted since its start.
+	// AcceptedOrders is the number of orders accepted since the target started.
 	AcceptedOrders int64
 }
 
-// Order makes a target load a version.
+// Order tells a target to load a version.
 type Order struct {
 	Model   string
 	Version int64
-	// ExpectedAccepted is the count at which the order is to be carried out.
+	// ExpectedAccepted is the number of accepted orders at which the target
+	// carries this order out. At any other number it refuses.
 	ExpectedAccepted int64
-	// Holder and Token name the lease under which it is given.
+	// Holder and Token identify the lease under which the order is sent.
 	Holder string
 	Token  int64
 }
@@ -44,96 +46,101 @@
 // Receipt is a target's answer to an order.
 type Receipt string
 
-// The receipts. No answer at all leaves open whether the order was accepted.
+// The possible receipts. If no answer arrives, it is unknown whether the order
+// was accepted.
 const (
-	// ReceiptAccepted: the target carries it out.
+	// ReceiptAccepted: the target carries the order out.
 	ReceiptAccepted Receipt = "taken"
 	// ReceiptAlreadyLoaded: the target has the version already.
 	ReceiptAlreadyLoaded Receipt = "in_force"
-	// ReceiptConflict: another order is under way, or the count is another.
+	// ReceiptConflict: another order is being carried out, or the number of
+	// accepted orders differs from the expected one.
 	ReceiptConflict Receipt = "conflict"
-	// ReceiptRejected: the order is not valid, its token is stale, or another target
-	// has the address.
+	// ReceiptRejected: the order is not valid, its fencing token is stale, or
+	// another target has the address.
 	ReceiptRejected Receipt = "rejected"
 )
 
-// Settings of a planner.
+// Settings configure a planner.
 type Settings struct {
-	// ParallelDivisor: one in so many of the targets may load at once.
+	// ParallelDivisor sets the usual number of targets that load at the same
+	// time: one in this many.
 	ParallelDivisor int
-	// LeadTime is how long a target is announced as about to load before it
-	// is ordered: one exchange between instances and a bit. A request sent
-	// meanwhile would be refused.
+	// LeadTime is how long a target is announced as about to load before it is
+	// ordered. It is a little more than one exchange between instances:
+	// requests sent to the target by instances that have not heard of the load
+	// would be refused.
 	LeadTime time.Duration
-	// PollInterval is the pause between questions to a target that loads.
+	// PollInterval is the time between queries to a target that loads.
 	PollInterval time.Duration
-	// ResendAfter is when an order without an answer is sent again, if the
-	// target's count shows that it was not accepted.
+	// ResendAfter is the time after which an order without an answer is sent
+	// again, if the target's count shows that it was not accepted.
 	ResendAfter time.Duration
-	// RetryAfter is the pause after a target rejected an order or could not
-	// be asked.
+	// RetryAfter is the pause after a target rejected an order or could not be
+	// queried.
 	RetryAfter time.Duration
-	// SilenceTimeout is when a target without a sign of a load no longer holds up
-	// the others.
+	// SilenceTimeout is the time after which a target that shows no sign of a
+	// load no longer occupies a load slot.
 	SilenceTimeout time.Duration
-	// InitialLoadTime is the time from the choice of a target until it serves the new
-	// version, before any was observed.
+	// InitialLoadTime is the assumed time from the choice of a target until it
+	// serves the new version, before any load was observed.
 	InitialLoadTime time.Duration
-	// LoadTimeout is when a target that does not come back with the version is
-	// ordered again.
+	// LoadTimeout is the time after which a target that does not serve the
+	// version is ordered again.
 	LoadTimeout time.Duration
 }
 
-// DefaultSettings suit loads of about a second.
+// DefaultSettings returns settings that suit loads of about a second.
 func DefaultSettings() Settings {
 	return Settings{
 		ParallelDivisor: 5,
 		LeadTime:        300 * time.Millisecond,
-		PollInterval:       250 * time.Millisecond, // reports lag by 100 ms
+		PollInterval:    250 * time.Millisecond, // reports lag by 100 ms
 		ResendAfter:     1200 * time.Millisecond,
 		RetryAfter:      time.Second,
-		SilenceTimeout:     2 * time.Second,
-		InitialLoadTime:        2 * time.Second,
+		SilenceTimeout:  2 * time.Second,
+		InitialLoadTime: 2 * time.Second,
 		LoadTimeout:     4 * time.Second,
 	}
 }
 
-// Planner decides for all model servers. It is not safe for concurrent use.
+// Planner decides which model servers load when. It is not safe for concurrent
+// use.
 type Planner struct {
 	settings Settings
 	targets  map[string]*progress
-	// loadTime is the time from the choice of a target until it serves the new
-	// version, as observed.
+	// loadTime is the mean time from the choice of a target until it serves the
+	// new version, as observed.
 	loadTime time.Duration
 }
 
-// New makes a planner that knows nothing of any target.
+// New returns a planner that knows nothing of any target.
 func New(s Settings) *Planner {
 	return &Planner{settings: s, targets: map[string]*progress{}, loadTime: s.InitialLoadTime}
 }
 
-// Goal is a version that targets of a service should serve.
+// Goal is the version that the targets of a service should serve.
 type Goal struct {
 	Service string
 	Model   string
 	Version int64
-	// OldestServing is the oldest version that may serve. Targets behind it get no
-	// requests.
+	// OldestServing is the oldest version that may serve. Targets with older
+	// ones are excluded: they get no requests.
 	OldestServing int64
-	// Deadlines are those still to come, in any order.
+	// Deadlines lists the deadlines that have not passed, in any order.
 	Deadlines []Deadline
-	// Unreachable are the targets that answer nobody at present.
+	// Unreachable holds the targets that currently answer no instance.
 	Unreachable map[string]bool
 }
 
-// Deadline is when targets with older weights than a version get no requests
-// any more.
+// Deadline is the time from which targets with weights older than Version get
+// no requests.
 type Deadline struct {
 	Version int64
 	At      time.Duration
 }
 
-// StateQuery is a question to send to a target.
+// StateQuery is a query to send to a target.
 type StateQuery struct{ Target directory.Registration }
 
 // OutgoingOrder is an order to send to a target.
@@ -146,178 +153,186 @@
 type CompletedLoad struct {
 	Target  directory.Registration
 	Version int64
-	// Took is the time from the order to the first sight of the new version.
+	// Took is the time from the order until the new version was first seen.
 	Took time.Duration
 }
 
-// Actions are what to do now.
+// Actions are the queries and orders to send now.
 type Actions struct {
-	Queries  []StateQuery
-	Orders []OutgoingOrder
+	Queries []StateQuery
+	Orders  []OutgoingOrder
 	// Completed lists the loads that have ended since the last call.
 	Completed []CompletedLoad
 }
 
-// HasPending says whether some target does not serve its goal, as far as known.
+// HasPending reports whether some target is known to serve an older version
+// than its goal.
 func (p *Planner) HasPending(g Goal, targets []directory.Registration) bool {
-	return slices.ContainsFunc(targets, func(t directory.Registration) bool { return p.behind(g, &t) })
+	return slices.ContainsFunc(targets, func(t directory.Registration) bool { return p.needsLoad(g, &t) })
 }
 
-// behind compares the newest word on a target's version with the goal.
-func (p *Planner) behind(g Goal, t *directory.Registration) bool {
-	return p.older(t, g.Model, g.Version)
+// needsLoad reports whether a target is known to serve an older version than
+// its goal.
+func (p *Planner) needsLoad(g Goal, t *directory.Registration) bool {
+	return p.servesOlder(t, g.Model, g.Version)
 }
 
-// older says that a target is known to serve an older version of a model.
-func (p *Planner) older(t *directory.Registration, model string, than int64) bool {
-	version, known := p.served(t, model)
+// servesOlder reports whether a target is known to serve a version of a model
+// older than the given one.
+func (p *Planner) servesOlder(t *directory.Registration, model string, than int64) bool {
+	version, known := p.servedVersion(t, model)
 	return known && version < than
 }
 
-// served is the version of a model that a target was seen to serve or has
-// registered, the newer of the two; false when neither tells.
-func (p *Planner) served(t *directory.Registration, model string) (version int64, known bool) {
+// servedVersion returns the newer of the versions of a model that a target was
+// observed to serve and has registered; known is false when there is neither.
+func (p *Planner) servedVersion(t *directory.Registration, model string) (version int64, known bool) {
 	version, known = t.Versions[model]
-	if q := p.targets[t.ID]; q != nil && q.incarnation == t.Incarnation() && q.seen != nil {
-		if v, ok := q.seen.Versions[model]; ok {
+	if prog := p.targets[t.ID]; prog != nil && prog.incarnation == t.Incarnation() && prog.observation != nil {
+		if v, ok := prog.observation.Versions[model]; ok {
 			version, known = max(version, v), true
 		}
 	}
 	return version, known
 }
 
-// TrackLoads watches the loads that were ordered under a lease that is lost. It
-// orders nothing. Without it the targets would count as loading until this
+// TrackLoads tracks loads that were ordered before the lease was lost, and
+// orders nothing. Without it these targets would count as loading until this
 // instance holds the lease again.
 func (p *Planner) TrackLoads(now time.Duration, g Goal, targets []directory.Registration) Actions {
 	var out Actions
 	for i := range targets {
 		t := &targets[i]
-		q := p.of(t)
-		if q.phase == asking || q.phase == ordered && now-q.sentAt >= p.settings.ResendAfter {
-			q.phase, q.seen = idle, nil
+		prog := p.progressOf(t)
+		if prog.phase == querying || prog.phase == ordered && now-prog.sentAt >= p.settings.ResendAfter {
+			prog.phase, prog.observation = idle, nil
 		}
-		if q.phase != idle {
-			p.step(now, g, t, q, &out)
+		if prog.phase != idle {
+			p.advance(now, g, t, prog, &out)
 		}
 	}
 	return out
 }
 
-// Tick decides for one goal. Only the holder of the lease may call it.
+// Tick decides what to do for one goal. Only the holder of the lease may call
+// it.
 func (p *Planner) Tick(now time.Duration, g Goal, targets []directory.Registration) Actions {
 	var out Actions
-	p.forget(targets)
-	underWay, late, limit := 0, p.late(g, targets), p.limit(now, g, targets)
+	p.prune(targets)
+	loads, mostExcluded, limit := 0, p.mostExcluded(g, targets), p.loadLimit(now, g, targets)
 	for i := range targets {
 		t := &targets[i]
-		q := p.of(t)
-		if q.phase != idle {
-			p.step(now, g, t, q, &out)
+		prog := p.progressOf(t)
+		if prog.phase != idle {
+			p.advance(now, g, t, prog, &out)
 		}
-		if p.holdsSlot(now, g, t, q) && !(late && p.excluded(g, t)) {
-			underWay++
+		if p.holdsSlot(now, g, t, prog) && !(mostExcluded && p.excluded(g, t)) {
+			loads++
 		}
 	}
 	for _, t := range p.candidates(now, g, targets) {
-		free := late && p.excluded(g, &t) || g.Unreachable[t.ID]
-		if !free && (underWay >= limit || late && p.mayWait(now, g, &t)) {
+		exempt := mostExcluded && p.excluded(g, &t) || g.Unreachable[t.ID]
+		if !exempt && (loads >= limit || mostExcluded && p.canWait(now, g, &t)) {
 			continue
 		}
-		q := p.of(&t)
-		q.phase, q.began, q.askAt, q.seen, q.busyAt = asking, now, now, nil, 0
-		p.step(now, g, &t, q, &out)
-		if !free {
-			underWay++
+		prog := p.progressOf(&t)
+		prog.phase, prog.startedAt, prog.nextQueryAt, prog.observation, prog.lastBusyAt = querying, now, now, nil, 0
+		p.advance(now, g, &t, prog, &out)
+		if !exempt {
+			loads++
 		}
 	}
 	return out
 }
 
-// late says that most targets are excluded, as after a restart of all. These
-// load together: that takes nothing from callers, and in turns the rollout would
-// not end in time.
-func (p *Planner) late(g Goal, targets []directory.Registration) bool {
+// mostExcluded reports whether most targets are excluded, as after a restart of
+// all. These load at the same time: that takes nothing from callers, and with
+// the usual number of loads the rollout would not end in time.
+func (p *Planner) mostExcluded(g Goal, targets []directory.Registration) bool {
 	return 2*p.countOlder(g, targets, g.OldestServing) > len(targets)
 }
 
-// mayWait says that a target has the time to load after those that are excluded
-// now. Most are, so the few that serve are all that callers have.
-func (p *Planner) mayWait(now time.Duration, g Goal, t *directory.Registration) bool {
+// canWait reports whether a target has the time to load after the targets that
+// are excluded now. When most are excluded, callers have only the few that
+// serve.
+func (p *Planner) canWait(now time.Duration, g Goal, t *directory.Registration) bool {
 	for _, d := range g.Deadlines {
-		if p.older(t, g.Model, d.Version) && d.At-now < p.settings.LoadTimeout {
+		if p.servesOlder(t, g.Model, d.Version) && d.At-now < p.settings.LoadTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// limit is the number of loads under way up to which a target may begin one.
-// Loads slow each other down, so a rollout gains little by many of them. Where
-// the usual number would miss a deadline, or has missed one, some more load.
-func (p *Planner) limit(now time.Duration, g Goal, targets []directory.Registration) int {
+// loadLimit returns the maximum number of loads at the same time. Loads slow
+// each other down, so more of them finish a rollout little sooner. The limit is
+// raised when a deadline has passed for some targets or would pass with the
+// usual number.
+func (p *Planner) loadLimit(now time.Duration, g Goal, targets []directory.Registration) int {
 	usual := max(1, len(targets)/p.settings.ParallelDivisor)
-	hurried := 1 + (len(targets)+p.settings.ParallelDivisor-1)/p.settings.ParallelDivisor
+	raised := 1 + (len(targets)+p.settings.ParallelDivisor-1)/p.settings.ParallelDivisor
 	if p.countOlder(g, targets, g.OldestServing) > 0 {
-		return hurried
+		return raised
 	}
-	expected := p.expectedLoad(now, targets)
+	expected := p.expectedLoadTime(now, targets)
 	for _, d := range g.Deadlines {
 		rounds := int((d.At - now) / expected)
 		if p.countOlder(g, targets, d.Version) > usual*rounds {
-			return hurried
+			return raised
 		}
 	}
 	return usual
 }
 
-// expectedLoad is the time that a load takes: the mean of those that have ended,
-// or of those under way if that is longer already.
-func (p *Planner) expectedLoad(now time.Duration, targets []directory.Registration) time.Duration {
+// expectedLoadTime returns the time that a load takes: the mean of the loads
+// that have ended, or of those under way if that is longer already.
+func (p *Planner) expectedLoadTime(now time.Duration, targets []directory.Registration) time.Duration {
 	elapsed, n := time.Duration(0), time.Duration(0)
 	for i := range targets {
-		if q := p.of(&targets[i]); q.phase != idle && q.version != 0 {
-			elapsed, n = elapsed+now-q.began, n+1
+		if prog := p.progressOf(&targets[i]); prog.phase != idle && prog.version != 0 {
+			elapsed, n = elapsed+now-prog.startedAt, n+1
 		}
 	}
 	return max(p.loadTime, elapsed/max(n, 1))
 }
 
-// countOlder counts the targets that are known to serve an older version.
+// countOlder returns the number of targets known to serve an older version.
 func (p *Planner) countOlder(g Goal, targets []directory.Registration, than int64) int {
 	n := 0
 	for i := range targets {
-		if p.older(&targets[i], g.Model, than) {
+		if p.servesOlder(&targets[i], g.Model, than) {
 			n++
 		}
 	}
 	return n
 }
 
-// holdsSlot says that a target's load is under way, as far as there are signs
-// of it. A silent target must not hold up the others, and a slow load must: the
-// weight source is shared, and loads slow each other down.
-func (p *Planner) holdsSlot(now time.Duration, g Goal, t *directory.Registration, q *progress) bool {
-	if q.phase == asking && q.seen == nil && g.Unreachable[t.ID] || q.unconfirmed() {
+// holdsSlot reports whether a target occupies a load slot, as far as there are
+// signs that its load is under way. A silent target must not hold up the
+// others. A slow load must: the source of the weights is shared, and loads slow
+// each other down.
+func (p *Planner) holdsSlot(now time.Duration, g Goal, t *directory.Registration, prog *progress) bool {
+	if prog.phase == querying && prog.observation == nil && g.Unreachable[t.ID] || prog.unconfirmed() {
 		return false
 	}
-	return q.phase != idle && now-max(q.began, q.busyAt) < p.settings.SilenceTimeout
+	return prog.phase != idle && now-max(prog.startedAt, prog.lastBusyAt) < p.settings.SilenceTimeout
 }
 
-// excluded says that a target gets no requests, since its weights are too old.
+// excluded reports whether a target gets no requests because its weights are
+// too old.
 func (p *Planner) excluded(g Goal, t *directory.Registration) bool {
-	return p.older(t, g.Model, g.OldestServing)
+	return p.servesOlder(t, g.Model, g.OldestServing)
 }
 
-// candidates are the targets to start on: those with the oldest weights first,
-// since their time runs out first, and spread over failure domains so that none
-// loses all its servers at once.
+// candidates returns the targets to load next: those with the oldest weights
+// first, since their deadlines pass first, and spread over failure domains so
+// that no domain loses all its servers at once.
 func (p *Planner) candidates(now time.Duration, g Goal, targets []directory.Registration) []directory.Registration {
 	var out []directory.Registration
 	perDomain := map[string]int{}
 	rank := map[string]int{}
 	for _, t := range targets {
-		if q := p.of(&t); q.phase != idle || now < q.askAt || !p.behind(g, &t) {
+		if prog := p.progressOf(&t); prog.phase != idle || now < prog.nextQueryAt || !p.needsLoad(g, &t) {
 			continue
 		}
 		rank[t.ID] = perDomain[t.Domain]
@@ -325,42 +340,45 @@
 		out = append(out, t)
 	}
 	slices.SortStableFunc(out, func(a, b directory.Registration) int {
-		oldA, _ := p.served(&a, g.Model)
-		oldB, _ := p.served(&b, g.Model)
+		oldA, _ := p.servedVersion(&a, g.Model)
+		oldB, _ := p.servedVersion(&b, g.Model)
 		return cmp.Or(cmp.Compare(oldA, oldB), cmp.Compare(rank[a.ID], rank[b.ID]))
 	})
 	return out
 }
 
-// forget drops targets that are gone once there are many of them. A call knows
-// one service's targets only; those of others are then asked anew.
-func (p *Planner) forget(targets []directory.Registration) {
-	if len(p.targets) <= forgetFactor*len(targets)+forgetFloor {
+// prune drops targets that are gone once many are remembered. Since a call
+// passes only the targets of one service, those of other services may be
+// dropped too and are then queried again.
+func (p *Planner) prune(targets []directory.Registration) {
+	if len(p.targets) <= pruneFactor*len(targets)+pruneMinimum {
 		return
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, t := range targets {
-		there[t.ID] = true
+		present[t.ID] = true
 	}
 	for id := range p.targets {
-		if !there[id] {
+		if !present[id] {
 			delete(p.targets, id)
 		}
 	}
 }
 
-// The targets remembered beyond those of one service, before some are dropped.
+// prune starts when more targets are remembered than pruneFactor times those of
+// one service, plus pruneMinimum.
 const (
-	forgetFactor = 4
-	forgetFloor  = 64
+	pruneFactor  = 4
+	pruneMinimum = 64
 )
 
-// LoadingTargets lists the targets that are about to be ordered, or were and are not
-// done yet: they refuse requests. One that took no order goes on serving.
+// LoadingTargets lists the targets that are about to be ordered to load or have
+// not finished loading: these refuse requests. It leaves out those that did not
+// accept their order, since they go on serving.
 func (p *Planner) LoadingTargets() []string {
 	var ids []string
-	for id, q := range p.targets {
-		if q.phase != idle && !q.unconfirmed() {
+	for id, prog := range p.targets {
+		if prog.phase != idle && !prog.unconfirmed() {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/weights/planner_property_test.go
+++ b/internal/weights/planner_property_test.go
@@ -8,31 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// mostAtOnce is the number of targets that a planner takes from callers at once.
-func (w *world) mostAtOnce() int {
-	divisor := w.planner.settings.ParallelDivisor
-	return 1 + (len(w.targets)+divisor-1)/divisor
+// maxLoading returns the greatest number of serving targets that a planner may
+// have loading at the same time.
+func (sim *simulation) maxLoading() int {
+	divisor := sim.planner.settings.ParallelDivisor
+	return 1 + (len(sim.targets)+divisor-1)/divisor
 }
 
-// name makes operators name a version now, which targets must serve within the
-// bound.
-func (w *world) name(version int64, bound time.Duration) {
-	w.deadlines = append(w.deadlines, Deadline{Version: version, At: w.now + bound})
+// setVersion makes operators name a version now, which targets must serve
+// within the bound.
+func (sim *simulation) setVersion(version int64, bound time.Duration) {
+	sim.deadlines = append(sim.deadlines, Deadline{Version: version, At: sim.now + bound})
 }
 
-// expire excludes the targets whose deadlines are over.
-func (w *world) expire() {
-	w.deadlines = slices.DeleteFunc(w.deadlines, func(d Deadline) bool {
-		if d.At <= w.now {
-			w.oldest = max(w.oldest, d.Version)
+// expireDeadlines excludes the targets whose deadlines have passed.
+func (sim *simulation) expireDeadlines() {
+	sim.deadlines = slices.DeleteFunc(sim.deadlines, func(d Deadline) bool {
+		if d.At <= sim.now {
+			sim.oldestServing = max(sim.oldestServing, d.Version)
 		}
-		return d.At <= w.now
+		return d.At <= sim.now
 	})
 }
 
-func (w *world) behind(version int64) int {
+func (sim *simulation) countBehind(version int64) int {
 	n := 0
-	for _, t := range w.targets {
+	for _, t := range sim.targets {
 		if t.version < version {
 			n++
 		}
@@ -40,105 +41,110 @@
 	return n
 }
 
-// Guards against targets that serve past the bound on old weights though there
-// was the time to load them all.
-func TestVersionArrivesInTimeWhereThatCanBe(t *testing.T) {
+// Guards against targets that still have old weights after the bound although
+// there was time to load all of them.
+func TestFeasibleDeadlineIsMet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rapid.IntRange(12, 200).Draw(rt, "targets"))
-		w.loadTime = time.Duration(rapid.IntRange(2, 20).Draw(rt, "load")) * testTick
-		w.source = rapid.IntRange(max(1, len(w.targets)/5), len(w.targets)).Draw(rt, "source")
-		// A round is the announcement, the load at the rate that the source has for
-		// as many, and the poll that shows its end.
-		round := w.planner.settings.LeadTime + w.planner.settings.PollInterval + 2*testTick +
-			w.loadTime*time.Duration(max(1, (w.mostAtOnce()+w.source-1)/w.source))
-		rounds := (len(w.targets) + w.mostAtOnce() - 1) / w.mostAtOnce()
+		sim := newSimulation(rapid.IntRange(12, 200).Draw(rt, "targets"))
+		sim.loadTime = time.Duration(rapid.IntRange(2, 20).Draw(rt, "load")) * testTick
+		sim.sourceCapacity = rapid.IntRange(max(1, len(sim.targets)/5), len(sim.targets)).Draw(rt, "source")
+		// A round is the announcement, the load at the rate at which the source
+		// serves that many, and the poll that shows its end.
+		round := sim.planner.settings.LeadTime + sim.planner.settings.PollInterval + 2*testTick +
+			sim.loadTime*time.Duration(max(1, (sim.maxLoading()+sim.sourceCapacity-1)/sim.sourceCapacity))
+		rounds := (len(sim.targets) + sim.maxLoading() - 1) / sim.maxLoading()
 		bound := time.Duration(rounds+1)*round + time.Duration(rapid.IntRange(0, 50).Draw(rt, "spare"))*testTick
-		w.name(2, bound)
-		for w.now < bound {
-			w.step(2)
+		sim.setVersion(2, bound)
+		for sim.now < bound {
+			sim.step(2)
 		}
-		if n := w.behind(2); n > 0 {
-			rt.Fatalf("%d of %d targets are late by a bound of %v, rounds of %v", n, len(w.targets), bound, round)
+		if n := sim.countBehind(2); n > 0 {
+			rt.Fatalf("%d of %d targets still have old weights after the bound of %v, in rounds of %v", n, len(sim.targets), bound, round)
 		}
 	})
 }
 
-// Guards against a rollout that takes more targets from callers than it needs,
-// over versions named one upon the other, restarts, and changes of the holder.
-func TestTargetsThatServeAreKept(t *testing.T) {
+// Guards against a rollout that takes more targets away from callers than it
+// needs, with versions named in quick succession, restarts, and changes of the
+// lease holder.
+func TestServingTargetsAreNotTakenNeedlessly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rapid.IntRange(12, 100).Draw(rt, "targets"))
-		w.loadTime = time.Duration(rapid.IntRange(2, 15).Draw(rt, "load")) * testTick
-		w.source = max(1, len(w.targets)/rapid.IntRange(1, 6).Draw(rt, "share"))
+		sim := newSimulation(rapid.IntRange(12, 100).Draw(rt, "targets"))
+		sim.loadTime = time.Duration(rapid.IntRange(2, 15).Draw(rt, "load")) * testTick
+		sim.sourceCapacity = max(1, len(sim.targets)/rapid.IntRange(1, 6).Draw(rt, "share"))
 		bound := time.Duration(rapid.IntRange(60, 150).Draw(rt, "bound")) * testTick
 		version := int64(1)
 		for range rapid.IntRange(1, 4).Draw(rt, "versions") {
 			version++
-			w.name(version, bound)
+			sim.setVersion(version, bound)
 			for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-				w.expire()
-				w.disturb(rt)
-				was, known := w.planner.LoadingTargets(), w.known()
-				w.step(version)
-				w.checkChosen(rt, was, known)
+				sim.expireDeadlines()
+				sim.disturb(rt)
+				loadingBefore, known := sim.planner.LoadingTargets(), sim.knownVersions()
+				sim.step(version)
+				sim.checkChosen(rt, loadingBefore, known)
 			}
 		}
-		if !w.until(version, time.Minute) {
+		if !sim.stepUntilServed(version, time.Minute) {
 			rt.Fatalf("not all targets serve version %d", version)
 		}
 	})
 }
 
-// disturb restarts a target, or gives the lease to another holder, now and then.
-func (w *world) disturb(rt *rapid.T) {
+// disturb occasionally restarts a target or gives the lease to another holder.
+func (sim *simulation) disturb(rt *rapid.T) {
 	switch rapid.IntRange(0, 60).Draw(rt, "trouble") {
 	case 0:
-		x := w.targets[rapid.IntRange(0, len(w.targets)-1).Draw(rt, "target")]
-		x.reg.Born++
+		x := sim.targets[rapid.IntRange(0, len(sim.targets)-1).Draw(rt, "target")]
+		x.registration.Born++
 		x.loading, x.accepted = 0, 0
 	case 1:
-		// By the time that another one has the lease, registrations are up to date.
-		for _, x := range w.targets {
-			x.reg.Versions = map[string]int64{"m": x.version}
+		// When another instance gets the lease, the registrations are up to
+		// date.
+		for _, x := range sim.targets {
+			x.registration.Versions = map[string]int64{"m": x.version}
 		}
-		w.planner = New(DefaultSettings())
+		sim.planner = New(DefaultSettings())
 	}
 }
 
-// known is the version of each target as the planner knows it.
-func (w *world) known() map[string]int64 {
+// knownVersions returns the version of each target as the planner knows it.
+func (sim *simulation) knownVersions() map[string]int64 {
 	out := map[string]int64{}
-	for _, x := range w.targets {
-		out[x.reg.ID], _ = w.planner.served(&x.reg, "m")
+	for _, x := range sim.targets {
+		out[x.registration.ID], _ = sim.planner.servedVersion(&x.registration, "m")
 	}
 	return out
 }
 
-// checkChosen checks the targets that were chosen in the last step, by what was
-// known before.
-func (w *world) checkChosen(rt *rapid.T, was []string, known map[string]int64) {
-	loading := w.planner.LoadingTargets()
+// checkChosen checks the targets that were chosen in the last step against what
+// was known before.
+func (sim *simulation) checkChosen(rt *rapid.T, loadingBefore []string, known map[string]int64) {
+	loading := sim.planner.LoadingTargets()
 	chosen, serving := 0, 0
 	for _, id := range loading {
-		if known[id] < w.oldest {
+		if known[id] < sim.oldestServing {
 			continue
 		}
 		serving++
-		if slices.Contains(was, id) {
+		if slices.Contains(loadingBefore, id) {
 			continue
 		}
 		chosen++
 		version := known[id]
-		for _, other := range w.targets {
-			if v := known[other.reg.ID]; v < version && v >= w.oldest && !slices.Contains(loading, other.reg.ID) && !w.resting(other) {
-				rt.Fatalf("%s with version %d was chosen before %s with %d", id, version, other.reg.ID, v)
+		for _, other := range sim.targets {
+			if v := known[other.registration.ID]; v < version && v >= sim.oldestServing && !slices.Contains(loading, other.registration.ID) && !sim.inRetryPause(other) {
+				rt.Fatalf("%s with version %d was chosen before %s with %d", id, version, other.registration.ID, v)
 			}
 		}
 	}
-	if chosen > 0 && serving > w.mostAtOnce() {
-		rt.Fatalf("%d of %d targets that serve are taken from callers", serving, len(w.targets))
+	if chosen > 0 && serving > sim.maxLoading() {
+		rt.Fatalf("%d of %d serving targets are taken from callers", serving, len(sim.targets))
 	}
 }
 
-// resting says that the planner waits before it begins with a target again.
-func (w *world) resting(x *target) bool { return w.planner.of(&x.reg).askAt > w.now }
+// inRetryPause reports whether the planner waits before it queries a target
+// again.
+func (sim *simulation) inRetryPause(x *target) bool {
+	return sim.planner.progressOf(&x.registration).nextQueryAt > sim.now
+}
--- a/internal/weights/planner_test.go
+++ b/internal/weights/planner_test.go
@@ -20,54 +20,54 @@
 	testLoad = 800 * time.Millisecond
 )
 
-// target is a model server that takes orders.
+// target is a simulated model server that carries out orders.
 type target struct {
-	reg       directory.Registration
-	version   int64
-	accepted  int64
-	loading   int64         // the version being loaded; 0 for none
-	left      time.Duration // of the load
-	loads     int
-	silent    bool
-	unanswers int // orders whose receipt is lost from now on
+	registration directory.Registration
+	version      int64
+	accepted     int64
+	loading      int64         // the version being loaded; 0 for none
+	loadLeft     time.Duration // remaining time of the load
+	loads        int
+	silent       bool
+	lostReceipts int // number of the next orders whose receipts are lost
 }
 
-// world is targets and one planner that holds the lease.
-type world struct {
-	now       time.Duration
-	targets   []*target
-	planner   *Planner
-	most      int
-	late      []lateOrder
-	oldest    int64
-	deadlines []Deadline
-	// lost is set while the planner's instance does not hold the lease.
-	lost        bool
+// simulation runs targets and the planner of one instance.
+type simulation struct {
+	now           time.Duration
+	targets       []*target
+	planner       *Planner
+	peakLoading   int
+	lateOrders    []lateOrder
+	oldestServing int64
+	deadlines     []Deadline
+	// leaseLost is set while the planner's instance does not hold the lease.
+	leaseLost   bool
 	unreachable map[string]bool
-	// loadTime is what a load takes while at most so many as source are under
-	// way; more share its rate.
-	loadTime time.Duration
-	source   int
+	// loadTime is the duration of a load while at most sourceCapacity targets
+	// load. More of them share that capacity.
+	loadTime       time.Duration
+	sourceCapacity int
 }
 
 type lateOrder struct {
-	at time.Duration
-	to *target
-	o  Order
+	arrivesAt time.Duration
+	target    *target
+	order     Order
 }
 
-func newWorld(n int) *world {
-	w := &world{planner: New(DefaultSettings()), loadTime: testLoad, source: n}
+func newSimulation(n int) *simulation {
+	sim := &simulation{planner: New(DefaultSettings()), loadTime: testLoad, sourceCapacity: n}
 	for i := range n {
-		w.targets = append(w.targets, &target{version: 1, reg: directory.Registration{
+		sim.targets = append(sim.targets, &target{version: 1, registration: directory.Registration{
 			ID: fmt.Sprintf("t%02d", i), Service: "s", Domain: fmt.Sprintf("d%d", i%3), Born: 1,
 			State: directory.Ready, Versions: map[string]int64{"m": 1},
 		}})
 	}
-	return w
+	return sim
 }
 
-func (t *target) take(o Order, load time.Duration) Receipt {
+func (t *target) handleOrder(o Order, load time.Duration) Receipt {
 	switch {
 	case o.ExpectedAccepted != t.accepted || t.loading != 0:
 		return ReceiptConflict
@@ -75,95 +75,96 @@
 		return ReceiptAlreadyLoaded
 	}
 	t.accepted++
-	t.loading, t.left = o.Version, load
+	t.loading, t.loadLeft = o.Version, load
 	t.loads++
 	return ReceiptAccepted
 }
 
-func (w *world) regs() []directory.Registration {
+func (sim *simulation) registrations() []directory.Registration {
 	var out []directory.Registration
-	for _, t := range w.targets {
-		out = append(out, t.reg)
+	for _, t := range sim.targets {
+		out = append(out, t.registration)
 	}
 	return out
 }
 
-func (w *world) find(id string) *target {
-	for _, t := range w.targets {
-		if t.reg.ID == id {
+func (sim *simulation) find(id string) *target {
+	for _, t := range sim.targets {
+		if t.registration.ID == id {
 			return t
 		}
 	}
 	return nil
 }
 
-// step moves the time on by one tick with the given goal.
-func (w *world) step(version int64) {
-	w.now += testTick
-	for i := 0; i < len(w.late); i++ {
-		if w.late[i].at <= w.now {
-			w.late[i].to.take(w.late[i].o, w.loadTime)
-			w.late = append(w.late[:i], w.late[i+1:]...)
+// step advances time by one tick with the given goal.
+func (sim *simulation) step(version int64) {
+	sim.now += testTick
+	for i := 0; i < len(sim.lateOrders); i++ {
+		if sim.lateOrders[i].arrivesAt <= sim.now {
+			sim.lateOrders[i].target.handleOrder(sim.lateOrders[i].order, sim.loadTime)
+			sim.lateOrders = append(sim.lateOrders[:i], sim.lateOrders[i+1:]...)
 			i--
 		}
 	}
-	w.load()
-	decide := w.planner.Tick
-	if w.lost {
-		decide = w.planner.TrackLoads
+	sim.advanceLoads()
+	decide := sim.planner.Tick
+	if sim.leaseLost {
+		decide = sim.planner.TrackLoads
 	}
-	actions := decide(w.now, Goal{Service: "s", Model: "m", Version: version, OldestServing: w.oldest, Deadlines: w.deadlines, Unreachable: w.unreachable}, w.regs())
+	actions := decide(sim.now, Goal{Service: "s", Model: "m", Version: version, OldestServing: sim.oldestServing, Deadlines: sim.deadlines, Unreachable: sim.unreachable}, sim.registrations())
 	for _, a := range actions.Queries {
-		t := w.find(a.Target.ID)
+		t := sim.find(a.Target.ID)
 		if t.silent {
-			w.planner.HandleObservation(w.now, t.reg.Incarnation(), nil)
+			sim.planner.HandleObservation(sim.now, t.registration.Incarnation(), nil)
 			continue
 		}
-		w.planner.HandleObservation(w.now, t.reg.Incarnation(), &Observation{
-			QueriedAt: w.now, Versions: map[string]int64{"m": t.version}, Busy: t.loading != 0, AcceptedOrders: t.accepted,
+		sim.planner.HandleObservation(sim.now, t.registration.Incarnation(), &Observation{
+			QueriedAt: sim.now, Versions: map[string]int64{"m": t.version}, Busy: t.loading != 0, AcceptedOrders: t.accepted,
 		})
 	}
 	for _, s := range actions.Orders {
-		w.deliver(s)
+		sim.deliverOrder(s)
 	}
 }
 
-// load moves the loads on by one tick.
-func (w *world) load() {
+// advanceLoads advances the loads by one tick.
+func (sim *simulation) advanceLoads() {
 	loading := 0
-	for _, t := range w.targets {
+	for _, t := range sim.targets {
 		if t.loading != 0 {
 			loading++
 		}
 	}
-	step := testTick * time.Duration(w.source) / time.Duration(max(w.source, loading))
-	for _, t := range w.targets {
+	step := testTick * time.Duration(sim.sourceCapacity) / time.Duration(max(sim.sourceCapacity, loading))
+	for _, t := range sim.targets {
 		if t.loading == 0 {
 			continue
 		}
-		if t.left -= step; t.left <= 0 {
+		if t.loadLeft -= step; t.loadLeft <= 0 {
 			t.version, t.loading = t.loading, 0
 		}
 	}
-	w.most = max(w.most, loading)
+	sim.peakLoading = max(sim.peakLoading, loading)
 }
 
-func (w *world) deliver(s OutgoingOrder) {
-	t := w.find(s.Target.ID)
-	if t.unanswers > 0 {
-		t.unanswers--
-		w.late = append(w.late, lateOrder{at: w.now + 3*time.Second, to: t, o: s.Order})
+func (sim *simulation) deliverOrder(s OutgoingOrder) {
+	t := sim.find(s.Target.ID)
+	if t.lostReceipts > 0 {
+		t.lostReceipts--
+		sim.lateOrders = append(sim.lateOrders, lateOrder{arrivesAt: sim.now + 3*time.Second, target: t, order: s.Order})
 		return
 	}
-	w.planner.HandleReceipt(w.now, t.reg.Incarnation(), t.take(s.Order, w.loadTime))
+	sim.planner.HandleReceipt(sim.now, t.registration.Incarnation(), t.handleOrder(s.Order, sim.loadTime))
 }
 
-// until steps until all targets serve the version, at most for the time.
-func (w *world) until(version int64, limit time.Duration) bool {
-	for end := w.now + limit; w.now < end; {
-		w.step(version)
+// stepUntilServed steps until all targets serve the version, for at most the
+// limit. It reports whether they do.
+func (sim *simulation) stepUntilServed(version int64, limit time.Duration) bool {
+	for end := sim.now + limit; sim.now < end; {
+		sim.step(version)
 		done := true
-		for _, t := range w.targets {
+		for _, t := range sim.targets {
 			done = done && t.version == version
 		}
 		if done {
@@ -173,29 +174,30 @@
 	return false
 }
 
-// A version is named for twelve targets. All serve it in time, each loads
-// once, and never more than a fourth is away at once.
+// A version is named for twelve targets. All must serve it in time, each must
+// load once, and at most a fourth may load at the same time.
 func TestRolloutReachesAllTargets(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
-	is.True(w.until(2, 8*time.Second))
-	is.True(w.most <= 3)
-	for _, x := range w.targets {
+	sim := newSimulation(12)
+	is.True(sim.stepUntilServed(2, 8*time.Second))
+	is.True(sim.peakLoading <= 3)
+	for _, x := range sim.targets {
 		is.Equal(x.loads, 1)
 	}
 }
 
 // A second version is named in the middle of a rollout. Targets that have not
-// begun go to the newest at once: loading the one between would be in vain.
+// begun must load only the newest: loading the superseded version would be
+// wasted work.
 func TestSupersededVersionIsSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
+	sim := newSimulation(12)
 	for range 5 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.True(w.until(3, 10*time.Second))
+	is.True(sim.stepUntilServed(3, 10*time.Second))
 	once := 0
-	for _, x := range w.targets {
+	for _, x := range sim.targets {
 		if x.loads == 1 {
 			once++
 		}
@@ -203,71 +205,71 @@
 	is.Equal(once, 10)
 }
 
-// The answer to an order is lost, and the target carries it out seconds later,
-// after it was ordered again. The count in the order makes the late one void:
-// the target loads once.
+// The answer to an order is lost, and the target receives the order seconds
+// later, after another was sent. The expected count in the late one must make
+// it void, so that the target loads once.
 func TestLateOrderIsVoid(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
-	w.targets[0].unanswers = 1
-	is.True(w.until(2, 6*time.Second))
+	sim := newSimulation(1)
+	sim.targets[0].lostReceipts = 1
+	is.True(sim.stepUntilServed(2, 6*time.Second))
 	for range 50 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.Equal(w.targets[0].loads, 1)
+	is.Equal(sim.targets[0].loads, 1)
 }
 
-// A target restarts while it loads, with the version from before. It counts as
-// new, is asked anew, and ordered again.
+// A target restarts while it loads and has the old version. It must count as
+// new, be queried again and be ordered again.
 func TestTargetThatRestartsIsOrderedAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	sim := newSimulation(1)
 	for range 5 {
-		w.step(2)
+		sim.step(2)
 	}
-	x := w.targets[0]
+	x := sim.targets[0]
 	is.Equal(x.loading, int64(2))
-	x.loading, x.accepted, x.reg.Born = 0, 0, 2
-	is.True(w.until(2, 5*time.Second))
+	x.loading, x.accepted, x.registration.Born = 0, 0, 2
+	is.True(sim.stepUntilServed(2, 5*time.Second))
 }
 
 // Guards against targets that count as loading until the lease comes back,
 // though they have loaded.
-func TestFollowEndsLoadsOfLostLease(t *testing.T) {
+func TestTrackLoadsEndsLoadsAfterLostLease(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
+	sim := newSimulation(12)
 	for range 5 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.Equal(len(w.planner.LoadingTargets()), 2)
-	w.lost = true
+	is.Equal(len(sim.planner.LoadingTargets()), 2)
+	sim.leaseLost = true
 	for range 15 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.Equal(w.planner.LoadingTargets(), nil)
-	is.Equal(w.targets[0].version, int64(2))
-	is.Equal(w.targets[2].loads, 0) // nothing was ordered without the lease
+	is.Equal(sim.planner.LoadingTargets(), nil)
+	is.Equal(sim.targets[0].version, int64(2))
+	is.Equal(sim.targets[2].loads, 0) // nothing was ordered without the lease
 }
 
-// Guards against a second load of a fresh target while others still have the
-// oldest weights.
-func TestLoadedTargetCompetesAnew(t *testing.T) {
+// Guards against a second load of a target with newer weights while others
+// still have the oldest.
+func TestOldestTargetsLoadFirst(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(6)
+	sim := newSimulation(6)
 	for range 6 {
-		w.step(2) // two targets load version 2
+		sim.step(2) // two targets load version 2
 	}
 	behind := func(x *target) bool { return x.version == 1 }
-	for slices.ContainsFunc(w.targets, behind) {
-		w.step(3)
+	for slices.ContainsFunc(sim.targets, behind) {
+		sim.step(3)
 	}
-	for _, x := range w.targets[:2] {
+	for _, x := range sim.targets[:2] {
 		is.Equal(x.loads, 1)
 	}
 }
 
-// A target answers no questions. It holds up the others for a while only.
-func TestSilentTargetDoesNotStopTheRollout(t *testing.T) {
+// A target that answers no queries must hold up the others only for a while.
+func TestSilentTargetDoesNotStopRollout(t *testing.T) {
 	is := is.New(t)
 	p := New(DefaultSettings())
 	regs := []directory.Registration{
@@ -285,174 +287,174 @@
 	is.True(asked["b"])
 }
 
-// Guards against a target that is kept from callers because the holder of the
-// lease does not reach it.
+// Guards against a target that gets no requests because the holder of the lease
+// cannot reach it.
 func TestTargetWithoutAnswerGoesOnServing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
-	w.targets[0].silent = true
-	kept := 0
+	sim := newSimulation(2)
+	sim.targets[0].silent = true
+	loadingSteps := 0
 	for range 60 {
-		w.step(2)
-		if slices.Contains(w.planner.LoadingTargets(), "t00") {
-			kept++
+		sim.step(2)
+		if slices.Contains(sim.planner.LoadingTargets(), "t00") {
+			loadingSteps++
 		}
 	}
-	is.True(kept <= 40) // 2 s of 3
-	is.Equal(w.targets[1].version, int64(2))
+	is.True(loadingSteps <= 40) // 2 s of every 3 s
+	is.Equal(sim.targets[1].version, int64(2))
 }
 
-// Targets are announced as about to load before they are ordered, so that
-// requests are not sent there to be refused.
+// Targets must be announced as about to load before they are ordered, so that
+// no requests are sent there only to be refused.
 func TestTargetsAreAnnouncedBeforeTheOrder(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
-	w.step(2)
-	is.Equal(w.planner.LoadingTargets(), []string{"t00"})
-	is.Equal(w.targets[0].accepted, int64(0))
+	sim := newSimulation(3)
+	sim.step(2)
+	is.Equal(sim.planner.LoadingTargets(), []string{"t00"})
+	is.Equal(sim.targets[0].accepted, int64(0))
 	for range 4 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.Equal(w.targets[0].accepted, int64(1))
+	is.Equal(sim.targets[0].accepted, int64(1))
 }
 
-// mostlyExcluded is eight targets that get no requests any more, and four that
-// serve a newer version.
-func mostlyExcluded() (w *world, serve []*target) {
-	w = newWorld(12)
-	for i, x := range w.targets {
+// mostlyExcluded returns eight targets that are excluded and four that serve a
+// newer version.
+func mostlyExcluded() (sim *simulation, serve []*target) {
+	sim = newSimulation(12)
+	for i, x := range sim.targets {
 		if i%3 == 0 {
-			x.version, x.reg.Versions["m"] = 2, 2
+			x.version, x.registration.Versions["m"] = 2, 2
 			serve = append(serve, x)
 		}
 	}
-	w.oldest = 2
-	return w, serve
+	sim.oldestServing = 2
+	return sim, serve
 }
 
-// Guards against a rollout that takes away the last targets that serve while the
+// Guards against a rollout that loads the last serving targets while the
 // excluded ones load, and against one that does not end in time.
 func TestExcludedTargetsLoadTogetherBeforeThoseThatServe(t *testing.T) {
 	is := is.New(t)
-	w, serve := mostlyExcluded()
-	w.deadlines = []Deadline{{Version: 3, At: 9 * time.Second}}
+	sim, serve := mostlyExcluded()
+	sim.deadlines = []Deadline{{Version: 3, At: 9 * time.Second}}
 	excluded := func(x *target) bool { return x.version < 2 }
-	for w.now < 2*time.Second && slices.ContainsFunc(w.targets, excluded) {
-		w.step(3)
+	for sim.now < 2*time.Second && slices.ContainsFunc(sim.targets, excluded) {
+		sim.step(3)
 		for _, x := range serve {
-			is.True(x.loads == 0 && !slices.Contains(w.planner.LoadingTargets(), x.reg.ID))
+			is.True(x.loads == 0 && !slices.Contains(sim.planner.LoadingTargets(), x.registration.ID))
 		}
 	}
-	is.Equal(w.most, 8)
-	is.True(w.now < 2*time.Second) // the excluded ones are back
-	is.True(w.until(3, 4*time.Second))
-	is.True(w.most <= 8)
+	is.Equal(sim.peakLoading, 8)
+	is.True(sim.now < 2*time.Second) // the excluded ones are back
+	is.True(sim.stepUntilServed(3, 4*time.Second))
+	is.True(sim.peakLoading <= 8)
 }
 
-// Guards against targets that wait for the excluded ones past their own bound.
-func TestServingTargetsLoadBesideExcludedOnesWhenTheirTimeIsShort(t *testing.T) {
+// Guards against targets that wait for the excluded ones until after their own
+// deadline.
+func TestServingTargetsLoadBesideExcludedOnesWhenDeadlineIsNear(t *testing.T) {
 	is := is.New(t)
-	w, _ := mostlyExcluded()
-	w.deadlines = []Deadline{{Version: 3, At: 3 * time.Second}}
-	is.True(w.until(3, 2500*time.Millisecond))
-	is.Equal(w.most, 12) // eight that are excluded, four of the others
+	sim, _ := mostlyExcluded()
+	sim.deadlines = []Deadline{{Version: 3, At: 3 * time.Second}}
+	is.True(sim.stepUntilServed(3, 2500*time.Millisecond))
+	is.Equal(sim.peakLoading, 12) // eight that are excluded, four of the others
 }
 
-// Guards against a few excluded targets that slow each other down and come back
-// late together.
+// Guards against a few excluded targets that load at the same time, slow each
+// other down and all come back late.
 func TestFewExcludedTargetsTakeTurns(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(20)
-	for i, t := range w.targets {
+	sim := newSimulation(20)
+	for i, t := range sim.targets {
 		if i%3 != 0 {
-			t.version, t.reg.Versions["m"] = 2, 2
+			t.version, t.registration.Versions["m"] = 2, 2
 		}
 	}
-	w.oldest = 2
-	is.True(w.until(2, 4*time.Second))
-	is.Equal(w.most, 5) // of seven
+	sim.oldestServing = 2
+	is.True(sim.stepUntilServed(2, 4*time.Second))
+	is.Equal(sim.peakLoading, 5) // of seven
 }
 
-// Guards against a rollout that does not end in time at the pace that is best
-// for callers.
-func TestMoreLoadAtOnceWhenTimeIsShort(t *testing.T) {
+// Guards against a rollout that misses a deadline because it keeps to the usual
+// number of loads.
+func TestMoreTargetsLoadWhenDeadlineIsNear(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
+	sim := newSimulation(12)
 	for range 20 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.Equal(w.most, 2)
-	w.deadlines = []Deadline{{Version: 2, At: w.now + 4*time.Second}}
-	is.True(w.until(2, 4*time.Second))
-	is.Equal(w.most, 4)
+	is.Equal(sim.peakLoading, 2)
+	sim.deadlines = []Deadline{{Version: 2, At: sim.now + 4*time.Second}}
+	is.True(sim.stepUntilServed(2, 4*time.Second))
+	is.Equal(sim.peakLoading, 4)
 }
 
-// Guards against targets that are kept from callers for seconds because their
+// Guards against targets that get no requests for seconds because their
 // receipts were lost, though they carry out no order.
 func TestTargetWithoutReceiptGoesOnServing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
-	for _, x := range w.targets {
-		x.unanswers = 100
+	sim := newSimulation(12)
+	for _, x := range sim.targets {
+		x.lostReceipts = 100
 	}
-	w.deadlines = []Deadline{{Version: 2, At: 9 * time.Second}}
-	away := 0
+	sim.deadlines = []Deadline{{Version: 2, At: 9 * time.Second}}
+	idleSteps := 0
 	for range 60 {
-		w.step(2)
-		for _, id := range w.planner.LoadingTargets() {
-			if w.find(id).loading == 0 {
-				away++
+		sim.step(2)
+		for _, id := range sim.planner.LoadingTargets() {
+			if sim.find(id).loading == 0 {
+				idleSteps++
 			}
 		}
 	}
-	is.True(away < 12*20) // under 2 s each
-	is.True(w.until(2, 5*time.Second))
+	is.True(idleSteps < 12*20) // under 2 s each
+	is.True(sim.stepUntilServed(2, 5*time.Second))
 }
 
 // Guards against unreachable targets that hold up the others.
-func TestUnreachableTargetsHoldUpNobody(t *testing.T) {
+func TestUnreachableTargetsDoNotHoldUpOthers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
-	w.unreachable = map[string]bool{"t00": true, "t01": true, "t02": true}
-	for _, x := range w.targets[:3] {
+	sim := newSimulation(12)
+	sim.unreachable = map[string]bool{"t00": true, "t01": true, "t02": true}
+	for _, x := range sim.targets[:3] {
 		x.silent = true
 	}
 	for range 80 {
-		w.step(2)
+		sim.step(2)
 	}
-	is.True(w.targets[11].version == 2 || w.targets[11].loading == 2)
+	is.True(sim.targets[11].version == 2 || sim.targets[11].loading == 2)
 }
 
 // Guards against a rollout that waits for targets whose receipts are lost and
-// that carry out their orders seconds later.
+// that receive their orders seconds later.
 func TestUnansweredOrdersDoNotHoldUpTheOthers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(12)
-	w.oldest = 2
-	for _, x := range w.targets {
-		x.unanswers = 100
+	sim := newSimulation(12)
+	sim.oldestServing = 2
+	for _, x := range sim.targets {
+		x.lostReceipts = 100
 	}
-	is.True(w.until(2, 11*time.Second))
+	is.True(sim.stepUntilServed(2, 11*time.Second))
 }
 
-// Orders are lost at any target at any time, and versions are named one upon
-// the other. In the end all targets serve the newest, and at no time do more
-// load than may.
+// Orders are lost at any target at any time, and versions are named in quick
+// succession. In the end all targets must serve the newest version.
 func TestRolloutConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 15).Draw(rt, "targets")
-		w := newWorld(n)
+		sim := newSimulation(n)
 		version := int64(1)
 		for range rapid.IntRange(1, 4).Draw(rt, "versions") {
 			version++
 			for range rapid.IntRange(0, 40).Draw(rt, "steps") {
 				if rapid.IntRange(0, 5).Draw(rt, "lose") == 0 {
-					w.targets[rapid.IntRange(0, n-1).Draw(rt, "target")].unanswers = 1
+					sim.targets[rapid.IntRange(0, n-1).Draw(rt, "target")].lostReceipts = 1
 				}
-				w.step(version)
+				sim.step(version)
 			}
 		}
-		if !w.until(version, time.Minute) {
+		if !sim.stepUntilServed(version, time.Minute) {
 			rt.Fatalf("not all targets serve version %d", version)
 		}
 	})
--- a/internal/weights/progress.go
+++ b/internal/weights/progress.go
@@ -10,143 +10,147 @@
 
 const (
 	idle phase = iota
-	// asking: the count of accepted orders is needed first.
-	asking
-	// ordered: an order is out, its answer is not here or was lost.
+	// querying: the number of accepted orders has to be known before an order
+	// is sent.
+	querying
+	// ordered: an order was sent, and its receipt has not arrived or was lost.
 	ordered
 	// loading: the order was accepted.
 	loading
 )
 
-// progress is how far the load of one target has come.
+// progress is the state of one target's load.
 type progress struct {
 	incarnation directory.Incarnation
 	phase       phase
-	// version is what the last order asked for.
-	version int64
-	began   time.Duration
-	// busyAt is when the target last said that it carries out an order.
-	busyAt time.Duration
-	askAt  time.Duration
-	asking bool
-	sentAt time.Duration
-	seen   *Observation
-	// idleAt is when the target last answered that it carries out no order,
-	// after one was sent to it and no receipt came.
-	idleAt time.Duration
+	// version is the version of the last order; 0 if none was sent.
+	version   int64
+	startedAt time.Duration
+	// lastBusyAt is when the last query was sent whose answer showed that the
+	// target carries out an order.
+	lastBusyAt   time.Duration
+	nextQueryAt  time.Duration
+	queryPending bool
+	sentAt       time.Duration
+	observation  *Observation
+	// unacceptedAt is when the last query was sent whose answer showed that the
+	// target carries out no order, although one was sent to it. 0 once a
+	// receipt shows that the order was accepted.
+	unacceptedAt time.Duration
 }
 
-// unconfirmed says that an order was sent, and that the target carries out none:
-// the order was lost, or waits somewhere.
-func (q *progress) unconfirmed() bool { return q.idleAt > max(q.busyAt, 0) }
+// unconfirmed reports whether an order was sent but the target carries out
+// none: the order was lost or is delayed.
+func (prog *progress) unconfirmed() bool { return prog.unacceptedAt > max(prog.lastBusyAt, 0) }
 
-func (p *Planner) of(t *directory.Registration) *progress {
-	q := p.targets[t.ID]
-	if q == nil || q.incarnation != t.Incarnation() {
-		q = &progress{incarnation: t.Incarnation()}
-		p.targets[t.ID] = q
+func (p *Planner) progressOf(t *directory.Registration) *progress {
+	prog := p.targets[t.ID]
+	if prog == nil || prog.incarnation != t.Incarnation() {
+		prog = &progress{incarnation: t.Incarnation()}
+		p.targets[t.ID] = prog
 	}
-	return q
+	return prog
 }
 
-// step moves one target on.
-func (p *Planner) step(now time.Duration, g Goal, t *directory.Registration, q *progress, out *Actions) {
-	version, _ := p.served(t, g.Model)
-	if q.version != 0 && version >= q.version {
-		p.observeLoad(now - q.began)
-		out.Completed = append(out.Completed, CompletedLoad{Target: *t, Version: version, Took: now - q.sentAt})
-		*q = progress{incarnation: q.incarnation, seen: q.seen}
+// advance does what is due for one target and updates its state.
+func (p *Planner) advance(now time.Duration, g Goal, t *directory.Registration, prog *progress, out *Actions) {
+	version, _ := p.servedVersion(t, g.Model)
+	if prog.version != 0 && version >= prog.version {
+		p.recordLoadTime(now - prog.startedAt)
+		out.Completed = append(out.Completed, CompletedLoad{Target: *t, Version: version, Took: now - prog.sentAt})
+		*prog = progress{incarnation: prog.incarnation, observation: prog.observation}
 		return
 	}
 	if version >= g.Version {
-		*q = progress{incarnation: q.incarnation, seen: q.seen}
+		*prog = progress{incarnation: prog.incarnation, observation: prog.observation}
 		return
 	}
-	if q.phase == asking && q.version == 0 && q.seen == nil && now-q.began >= p.settings.SilenceTimeout {
-		// Nothing was ordered, and callers may reach it though this instance
-		// does not.
-		*q = progress{incarnation: q.incarnation, askAt: now + p.settings.RetryAfter}
+	if prog.phase == querying && prog.version == 0 && prog.observation == nil && now-prog.startedAt >= p.settings.SilenceTimeout {
+		// Nothing was ordered, and other instances may reach the target though
+		// this one does not.
+		*prog = progress{incarnation: prog.incarnation, nextQueryAt: now + p.settings.RetryAfter}
 		return
 	}
-	if q.phase == asking && q.seen != nil && !q.seen.Busy && (p.excluded(g, t) || now-q.began >= p.settings.LeadTime) && now-q.seen.QueriedAt < p.settings.RetryAfter {
-		p.send(now, g, t, q, out)
+	if prog.phase == querying && prog.observation != nil && !prog.observation.Busy && (p.excluded(g, t) || now-prog.startedAt >= p.settings.LeadTime) && now-prog.observation.QueriedAt < p.settings.RetryAfter {
+		p.sendOrder(now, g, t, prog, out)
 		return
 	}
-	if q.phase == ordered && now-q.sentAt >= p.settings.ResendAfter {
-		q.phase = asking
-		q.seen = nil
+	if prog.phase == ordered && now-prog.sentAt >= p.settings.ResendAfter {
+		prog.phase = querying
+		prog.observation = nil
 	}
-	if q.phase == loading && now-q.sentAt >= p.settings.LoadTimeout {
-		q.phase, q.seen = asking, nil
+	if prog.phase == loading && now-prog.sentAt >= p.settings.LoadTimeout {
+		prog.phase, prog.observation = querying, nil
 	}
-	if !q.asking && now >= q.askAt {
-		q.asking = true
-		q.askAt = now + p.settings.PollInterval
+	if !prog.queryPending && now >= prog.nextQueryAt {
+		prog.queryPending = true
+		prog.nextQueryAt = now + p.settings.PollInterval
 		out.Queries = append(out.Queries, StateQuery{Target: *t})
 	}
 }
 
-// observeLoad takes in the time from the choice of a target until it serves the
-// new version.
-func (p *Planner) observeLoad(took time.Duration) {
+// recordLoadTime updates the mean load time with one that has ended.
+func (p *Planner) recordLoadTime(took time.Duration) {
 	p.loadTime += time.Duration(loadTimeWeight * float64(min(took, p.settings.LoadTimeout)-p.loadTime))
 }
 
-// loadTimeWeight is the weight of one load in the mean time of loads.
+// loadTimeWeight is the weight of one load in the moving average of load times.
 const loadTimeWeight = 0.2
 
-func (p *Planner) send(now time.Duration, g Goal, t *directory.Registration, q *progress, out *Actions) {
-	q.phase, q.sentAt, q.version = ordered, now, g.Version
-	q.askAt = now + p.settings.PollInterval
+func (p *Planner) sendOrder(now time.Duration, g Goal, t *directory.Registration, prog *progress, out *Actions) {
+	prog.phase, prog.sentAt, prog.version = ordered, now, g.Version
+	prog.nextQueryAt = now + p.settings.PollInterval
 	out.Orders = append(out.Orders, OutgoingOrder{Target: *t, Order: Order{
-		Model: g.Model, Version: g.Version, ExpectedAccepted: q.seen.AcceptedOrders,
+		Model: g.Model, Version: g.Version, ExpectedAccepted: prog.observation.AcceptedOrders,
 	}})
 }
 
-// HandleObservation takes in the answer to a question; nil for none.
+// HandleObservation handles the answer to a state query; o is nil when there
+// was none.
 func (p *Planner) HandleObservation(now time.Duration, t directory.Incarnation, o *Observation) {
-	q := p.targets[t.ID]
-	if q == nil || q.incarnation != t {
+	prog := p.targets[t.ID]
+	if prog == nil || prog.incarnation != t {
 		return
 	}
-	q.asking = false
+	prog.queryPending = false
 	if o == nil {
-		q.askAt = now + p.settings.RetryAfter
+		prog.nextQueryAt = now + p.settings.RetryAfter
 		return
 	}
-	// While an order is under way, an answer to an older question would give
-	// the count from before it.
-	if q.phase == ordered && o.QueriedAt < q.sentAt {
+	// While an order is in flight, the answer to an older query would give the
+	// count from before it.
+	if prog.phase == ordered && o.QueriedAt < prog.sentAt {
 		return
 	}
 	switch {
 	case o.Busy:
-		q.busyAt = o.QueriedAt
-	case q.phase == asking && q.version != 0:
-		q.idleAt = o.QueriedAt
+		prog.lastBusyAt = o.QueriedAt
+	case prog.phase == querying && prog.version != 0:
+		prog.unacceptedAt = o.QueriedAt
 	}
-	if q.phase == ordered && (o.Busy || q.seen != nil && o.AcceptedOrders > q.seen.AcceptedOrders) {
-		q.phase = loading
+	if prog.phase == ordered && (o.Busy || prog.observation != nil && o.AcceptedOrders > prog.observation.AcceptedOrders) {
+		prog.phase = loading
 	}
-	if q.phase == loading && !o.Busy && o.Versions != nil && o.QueriedAt > q.sentAt+p.settings.PollInterval {
-		// Done, or failed: the next step compares versions.
-		q.phase = asking
+	if prog.phase == loading && !o.Busy && o.Versions != nil && o.QueriedAt > prog.sentAt+p.settings.PollInterval {
+		// The load is done or has failed; the next step compares versions.
+		prog.phase = querying
 	}
-	q.seen = o
+	prog.observation = o
 }
 
-// HandleReceipt takes in the receipt of an order; empty when there was no answer.
+// HandleReceipt handles the receipt of an order; r is empty when there was no
+// answer.
 func (p *Planner) HandleReceipt(now time.Duration, t directory.Incarnation, r Receipt) {
-	q := p.targets[t.ID]
-	if q == nil || q.incarnation != t || q.phase != ordered {
+	prog := p.targets[t.ID]
+	if prog == nil || prog.incarnation != t || prog.phase != ordered {
 		return
 	}
 	switch r {
 	case ReceiptAccepted:
-		q.phase, q.idleAt = loading, 0
+		prog.phase, prog.unacceptedAt = loading, 0
 	case ReceiptAlreadyLoaded, ReceiptConflict:
-		q.phase, q.seen, q.askAt = asking, nil, now
+		prog.phase, prog.observation, prog.nextQueryAt = querying, nil, now
 	case ReceiptRejected:
-		q.phase, q.seen, q.askAt = idle, nil, now+p.settings.RetryAfter
+		prog.phase, prog.observation, prog.nextQueryAt = idle, nil, now+p.settings.RetryAfter
 	}
 }
--- a/internal/weights/versionrecord.go
+++ b/internal/weights/versionrecord.go
@@ -7,48 +7,52 @@
 	"time"
 )
 
-// NamedVersion says when operators named a version of a model's weights.
+// NamedVersion tells when operators named a version of a model's weights.
 type NamedVersion struct {
 	Model   string
 	Version int64
-	// NamedAt is a time of day, by the clock of the instance that wrote it.
+	// NamedAt is a wall-clock time of the instance that wrote the entry.
 	NamedAt time.Time
-	// Estimated is set while no instance has written it that received the version
-	// as it was named.
+	// Estimated is set until an instance that received the version when it was
+	// named has written the entry.
 	Estimated bool
 }
 
-// VersionRecord is kept in the platform's store. Operators' records have no times,
-// and instances that received a version as it was named can all be gone at once.
+// VersionRecord lists the known versions with the times at which they were
+// named. It is kept in the platform's store because operators' records carry no
+// times, and because all instances that received a version when it was named
+// can fail at once.
 type VersionRecord struct {
 	Versions []NamedVersion
 	// NextOffset is the offset that the next record will get.
 	NextOffset int64
 }
 
-// VersionStore is where the record is kept.
+// VersionStore keeps the record.
 type VersionStore interface {
-	// ReadVersionRecord reads the record; it is empty when there is none.
+	// ReadVersionRecord reads the record. It is empty when there is none.
 	ReadVersionRecord(ctx context.Context) (VersionRecord, error)
-	// WriteVersionRecord writes a record if nothing was written since offset at. An
-	// error leaves open whether it was, or still will be.
+	// WriteVersionRecord writes a record if nothing was written since offset
+	// at. After an error it is unknown whether the record was written or still
+	// will be.
 	WriteVersionRecord(ctx context.Context, at int64, list []NamedVersion) (written bool, err error)
 }
 
-// Covers says whether the record tells of a version, and as well as that.
-func (n VersionRecord) Covers(v NamedVersion) bool {
-	return slices.ContainsFunc(n.Versions, func(known NamedVersion) bool {
+// Covers reports whether the record has an entry for v's version that is at
+// least as accurate: an estimate does not cover an exact time.
+func (r VersionRecord) Covers(v NamedVersion) bool {
+	return slices.ContainsFunc(r.Versions, func(known NamedVersion) bool {
 		return known.Model == v.Model && known.Version == v.Version && (!known.Estimated || v.Estimated)
 	})
 }
 
-// Merge is the list with more versions. What is recorded stays, but for estimates
-// that an instance corrects which received the version in time. Of each model the newest
-// versions are kept, at most as many as given.
-func (n VersionRecord) Merge(more []NamedVersion, most int) []NamedVersion {
-	list := slices.Clone(n.Versions)
+// Merge returns the record's versions merged with more. An existing entry
+// stays, unless it is an estimate and the new entry is exact. Of each model
+// only the newest versions are kept, at most as many as given.
+func (r VersionRecord) Merge(more []NamedVersion, limit int) []NamedVersion {
+	list := slices.Clone(r.Versions)
 	for _, v := range more {
-		if n.Covers(v) {
+		if r.Covers(v) {
 			continue
 		}
 		list = slices.DeleteFunc(list, func(old NamedVersion) bool { return old.Model == v.Model && old.Version == v.Version })
@@ -60,6 +64,6 @@
 	kept := map[string]int{}
 	return slices.DeleteFunc(list, func(v NamedVersion) bool {
 		kept[v.Model]++
-		return kept[v.Model] > most
+		return kept[v.Model] > limit
 	})
 }
--- a/internal/weights/versionrecord_test.go
+++ b/internal/weights/versionrecord_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Two instances write down the same version, one of them late: it was
-// suspended. The later time would let replaced weights serve for longer, so
-// what is recorded stays, unless it is an estimate and the other one knows.
+// Guards against a later time that replaces the recorded one. Two instances
+// record the same version, one of them late because it was suspended. The later
+// time would let outdated weights serve for longer, so an existing entry stays
+// unless it is an estimate and the new one is exact.
 func TestRecordedVersionsStay(t *testing.T) {
 	is := is.New(t)
 	version := func(model string, number, at int64) NamedVersion {
