--- a/internal/lease/checkpoint.go
+++ b/internal/lease/checkpoint.go
@@ -9,61 +9,61 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// KindCheckpoint is a record with the whole state of the fold. The log keeps
-// its records for a limited time: an instance that starts behind that time
-// would miss who holds what, take a held lease for a free one, and mint an
-// account's rate a second time.
+// KindCheckpoint is a record with the whole lease table. The log keeps its
+// records for a limited time. Without a checkpoint, an instance that starts
+// after older records were trimmed would not know the holders, take a held
+// lease for a free one, and issue an account's rate a second time.
 const KindCheckpoint logrec.Kind = "lease.checkpoint"
 
-// Checkpoint is the body of KindCheckpoint.
+// Checkpoint is the body of a KindCheckpoint record.
 type Checkpoint struct {
-	// NextOffset is the first offset that is not in the state.
-	NextOffset platform.Offset   `msgpack:"t"`
-	Members []CheckpointMember `msgpack:"m"`
-	Leases  []CheckpointLease `msgpack:"l"`
-	// ActiveSplit is the split in force, Pending the one on its way since
-	// PendingAt.
-	ActiveSplit     []AccountSplit      `msgpack:"s,omitempty"`
-	PendingSplit   []AccountSplit      `msgpack:"p,omitempty"`
-	PendingAt platform.Offset `msgpack:"pa,omitempty"`
+	// NextOffset is the first offset that the state does not include.
+	NextOffset platform.Offset    `msgpack:"t"`
+	Members    []CheckpointMember `msgpack:"m"`
+	Leases     []CheckpointLease  `msgpack:"l"`
+	// ActiveSplit is the split in force. PendingSplit, recorded at PendingAt,
+	// is not in force yet.
+	ActiveSplit  []AccountSplit  `msgpack:"s,omitempty"`
+	PendingSplit []AccountSplit  `msgpack:"p,omitempty"`
+	PendingAt    platform.Offset `msgpack:"pa,omitempty"`
 }
 
 // CheckpointMember is one member with the offset of its join.
 type CheckpointMember struct {
-	Member Member          `msgpack:"m"`
-	JoinedAt     platform.Offset `msgpack:"a"`
+	Member   Member          `msgpack:"m"`
+	JoinedAt platform.Offset `msgpack:"a"`
 }
 
-// CheckpointLease is the state of one resource, without the times that each
-// process counts by itself.
+// CheckpointLease is the State of one resource, without the times, which each
+// process measures with its own clock.
 type CheckpointLease struct {
-	Resource Resource        `msgpack:"r"`
-	Holder   string          `msgpack:"h"`
-	Address  string          `msgpack:"a"`
-	Token    platform.Offset `msgpack:"k"`
-	LastOffset     platform.Offset `msgpack:"l"`
-	HolderApplied     platform.Offset `msgpack:"s"`
-	HasFloor    bool            `msgpack:"f"`
-	FirstHolder    bool            `msgpack:"n,omitempty"`
-	// FloorOwner and FloorAddress are those of the State.
+	Resource      Resource        `msgpack:"r"`
+	Holder        string          `msgpack:"h"`
+	Address       string          `msgpack:"a"`
+	Token         platform.Offset `msgpack:"k"`
+	LastOffset    platform.Offset `msgpack:"l"`
+	HolderApplied platform.Offset `msgpack:"s"`
+	HasFloor      bool            `msgpack:"f"`
+	FirstHolder   bool            `msgpack:"n,omitempty"`
+	// FloorOwner and FloorAddress are described at State.
 	FloorOwner   string `msgpack:"o,omitempty"`
 	FloorAddress string `msgpack:"d,omitempty"`
 }
 
-// Checkpoint is the state of the fold up to Next, and false while the fold
-// searches for one itself.
-func (f *Table) Checkpoint() (Checkpoint, bool) {
-	if f.searching {
+// Checkpoint returns the state as of NextOffset. The second result is false
+// while the table itself awaits a checkpoint.
+func (t *Table) Checkpoint() (Checkpoint, bool) {
+	if t.awaitingCheckpoint {
 		return Checkpoint{}, false
 	}
 	c := Checkpoint{
-		NextOffset: f.next,
-		ActiveSplit:   rowsOf(f.splits.inForce), PendingSplit: rowsOf(f.splits.pending), PendingAt: f.splits.at,
+		NextOffset:  t.nextOffset,
+		ActiveSplit: sortedSplits(t.splits.active), PendingSplit: sortedSplits(t.splits.pending), PendingAt: t.splits.pendingAt,
 	}
-	for _, j := range f.members {
-		c.Members = append(c.Members, CheckpointMember{Member: j.member, JoinedAt: j.at})
+	for _, m := range t.members {
+		c.Members = append(c.Members, CheckpointMember{Member: m.member, JoinedAt: m.joinedAt})
 	}
-	for r, s := range f.states {
+	for r, s := range t.leases {
 		c.Leases = append(c.Leases, CheckpointLease{
 			Resource: r, Holder: s.Holder, Address: s.Address,
 			Token: s.Token, LastOffset: s.LastOffset, HolderApplied: s.HolderApplied, HasFloor: s.HasFloor, FirstHolder: s.FirstHolder,
@@ -75,76 +75,81 @@
 	return c, true
 }
 
-// HandleTrim tells that the records before start are lost. Until a checkpoint is
-// found that stands for them, the fold knows nothing new.
-func (f *Table) HandleTrim(start platform.Offset) {
-	f.seen = f.lastSeen()
-	f.searching = true
-	f.next, f.floorOffset = start, start
-	f.held = nil
+// HandleTrim tells the table that the log no longer has the records before
+// start. The table applies nothing more until it has read a checkpoint that
+// covers them.
+func (t *Table) HandleTrim(start platform.Offset) {
+	t.appliedBeforeTrim = t.lastApplied()
+	t.awaitingCheckpoint = true
+	t.nextOffset, t.logStart = start, start
+	t.buffered = nil
 }
 
-// lastSeen is the last offset whose record is in the state. A holder that
-// searches still renews: were it to name the records that it has read but not
-// folded, the others would take it that it knows of a newcomer, who may then
-// take its lease over, or that it mints by a new split.
-func (f *Table) lastSeen() platform.Offset {
-	if f.searching {
-		return f.seen
+// lastApplied returns the last offset whose record is in the table. A holder
+// that awaits a checkpoint still renews. If its renewals named records that it
+// has read but not applied, the other instances would assume that it knows of a
+// new member, which could then take its lease over, or that it already issues
+// by a new split.
+func (t *Table) lastApplied() platform.Offset {
+	if t.awaitingCheckpoint {
+		return t.appliedBeforeTrim
 	}
-	return f.next - 1
+	return t.nextOffset - 1
 }
 
-// AwaitingCheckpoint says that the fold waits for a checkpoint.
-func (f *Table) AwaitingCheckpoint() bool { return f.searching }
+// AwaitingCheckpoint reports whether records were trimmed and no checkpoint
+// that covers them has been read yet.
+func (t *Table) AwaitingCheckpoint() bool { return t.awaitingCheckpoint }
 
-// heldRecord is a record read while the fold searches.
-type heldRecord struct {
-	off platform.Offset
-	env logrec.Envelope
+// bufferedRecord is a record read while the table awaits a checkpoint.
+type bufferedRecord struct {
+	offset   platform.Offset
+	envelope logrec.Envelope
 }
 
-// search keeps records until a checkpoint stands for all that is lost. It
-// reports whether the fold goes on from here.
-func (f *Table) search(now time.Duration, off platform.Offset, e logrec.Envelope) error {
-	f.next = off + 1
+// bufferUntilCheckpoint buffers records until it reads a checkpoint that covers
+// all trimmed ones. It then restores that checkpoint and applies the buffered
+// records that it does not include.
+func (t *Table) bufferUntilCheckpoint(now time.Duration, off platform.Offset, e logrec.Envelope) error {
+	t.nextOffset = off + 1
 	if e.Kind != KindCheckpoint {
-		f.held = append(f.held, heldRecord{off, e})
+		t.buffered = append(t.buffered, bufferedRecord{off, e})
 		return nil
 	}
 	var c Checkpoint
 	if err := e.DecodeBody(&c); err != nil {
 		return err
 	}
-	if c.NextOffset < f.floorOffset || c.NextOffset > off {
+	if c.NextOffset < t.logStart || c.NextOffset > off {
 		return nil
 	}
-	later := f.held
-	f.restore(now, c)
-	for _, r := range later {
-		if r.off >= c.NextOffset {
-			_ = f.Apply(now, r.off, r.env)
+	buffered := t.buffered
+	t.restore(now, c)
+	for _, r := range buffered {
+		if r.offset >= c.NextOffset {
+			_ = t.Apply(now, r.offset, r.envelope)
 		}
 	}
-	f.next = off + 1
+	t.nextOffset = off + 1
 	return nil
 }
 
-// restore takes a checkpoint's state. All waits for holders begin anew: when
-// this process would have folded their records is not known.
-func (f *Table) restore(now time.Duration, c Checkpoint) {
-	f.searching, f.held = false, nil
-	f.next = c.NextOffset
-	f.splits = splits{
-		inForce: rowsBy(c.ActiveSplit), pending: rowsBy(c.PendingSplit), at: c.PendingAt, version: f.splits.version + 1,
+// restore replaces the table by a checkpoint's state. The time that this
+// process has waited for each holder starts again at now, since it is not known
+// when this process would have applied the holders' records.
+func (t *Table) restore(now time.Duration, c Checkpoint) {
+	t.awaitingCheckpoint, t.buffered = false, nil
+	t.nextOffset = c.NextOffset
+	t.splits = splits{
+		active: splitsByAccount(c.ActiveSplit), pending: splitsByAccount(c.PendingSplit), pendingAt: c.PendingAt, version: t.splits.version + 1,
 	}
-	f.members = make(map[string]joined, len(c.Members))
-	f.states = make(map[Resource]State, len(c.Leases))
+	t.members = make(map[string]registration, len(c.Members))
+	t.leases = make(map[Resource]State, len(c.Leases))
 	for _, m := range c.Members {
-		f.members[m.Member.ID] = joined{member: m.Member, at: m.JoinedAt}
+		t.members[m.Member.ID] = registration{member: m.Member, joinedAt: m.JoinedAt}
 	}
 	for _, l := range c.Leases {
-		f.states[l.Resource] = State{
+		t.leases[l.Resource] = State{
 			Holder: l.Holder, Address: l.Address, Token: l.Token, LastOffset: l.LastOffset,
 			HolderApplied: l.HolderApplied, HasFloor: l.HasFloor, FirstHolder: l.FirstHolder, FloorOwner: l.FloorOwner, FloorAddress: l.FloorAddress, AppliedAt: now, FloorSince: now,
 		}
--- a/internal/lease/checkpoint_test.go
+++ b/internal/lease/checkpoint_test.go
@@ -10,7 +10,7 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-func encoded(t *testing.T, kind logrec.Kind, by string, body any) logrec.Envelope {
+func encodeEnvelope(t *testing.T, kind logrec.Kind, by string, body any) logrec.Envelope {
 	t.Helper()
 	raw, err := logrec.Encode(kind, by, 0, body)
 	if err != nil {
@@ -23,55 +23,55 @@
 	return e
 }
 
-// heldLog is a control stream in which a joined and acquired a mint slot long
-// ago and renewed it at offset 2.
-func heldLog(t *testing.T) []logrec.Envelope {
+// logWithHeldSlot returns a control stream in which a joins, acquires a mint
+// slot and renews it at offset 2.
+func logWithHeldSlot(t *testing.T) []logrec.Envelope {
 	slot := MintSlot("d", 0)
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
 	return []logrec.Envelope{
-		encoded(t, KindJoin, "a", Join{Member: a}),
-		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 0, Seq: 1}),
-		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: slot, Token: 1}}, AppliedThrough: 1, Seq: 2}),
+		encodeEnvelope(t, KindJoin, "a", Join{Member: a}),
+		encodeEnvelope(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 0, Seq: 1}),
+		encodeEnvelope(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: slot, Token: 1}}, AppliedThrough: 1, Seq: 2}),
 	}
 }
 
-func foldAll(f *Table, log []logrec.Envelope, from platform.Offset) {
+func applyAll(table *Table, log []logrec.Envelope, from platform.Offset) {
 	for i, e := range log[from:] {
-		_ = f.Apply(0, from+platform.Offset(i), e)
+		_ = table.Apply(0, from+platform.Offset(i), e)
 	}
 }
 
-// Instance a holds a mint slot. The log loses the first two records, then b
-// starts. Without a checkpoint b would see a free slot, acquire it, take it
-// holds it, and both would mint the same part of every account's rate. With
-// it, b knows the holder, and its view equals that of an instance that has
-// folded everything.
+// Guards against two holders of one mint slot. Instance a holds the slot, the
+// log loses the first two records, then b starts. Without a checkpoint b would
+// see a free slot and acquire it, and both would issue the same part of every
+// account's rate. With the checkpoint, b's table equals that of an instance
+// that has applied every record.
 func TestFreshInstanceKnowsHoldersBehindTrimmedLog(t *testing.T) {
 	is := is.New(t)
-	log := heldLog(t)
-	whole := NewTable()
-	foldAll(whole, log, 0)
-	c, ok := whole.Checkpoint()
+	log := logWithHeldSlot(t)
+	complete := NewTable()
+	applyAll(complete, log, 0)
+	c, ok := complete.Checkpoint()
 	is.True(ok)
-	log = append(log, encoded(t, KindCheckpoint, "a", c),
-		encoded(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: MintSlot("d", 0), Token: 1}}, AppliedThrough: 3, Seq: 3}))
-	foldAll(whole, log, 3)
+	log = append(log, encodeEnvelope(t, KindCheckpoint, "a", c),
+		encodeEnvelope(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: MintSlot("d", 0), Token: 1}}, AppliedThrough: 3, Seq: 3}))
+	applyAll(complete, log, 3)
 
 	h := NewHolder(DefaultSettings(Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}, []Resource{MintSlot("d", 0)}))
 	h.HandleTrim(2)
 	for i, e := range log[2:] {
 		h.MarkCaughtUp()
-		is.True(!acquires(h.Tick(time.Hour))) // knows nothing yet, or knows the holder
+		is.True(!containsAcquire(h.Tick(time.Hour))) // knows nothing yet, or knows the holder
 		is.NoErr(h.Apply(time.Hour, platform.Offset(2+i), e))
 	}
-	want, _ := whole.Checkpoint()
+	want, _ := complete.Checkpoint()
 	got, ok := h.Table().Checkpoint()
 	is.True(ok)
 	is.Equal(got, want)
 }
 
-func acquires(r Actions) bool {
-	for _, rec := range r.Records {
+func containsAcquire(actions Actions) bool {
+	for _, rec := range actions.Records {
 		if rec.Kind == KindAcquire {
 			return true
 		}
@@ -79,55 +79,56 @@
 	return false
 }
 
-// The checkpoint in the log stands for fewer records than were lost: an older
-// one, read from behind the trimmed start. Starting from it would miss the
-// records in between, so the fold goes on searching.
-func TestCheckpointThatMissesRecordsIsNotTaken(t *testing.T) {
+// A checkpoint whose state ends before the trimmed start does not cover all lost
+// records. Restoring it would miss those in between, so the table must go on
+// waiting for a newer one.
+func TestCheckpointThatMissesRecordsIsNotRestored(t *testing.T) {
 	is := is.New(t)
-	f := NewTable()
-	f.HandleTrim(5)
-	is.NoErr(f.Apply(0, 5, encoded(t, KindCheckpoint, "a", Checkpoint{NextOffset: 4})))
-	is.True(f.AwaitingCheckpoint())
-	is.NoErr(f.Apply(0, 6, encoded(t, KindCheckpoint, "a", Checkpoint{NextOffset: 5})))
-	is.True(!f.AwaitingCheckpoint())
-	is.Equal(f.NextOffset(), platform.Offset(7))
+	table := NewTable()
+	table.HandleTrim(5)
+	is.NoErr(table.Apply(0, 5, encodeEnvelope(t, KindCheckpoint, "a", Checkpoint{NextOffset: 4})))
+	is.True(table.AwaitingCheckpoint())
+	is.NoErr(table.Apply(0, 6, encodeEnvelope(t, KindCheckpoint, "a", Checkpoint{NextOffset: 5})))
+	is.True(!table.AwaitingCheckpoint())
+	is.Equal(table.NextOffset(), platform.Offset(7))
 }
 
-// An instance's own acquire is covered by the checkpoint that it starts its
-// fold from again, so it cannot tell when it sent it. It must not use the lease
-// on that ground, but has to renew it: else the slot would lie idle.
+// A checkpoint covers an instance's own acquire, so the instance does not know
+// when it sent that record. It must renew the lease before it uses it, and it
+// must renew: otherwise the slot would stay unused.
 func TestOwnLeaseInCheckpointIsRenewedBeforeUse(t *testing.T) {
 	is := is.New(t)
 	slot := MintSlot("d", 0)
 	self := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
-	whole := NewTable()
-	foldAll(whole, heldLog(t), 0)
-	c, _ := whole.Checkpoint()
+	complete := NewTable()
+	applyAll(complete, logWithHeldSlot(t), 0)
+	c, _ := complete.Checkpoint()
 	h := NewHolder(DefaultSettings(self, []Resource{slot}))
 	h.HandleTrim(3)
-	is.NoErr(h.Apply(time.Second, 3, encoded(t, KindCheckpoint, "b", c)))
+	is.NoErr(h.Apply(time.Second, 3, encodeEnvelope(t, KindCheckpoint, "b", c)))
 	is.True(!h.Valid(time.Second, slot))
-	work := h.Tick(time.Hour)
-	is.Equal(len(work.Records), 1)
-	is.Equal(work.Records[0].Kind, KindRenew)
-	is.NoErr(h.Apply(time.Hour, 4, encoded(t, KindRenew, "a", work.Records[0].Body)))
+	actions := h.Tick(time.Hour)
+	is.Equal(len(actions.Records), 1)
+	is.Equal(actions.Records[0].Kind, KindRenew)
+	is.NoErr(h.Apply(time.Hour, 4, encodeEnvelope(t, KindRenew, "a", actions.Records[0].Body)))
 	is.True(h.Valid(time.Hour, slot))
 }
 
-// A holder was away so long that the log lost records, among them the join of
-// a newcomer. It goes on renewing while it searches for a checkpoint. If its
-// renewals said that it has seen what it only read, the newcomer could take
-// over while promises of the members it knows extend the lease.
-func TestSearchingHolderClaimsToHaveSeenNothingNew(t *testing.T) {
+// Guards against a renewal that claims too much while its writer awaits a
+// checkpoint. The log has lost records, among them the join of a new member. If
+// the holder's renewals named records that it has only read, the new member
+// could take the lease over while promises of the members that the holder knows
+// still extend it.
+func TestHolderAwaitingCheckpointNamesNoUnappliedRecords(t *testing.T) {
 	is := is.New(t)
 	slot := MintSlot("d", 0)
 	h := NewHolder(DefaultSettings(Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, []Resource{slot}))
-	for i, e := range heldLog(t) {
+	for i, e := range logWithHeldSlot(t) {
 		is.NoErr(h.Apply(0, platform.Offset(i), e))
 	}
 	h.HandleTrim(10)
 	h.HandleTrim(11)
-	is.NoErr(h.Apply(0, 11, encoded(t, KindJoin, "b", Join{Member: Member{ID: "b", Domain: "d"}})))
+	is.NoErr(h.Apply(0, 11, encodeEnvelope(t, KindJoin, "b", Join{Member: Member{ID: "b", Domain: "d"}})))
 	for _, r := range h.Tick(time.Minute).Records {
 		if renew, ok := r.Body.(Renew); ok {
 			is.Equal(renew.AppliedThrough, platform.Offset(2))
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,12 +1,19 @@
-// Package lease gives named resources to one instance at a time, with the
-// platform's log as the only place where it is decided.
+// Package lease grants each named resource to one instance at a time. The
+// platform's log is the only arbiter.
 //
-// Leases are records in the control stream. Every instance folds them in
-// offset order and comes to the same holders; a race is settled by offset
-// alone. The offset of the acquire record is the fencing token. No decision
-// compares clocks of two processes: a holder counts its right from before it
-// sent the record, the others count their wait from when they folded it.
+// Leases are records in the control stream. Every instance applies the records
+// in offset order and therefore computes the same holders; of two competing
+// records, the one with the lower offset wins. The offset of the acquire record
+// is the fencing token. Clocks of two processes are never compared: a holder
+// counts the validity of its lease from before it sent the record, and the
+// others count the time they wait from when they applied it.
 //
-// The package is pure: time, log records and messages come in as arguments,
-// records to append and messages to send come out.
+// A mint slot is the right to issue a fixed share of all accounts' rates. A
+// part of each slot is its floor: a holder that cannot renew, such as one that
+// is partitioned, loses the slot after the TTL but may go on to issue the floor
+// for the hold time. An instance that takes the slot over gets the floor only
+// once the former holder can no longer use it.
+//
+// The package does no I/O and reads no clock: times, log records and messages
+// are arguments; records to append and messages to send are results.
 package lease
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -7,40 +7,42 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// HandlePromiseRequest promises not to append an acquire for the named leases for a
-// while. It promises nothing where an own acquire may still take effect, or
-// where the log shows another holder: the asker's right is over there.
-func (h *Holder) HandlePromiseRequest(now time.Duration, ask wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
+// HandlePromiseRequest promises not to append an acquire of the named leases
+// for a while. It leaves out a lease for which an own acquire may still take
+// effect, or for which the log shows another holder or token: there the
+// requester's lease has ended.
+func (h *Holder) HandlePromiseRequest(now time.Duration, req wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
 	answer := wire.LeasePromiseAnswer{By: h.settings.Self.ID, Address: h.settings.Self.Address}
-	span := min(time.Duration(ask.ForMillis)*time.Millisecond, h.settings.PromiseTime)
-	for _, l := range ask.Leases {
+	duration := min(time.Duration(req.ForMillis)*time.Millisecond, h.settings.PromiseTime)
+	for _, l := range req.Leases {
 		r := Resource(l.Resource)
-		s, known := h.fold.State(r)
-		if known && (s.Holder != ask.Holder || s.Token != platform.Offset(l.Token)) {
+		s, known := h.table.State(r)
+		if known && (s.Holder != req.Holder || s.Token != platform.Offset(l.Token)) {
 			continue
 		}
-		if _, open := h.acquires[r]; open {
+		if _, pending := h.pendingAcquires[r]; pending {
 			continue
 		}
-		h.promised[r] = max(h.promised[r], now+h.settings.wait(span))
+		h.promisedUntil[r] = max(h.promisedUntil[r], now+h.settings.waitTime(duration))
 		answer.Leases = append(answer.Leases, l)
 	}
 	return answer
 }
 
-// HandlePromiseAnswer counts a promise, from before it was asked for. An answer of a
-// newer incarnation at the member's address counts for the member: an address
-// belongs to one process at a time, so the member itself is dead.
+// HandlePromiseAnswer records the promises in an answer. Each is counted from
+// before its request was sent. The answer of a newer incarnation at the
+// member's address counts for the member too: an address belongs to one process
+// at a time, so the member itself is dead.
 func (h *Holder) HandlePromiseAnswer(id uint64, a wire.LeasePromiseAnswer) {
-	p, ok := h.asks[id]
-	delete(h.asks, id)
+	p, ok := h.pendingRequests[id]
+	delete(h.pendingRequests, id)
 	if !ok || (a.By != p.member.ID && a.Address != p.member.Address) {
 		return
 	}
 	for _, l := range a.Leases {
-		mine := h.held[Resource(l.Resource)]
-		if mine != nil && mine.token == platform.Offset(l.Token) {
-			mine.promises[p.member.ID] = p.askedAt + h.settings.use(h.settings.PromiseTime)
+		held := h.held[Resource(l.Resource)]
+		if held != nil && held.token == platform.Offset(l.Token) {
+			held.promises[p.member.ID] = p.sentAt + h.settings.usableTime(h.settings.PromiseTime)
 		}
 	}
 }
--- a/internal/lease/records.go
+++ b/internal/lease/records.go
@@ -8,7 +8,7 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Kinds of the records in the control stream.
+// Kinds of the lease records in the control stream.
 const (
 	KindJoin    logrec.Kind = "lease.join"
 	KindLeave   logrec.Kind = "lease.leave"
@@ -17,17 +17,19 @@
 	KindYield   logrec.Kind = "lease.yield"
 )
 
-// Resource names what is leased, such as "mint/kul-a/0" or "duty/rollout".
+// Resource is the name of what is leased, such as "mint/kul-a/0" or
+// "duty/rollout".
 type Resource string
 
 const mintPrefix = "mint/"
 
-// MintSlot names a slot of a domain's part of all rates.
+// MintSlot returns the resource of one of the slots into which a domain's share
+// of all rates is divided.
 func MintSlot(domain string, slot int) Resource {
 	return Resource(mintPrefix + domain + "/" + strconv.Itoa(slot))
 }
 
-// Domain is the failure domain whose members may hold the resource; empty
+// Domain returns the failure domain whose members may hold the resource; empty
 // when any instance may.
 func (r Resource) Domain() string {
 	rest, ok := strings.CutPrefix(string(r), mintPrefix)
@@ -46,30 +48,32 @@
 	Address string `msgpack:"a"`
 }
 
-// Join makes an incarnation known. Only known ones may hold leases.
+// Join registers an incarnation. Only registered ones may hold leases.
 type Join struct {
 	Member Member `msgpack:"m"`
 }
 
-// Leave removes an incarnation and frees what it holds. The incarnation itself
-// appends it at the end of a graceful shutdown. An operator may append it for
-// a machine that is certainly gone.
+// Leave removes an incarnation and frees what it holds. The incarnation appends
+// it itself at the end of a graceful shutdown. An operator may append it for a
+// machine that is certainly gone.
 type Leave struct {
 	ID string `msgpack:"i"`
 }
 
-// Basis says why an acquire is due.
+// Basis is the reason why an acquire is allowed.
 type Basis string
 
 // The bases of an acquire.
 const (
-	// BasisFree: the resource had no holder.
+	// BasisFree: the resource has no holder.
 	BasisFree Basis = "free"
-	// BasisSuccessor: the holder was an earlier incarnation at this address.
+	// BasisSuccessor: the holder is an earlier incarnation at the writer's
+	// address.
 	BasisSuccessor Basis = "successor"
-	// BasisExpired: the holder did not renew for longer than the TTL.
+	// BasisExpired: the holder has not renewed for longer than the TTL.
 	BasisExpired Basis = "lapsed"
-	// BasisHoldExpired: the holder did not renew for longer than the hold time.
+	// BasisHoldExpired: the holder has not renewed for longer than the hold
+	// time.
 	BasisHoldExpired Basis = "hold"
 )
 
@@ -79,9 +83,10 @@
 	Holder   string   `msgpack:"h"`
 	Basis    Basis    `msgpack:"b"`
 	// ExpectedOffset is the offset of the resource's last valid record that the
-	// writer had folded, or NoOffset.
+	// writer had applied, or NoOffset. The acquire is invalid if another valid
+	// record came after it.
 	ExpectedOffset platform.Offset `msgpack:"o"`
-	// AppliedThrough is the last offset that the writer had folded.
+	// AppliedThrough is the last offset that the writer had applied.
 	AppliedThrough platform.Offset `msgpack:"s"`
 	// Seq numbers the writer's records.
 	Seq uint64 `msgpack:"q"`
@@ -89,28 +94,28 @@
 
 // Renew extends all leases of a holder at once.
 type Renew struct {
-	Holder string          `msgpack:"h"`
-	Leases []Renewal       `msgpack:"l"`
-	AppliedThrough   platform.Offset `msgpack:"s"`
-	Seq    uint64          `msgpack:"q"`
+	Holder         string          `msgpack:"h"`
+	Leases         []Renewal       `msgpack:"l"`
+	AppliedThrough platform.Offset `msgpack:"s"`
+	Seq            uint64          `msgpack:"q"`
 }
 
 // Renewal extends one lease.
 type Renewal struct {
 	Resource Resource        `msgpack:"r"`
 	Token    platform.Offset `msgpack:"t"`
-	// ClaimsFloor says that the holder has waited out the hold time of an earlier
-	// holder and from this record on holds the floor too.
+	// ClaimsFloor is set once the holder has waited for the hold time of a
+	// former holder. From this record on the holder has the floor too.
 	ClaimsFloor bool `msgpack:"f,omitempty"`
 }
 
-// Yield gives up the floor of a lapsed lease before the hold time is over.
+// Yield releases the floor of an expired lease before the hold time has passed.
 type Yield struct {
 	Resource Resource `msgpack:"r"`
 	// Owner is the former holder that might still use the floor.
 	Owner string `msgpack:"o"`
-	// Writer is the owner itself, or a later incarnation at its address: then
-	// the owner is dead.
+	// Writer is the owner itself, or a later incarnation at its address, whose
+	// existence proves that the owner is dead.
 	Writer string `msgpack:"b"`
 }
 
--- a/internal/lease/split.go
+++ b/internal/lease/split.go
@@ -8,33 +8,36 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// KindSplit is a change of how accounts' rates are split over the domains.
+// KindSplit is a record that changes how accounts' rates are split between the
+// domains.
 const KindSplit logrec.Kind = "lease.split"
 
-// whole is the sum of the parts of a split.
-const whole = 1000
+// totalThousandths is the most that the shares of a split may add up to.
+const totalThousandths = 1000
 
-// Split is the body of KindSplit. It takes effect in two steps, so that a
-// domain never mints what another has not given up: from its offset on, each
-// mint slot uses the lower of the old and the new part; once every slot's
-// holder has written a record that has seen it, the new parts are in force.
+// Split is the body of a KindSplit record. It takes effect in two steps, so
+// that a domain never issues what another has not given up yet: from the
+// record's offset on, each mint slot uses the lower of the old and the new
+// share. Once the holder of every slot has written a record that shows it has
+// applied the split, the new shares are in force.
 type Split struct {
 	Accounts []AccountSplit `msgpack:"r"`
 }
 
-// AccountSplit splits one account's rate. Domains not named get nothing.
+// AccountSplit splits one account's rate. Domains not listed get nothing.
 type AccountSplit struct {
-	Account string       `msgpack:"a"`
-	Shares   []DomainShare `msgpack:"p"`
+	Account string        `msgpack:"a"`
+	Shares  []DomainShare `msgpack:"p"`
 }
 
-// DomainShare is one domain's part in thousandths.
+// DomainShare is one domain's share in thousandths.
 type DomainShare struct {
 	Domain      string `msgpack:"d"`
 	Thousandths uint16 `msgpack:"n"`
 }
 
-// valid reports that the parts do not sum up to more than the whole.
+// valid reports whether no domain is listed twice and the shares add up to at
+// most the whole rate.
 func (r AccountSplit) valid() bool {
 	sum := 0
 	for i, p := range r.Shares {
@@ -43,94 +46,96 @@
 			return false
 		}
 	}
-	return sum <= whole
+	return sum <= totalThousandths
 }
 
-// part is the domain's part of the rate.
-func (r AccountSplit) part(domain string) float64 {
+// share returns the domain's share of the rate, from 0 to 1.
+func (r AccountSplit) share(domain string) float64 {
 	for _, p := range r.Shares {
 		if p.Domain == domain {
-			return float64(p.Thousandths) / whole
+			return float64(p.Thousandths) / totalThousandths
 		}
 	}
 	return 0
 }
 
-// splits is the state of the split of all accounts. The maps are never
-// changed in place.
+// splits holds the splits of all accounts. The maps are never changed in place.
 type splits struct {
-	inForce map[string]AccountSplit // by account; others are split equally
-	pending map[string]AccountSplit
-	at      platform.Offset // of the pending split
-	version int             // goes up with each change
+	active    map[string]AccountSplit // by account; others are split equally
+	pending   map[string]AccountSplit
+	pendingAt platform.Offset // of the pending split
+	version   int             // increases with each change
 }
 
-// split takes a change unless another is still on its way.
-func (f *Table) split(off platform.Offset, s Split) {
-	if f.splits.pending != nil || len(s.Accounts) == 0 {
+// split records a change as pending. It ignores the change while another is
+// pending, or if any account's split is invalid.
+func (t *Table) split(off platform.Offset, s Split) {
+	if t.splits.pending != nil || len(s.Accounts) == 0 {
 		return
 	}
-	rows := map[string]AccountSplit{}
+	byAccount := map[string]AccountSplit{}
 	for _, r := range s.Accounts {
 		if !r.valid() {
 			return
 		}
-		rows[r.Account] = r
+		byAccount[r.Account] = r
 	}
-	f.splits.pending, f.splits.at = rows, off
-	f.splits.version++
+	t.splits.pending, t.splits.pendingAt = byAccount, off
+	t.splits.version++
 }
 
-// settleSplit puts the pending split into force when all have seen it.
-func (f *Table) settleSplit() {
-	if f.splits.pending == nil || !f.splitSeen() {
+// activateSplit puts the pending split into force once every holder has applied
+// it.
+func (t *Table) activateSplit() {
+	if t.splits.pending == nil || !t.splitAcknowledged() {
 		return
 	}
-	merged := maps.Clone(f.splits.inForce)
+	merged := maps.Clone(t.splits.active)
 	if merged == nil {
 		merged = map[string]AccountSplit{}
 	}
-	maps.Copy(merged, f.splits.pending)
-	f.splits.inForce, f.splits.pending = merged, nil
-	f.splits.version++
+	maps.Copy(merged, t.splits.pending)
+	t.splits.active, t.splits.pending = merged, nil
+	t.splits.version++
 }
 
-// splitSeen reports that nobody mints by the parts before the pending split.
-// A holder that cannot be heard, and one whose floor was not taken over yet,
-// may still do so.
-func (f *Table) splitSeen() bool {
-	for r, s := range f.states {
-		if r.Domain() != "" && (!s.HasFloor || (s.Holder != "" && s.HolderApplied < f.splits.at)) {
+// splitAcknowledged reports whether nobody issues by the shares before the
+// pending split any more. A holder that has not renewed since may still do so,
+// and so may a former holder that may still use the floor.
+func (t *Table) splitAcknowledged() bool {
+	for r, s := range t.leases {
+		if r.Domain() != "" && (!s.HasFloor || (s.Holder != "" && s.HolderApplied < t.splits.pendingAt)) {
 			return false
 		}
 	}
 	return true
 }
 
-// SplitVersion goes up whenever Part may give other answers.
-func (f *Table) SplitVersion() int { return f.splits.version }
+// SplitVersion increases whenever Share may return other values.
+func (t *Table) SplitVersion() int { return t.splits.version }
 
-// SplitPending reports that a split is on its way; another would be void.
-func (f *Table) SplitPending() bool { return f.splits.pending != nil }
+// SplitPending reports whether a split is pending. Another one would be
+// ignored.
+func (t *Table) SplitPending() bool { return t.splits.pending != nil }
 
-// Share is the part (0 to 1) of an account's rate that the domain's slots may
-// mint together, where equal is the part of a domain in an equal split.
-func (f *Table) Share(account, domain string, equal float64) float64 {
-	part := equal
-	if r, ok := f.splits.inForce[account]; ok {
-		part = r.part(domain)
+// Share returns the share (0 to 1) of an account's rate that the domain's slots
+// may issue together. equal is a domain's share in an equal split.
+func (t *Table) Share(account, domain string, equal float64) float64 {
+	share := equal
+	if r, ok := t.splits.active[account]; ok {
+		share = r.share(domain)
 	}
-	if r, ok := f.splits.pending[account]; ok {
-		part = min(part, r.part(domain))
+	if r, ok := t.splits.pending[account]; ok {
+		share = min(share, r.share(domain))
 	}
-	return part
+	return share
 }
 
-// SplitAccounts are the accounts that are not split equally.
-func (f *Table) SplitAccounts() []string {
-	names := slices.Collect(maps.Keys(f.splits.inForce))
-	for name := range f.splits.pending {
-		if _, ok := f.splits.inForce[name]; !ok {
+// SplitAccounts returns the accounts whose split is not equal, in name order.
+func (t *Table) SplitAccounts() []string {
+	names := slices.Collect(maps.Keys(t.splits.active))
+	for name := range t.splits.pending {
+		if _, ok := t.splits.active[name]; !ok {
 			names = append(names, name)
 		}
 	}
@@ -138,23 +143,23 @@
 	return names
 }
 
-// rowsOf lists rows by account, for a checkpoint.
-func rowsOf(rows map[string]AccountSplit) []AccountSplit {
+// sortedSplits lists splits by account name, for a checkpoint.
+func sortedSplits(byAccount map[string]AccountSplit) []AccountSplit {
 	var list []AccountSplit
-	for _, name := range slices.Sorted(maps.Keys(rows)) {
-		list = append(list, rows[name])
+	for _, name := range slices.Sorted(maps.Keys(byAccount)) {
+		list = append(list, byAccount[name])
 	}
 	return list
 }
 
-// rowsBy is the reverse of rowsOf.
-func rowsBy(list []AccountSplit) map[string]AccountSplit {
+// splitsByAccount is the inverse of sortedSplits.
+func splitsByAccount(list []AccountSplit) map[string]AccountSplit {
 	if len(list) == 0 {
 		return nil
 	}
-	rows := make(map[string]AccountSplit, len(list))
+	byAccount := make(map[string]AccountSplit, len(list))
 	for _, r := range list {
-		rows[r.Account] = r
+		byAccount[r.Account] = r
 	}
-	return rows
+	return byAccount
 }
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -10,144 +10,148 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// heldPenalty is how many candidates without a lease of the domain go before
-// one that has one, so that slots spread over the instances.
-const heldPenalty = 8
+// heldRankPenalty is added to a candidate's rank for each lease of the domain
+// that it holds or tries to acquire, so that the slots spread over the
+// instances.
+const heldRankPenalty = 8
 
-// maxRank bounds the stagger.
+// maxRank bounds the delay that Stagger causes.
 const maxRank = 40
 
-// Tick finds the records and asks that are due.
+// Tick returns the records to append and the requests to send now.
 func (h *Holder) Tick(now time.Duration) Actions {
-	var r Actions
+	var actions Actions
 	if h.leaving {
-		return r
+		return actions
 	}
 	if rec, due := h.join(now); due {
-		r.Records = append(r.Records, rec)
+		actions.Records = append(actions.Records, rec)
 	}
 	if rec, due := h.renew(now); due {
-		r.Records = append(r.Records, rec)
+		actions.Records = append(actions.Records, rec)
 	}
-	if h.caughtUp && h.joined() {
+	if h.caughtUp && h.hasJoined() {
 		for _, res := range h.settings.Wanted {
 			if rec, due := h.acquire(now, res); due {
-				r.Records = append(r.Records, rec)
+				actions.Records = append(actions.Records, rec)
 			}
 		}
-		r.Records = append(r.Records, h.yields(now)...)
+		actions.Records = append(actions.Records, h.yields(now)...)
 	}
-	r.PromiseRequests = h.askPromises(now)
-	return r
+	actions.PromiseRequests = h.requestPromises(now)
+	return actions
 }
 
-func (h *Holder) joined() bool {
-	_, ok := h.fold.members[h.settings.Self.ID]
+func (h *Holder) hasJoined() bool {
+	_, ok := h.table.members[h.settings.Self.ID]
 	return ok
 }
 
-// join makes this incarnation known, again when the record did not appear.
+// join returns a join record, again when it was not read back in time.
 func (h *Holder) join(now time.Duration) (Record, bool) {
-	if h.joined() || (h.joinAt != 0 && now-h.joinAt < h.settings.RenewInterval) {
+	if h.hasJoined() || (h.joinSentAt != 0 && now-h.joinSentAt < h.settings.RenewInterval) {
 		return Record{}, false
 	}
-	h.joinAt = max(now, 1)
+	h.joinSentAt = max(now, 1)
 	h.seq++
 	return Record{Kind: KindJoin, Body: Join{Member: h.settings.Self}, Seq: h.seq}, true
 }
 
-// joinGap is the part of the renewal period between two renewals for joins: many
-// members may join at once.
-const joinGap = 6
+// joinRenewDivisor sets the least time between two renewals that joins trigger,
+// as a fraction of the renewal interval: many members may join at once.
+const joinRenewDivisor = 6
 
-// renew extends everything held in one record, and soon when a member of the
-// domain has joined: only members that a holder's last record has seen may take
-// over from it. A holder lost before that record would keep its slots for the
-// hold time.
+// renew returns a record that extends all held leases, and does so early when a
+// member of the domain has joined. Only members that a holder's last record
+// shows as applied may take over from it: if the holder failed before such a
+// record, its slots would stay unused for the hold time.
 func (h *Holder) renew(now time.Duration) (Record, bool) {
 	period := h.settings.RenewInterval
-	if h.renewNow {
-		period /= joinGap
+	if h.renewSoon {
+		period /= joinRenewDivisor
 	}
-	if len(h.held) == 0 || now-h.renewAt < period {
+	if len(h.held) == 0 || now-h.renewSentAt < period {
 		return Record{}, false
 	}
-	h.renewAt, h.renewNow = now, false
-	body := Renew{Holder: h.settings.Self.ID, AppliedThrough: h.fold.lastSeen(), Seq: h.number(now)}
+	h.renewSentAt, h.renewSoon = now, false
+	body := Renew{Holder: h.settings.Self.ID, AppliedThrough: h.table.lastApplied(), Seq: h.nextSeq(now)}
 	for _, r := range h.settings.Wanted {
 		if l := h.held[r]; l != nil {
-			body.Leases = append(body.Leases, Renewal{Resource: r, Token: l.token, ClaimsFloor: h.floorDue(now, r)})
+			body.Leases = append(body.Leases, Renewal{Resource: r, Token: l.token, ClaimsFloor: h.floorHoldExpired(now, r)})
 		}
 	}
 	return Record{Kind: KindRenew, Body: body, Seq: body.Seq}, true
 }
 
-// floorDue reports that the hold time of an earlier holder is over.
-func (h *Holder) floorDue(now time.Duration, r Resource) bool {
-	s, ok := h.fold.State(r)
-	return ok && (s.HasFloor || now >= s.FloorSince+h.settings.wait(h.settings.HoldTime))
+// floorHoldExpired reports whether no former holder may use the floor any more.
+func (h *Holder) floorHoldExpired(now time.Duration, r Resource) bool {
+	s, ok := h.table.State(r)
+	return ok && (s.HasFloor || now >= s.FloorSince+h.settings.waitTime(h.settings.HoldTime))
 }
 
-// number counts a record and notes when it was sent.
-func (h *Holder) number(now time.Duration) uint64 {
+// nextSeq returns the sequence number for a record and remembers when it was
+// sent.
+func (h *Holder) nextSeq(now time.Duration) uint64 {
 	h.seq++
-	h.sent[h.seq] = now
+	h.sendTimes[h.seq] = now
 	return h.seq
 }
 
-// acquire takes a resource when it is free or its holder's time is over.
+// acquire returns a record that takes a resource if it is free or its holder's
+// time has passed.
 func (h *Holder) acquire(now time.Duration, r Resource) (Record, bool) {
-	s, known := h.fold.State(r)
+	s, known := h.table.State(r)
 	if !known {
 		s = State{LastOffset: NoOffset}
 	}
-	basis, from := h.basis(r, s)
-	if basis == "" || now < from || now < h.promised[r] {
+	basis, from := h.acquireBasis(r, s)
+	if basis == "" || now < from || now < h.promisedUntil[r] {
 		return Record{}, false
 	}
-	a, open := h.acquires[r]
-	if open && now-a.sentAt < h.settings.RenewInterval {
+	a, pending := h.pendingAcquires[r]
+	if pending && now-a.lastSentAt < h.settings.RenewInterval {
 		return Record{}, false
 	}
 	body := Acquire{
 		Resource: r, Holder: h.settings.Self.ID, Basis: basis,
-		ExpectedOffset: s.LastOffset, AppliedThrough: h.fold.lastSeen(), Seq: h.number(now),
+		ExpectedOffset: s.LastOffset, AppliedThrough: h.table.lastApplied(), Seq: h.nextSeq(now),
 	}
-	h.acquires[r] = attempt{basedOn: s.LastOffset, seqs: append(a.seqs, body.Seq), sentAt: now}
+	h.pendingAcquires[r] = pendingAcquire{expectedOffset: s.LastOffset, seqs: append(a.seqs, body.Seq), lastSentAt: now}
 	return Record{Kind: KindAcquire, Body: body, Seq: body.Seq}, true
 }
 
-// basis says why and from when on this instance may take the resource.
-func (h *Holder) basis(r Resource, s State) (Basis, time.Duration) {
-	self := h.fold.members[h.settings.Self.ID]
+// acquireBasis returns why, and from when on, this instance may take the
+// resource. The basis is empty if it may not.
+func (h *Holder) acquireBasis(r Resource, s State) (Basis, time.Duration) {
+	self := h.table.members[h.settings.Self.ID]
 	delay := time.Duration(h.rank(r)) * h.settings.Stagger
-	old, known := h.fold.members[s.Holder]
+	old, known := h.table.members[s.Holder]
 	switch {
 	case s.Holder == h.settings.Self.ID:
 		return "", 0
 	case s.Holder == "":
 		return BasisFree, s.AppliedAt + delay
-	case s.Address == self.member.Address && (!known || old.at < self.at):
+	case s.Address == self.member.Address && (!known || old.joinedAt < self.joinedAt):
 		return BasisSuccessor, 0
-	case self.at <= s.HolderApplied:
-		return BasisExpired, s.AppliedAt + h.settings.wait(h.settings.TTL) + delay
+	case self.joinedAt <= s.HolderApplied:
+		return BasisExpired, s.AppliedAt + h.settings.waitTime(h.settings.TTL) + delay
 	}
-	return BasisHoldExpired, s.AppliedAt + h.settings.wait(h.settings.HoldTime) + delay
+	return BasisHoldExpired, s.AppliedAt + h.settings.waitTime(h.settings.HoldTime) + delay
 }
 
-// rank is this instance's place among the candidates for a resource, the same
-// in every instance's view.
+// rank returns this instance's place among the candidates for a resource. Apart
+// from the penalty for leases of its own, all instances compute the same order.
 func (h *Holder) rank(r Resource) int {
-	own, place := score(r, h.settings.Self.ID), 0
-	for id, j := range h.fold.members {
-		if (r.Domain() == "" || j.member.Domain == r.Domain()) && score(r, id) < own {
+	ownScore, place := score(r, h.settings.Self.ID), 0
+	for id, j := range h.table.members {
+		if (r.Domain() == "" || j.member.Domain == r.Domain()) && score(r, id) < ownScore {
 			place++
 		}
 	}
 	for _, other := range h.settings.Wanted {
-		_, open := h.acquires[other]
-		if other != r && other.Domain() == r.Domain() && (open || h.held[other] != nil) {
-			place += heldPenalty
+		_, pending := h.pendingAcquires[other]
+		if other != r && other.Domain() == r.Domain() && (pending || h.held[other] != nil) {
+			place += heldRankPenalty
 		}
 	}
 	return min(place, maxRank)
@@ -157,42 +161,43 @@
 
 func compareIDs(a, b string) int { return cmp.Compare(a, b) }
 
-// askPromises asks all rivals once renewing has failed for a while.
-func (h *Holder) askPromises(now time.Duration) []PromiseRequest {
-	if now-h.askAt < h.settings.RenewInterval {
+// requestPromises requests promises from all takeover candidates once renewing
+// has failed for a while.
+func (h *Holder) requestPromises(now time.Duration) []PromiseRequest {
+	if now-h.requestsSentAt < h.settings.RenewInterval {
 		return nil
 	}
-	wanted := map[Member][]wire.LeaseName{}
+	byMember := map[Member][]wire.LeaseName{}
 	for _, r := range h.settings.Wanted {
 		l := h.held[r]
-		if l == nil || r.Domain() == "" || now-l.sentAt < 2*h.settings.RenewInterval {
+		if l == nil || r.Domain() == "" || now-l.confirmedSentAt < 2*h.settings.RenewInterval {
 			continue
 		}
-		for _, m := range h.rivals(r) {
-			wanted[m] = append(wanted[m], wire.LeaseName{Resource: string(r), Token: int64(l.token)})
+		for _, m := range h.takeoverCandidates(r) {
+			byMember[m] = append(byMember[m], wire.LeaseName{Resource: string(r), Token: int64(l.token)})
 		}
 	}
-	if len(wanted) == 0 {
+	if len(byMember) == 0 {
 		return nil
 	}
-	h.askAt = now
-	return h.asksFor(now, wanted)
+	h.requestsSentAt = now
+	return h.newPromiseRequests(now, byMember)
 }
 
-func (h *Holder) asksFor(now time.Duration, wanted map[Member][]wire.LeaseName) []PromiseRequest {
-	var asks []PromiseRequest
-	for m, leases := range wanted {
-		asks = append(asks, PromiseRequest{Member: m, Body: wire.LeasePromiseAsk{
+func (h *Holder) newPromiseRequests(now time.Duration, byMember map[Member][]wire.LeaseName) []PromiseRequest {
+	var requests []PromiseRequest
+	for m, leases := range byMember {
+		requests = append(requests, PromiseRequest{Member: m, Body: wire.LeasePromiseAsk{
 			Holder: h.settings.Self.ID, Member: m.ID,
 			ForMillis: h.settings.PromiseTime.Milliseconds(), Leases: leases,
 		}})
 	}
-	slices.SortFunc(asks, func(a, b PromiseRequest) int { return compareIDs(a.Member.ID, b.Member.ID) })
-	clear(h.asks)
-	for i := range asks {
-		h.lastAsk++
-		asks[i].ID = h.lastAsk
-		h.asks[h.lastAsk] = pendingAsk{member: asks[i].Member, askedAt: now}
+	slices.SortFunc(requests, func(a, b PromiseRequest) int { return compareIDs(a.Member.ID, b.Member.ID) })
+	clear(h.pendingRequests)
+	for i := range requests {
+		h.lastRequestID++
+		requests[i].ID = h.lastRequestID
+		h.pendingRequests[h.lastRequestID] = pendingRequest{member: requests[i].Member, sentAt: now}
 	}
-	return asks
+	return requests
 }
--- a/internal/lease/yield.go
+++ b/internal/lease/yield.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// yields gives up the floors that this instance, or a dead incarnation at its
-// address, kept of leases that others have taken over. A holder that was paused
-// past its lease would otherwise take a part of every rate along, used by
-// nobody, until the hold time is over.
+// yields returns records that release floors which this instance, or a dead
+// incarnation at its address, kept when others took the leases over. Without
+// them, the part of every rate that belongs to the floor of a holder paused
+// past its lease would stay unused until the hold time has passed.
 //
-// It is safe because the floor is not in use here: the fold has shown the loss
-// of the lease, and with it ended every grant of this instance on it.
+// Releasing the floor is safe because it is not in use here: the table has
+// shown that the lease is lost, and that ended every grant of this instance for
+// it.
 func (h *Holder) yields(now time.Duration) []Record {
-	if now-h.yieldAt < h.settings.RenewInterval {
+	if now-h.yieldSentAt < h.settings.RenewInterval {
 		return nil
 	}
 	var list []Record
 	for _, r := range h.settings.Wanted {
-		s, ok := h.fold.State(r)
-		if !ok || s.HasFloor || !h.fold.mayYield(s, h.settings.Self.ID) || h.usesFloor(r) {
+		s, ok := h.table.State(r)
+		if !ok || s.HasFloor || !h.table.speaksForFloorOwner(s, h.settings.Self.ID) || h.usesFloor(r) {
 			continue
 		}
 		h.seq++
@@ -24,37 +25,37 @@
 		list = append(list, Record{Kind: KindYield, Body: body, Seq: h.seq})
 	}
 	if len(list) > 0 {
-		h.yieldAt = now
+		h.yieldSentAt = now
 	}
 	return list
 }
 
-// usesFloor reports that a grant of the floor may be in force here.
+// usesFloor reports whether a grant of the floor may still be in use here.
 func (h *Holder) usesFloor(r Resource) bool {
 	l := h.held[r]
-	return l != nil && l.floor
+	return l != nil && l.hasFloor
 }
 
-// yield gives the floor to the present holder.
-func (f *Table) yield(y Yield) {
-	s, ok := f.states[y.Resource]
-	if !ok || s.HasFloor || s.FloorOwner != y.Owner || !f.mayYield(s, y.Writer) {
+// yield gives the floor to the current holder.
+func (t *Table) yield(y Yield) {
+	s, ok := t.leases[y.Resource]
+	if !ok || s.HasFloor || s.FloorOwner != y.Owner || !t.speaksForFloorOwner(s, y.Writer) {
 		return
 	}
 	s.HasFloor, s.FloorOwner, s.FloorAddress = true, "", ""
-	f.states[y.Resource] = s
+	t.leases[y.Resource] = s
 }
 
-// mayYield reports that a member speaks for the owner of a floor: it is the
-// owner, or a later incarnation at the owner's address.
-func (f *Table) mayYield(s State, by string) bool {
-	m, joined := f.members[by]
+// speaksForFloorOwner reports whether a member may release a floor: it is the
+// floor's owner, or a later incarnation at the owner's address.
+func (t *Table) speaksForFloorOwner(s State, writer string) bool {
+	m, joined := t.members[writer]
 	if !joined || s.FloorOwner == "" {
 		return false
 	}
-	if by == s.FloorOwner {
+	if writer == s.FloorOwner {
 		return true
 	}
-	owner, known := f.members[s.FloorOwner]
-	return m.member.Address == s.FloorAddress && (!known || owner.at < m.at)
+	owner, known := t.members[s.FloorOwner]
+	return m.member.Address == s.FloorAddress && (!known || owner.joinedAt < m.joinedAt)
 }
--- a/internal/lease/yield_test.go
+++ b/internal/lease/yield_test.go
@@ -10,20 +10,20 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// lapsedLog is a control stream in which b took a's slot over after a lapse; a
-// may still use its floor.
-func lapsedLog(t *testing.T) []logrec.Envelope {
+// logWithTakeover returns a control stream in which b takes a's slot over after
+// it expired, while a may still use the floor.
+func logWithTakeover(t *testing.T) []logrec.Envelope {
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
 	b := Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}
 	return []logrec.Envelope{
-		encoded(t, KindJoin, "a", Join{Member: a}),
-		encoded(t, KindJoin, "b", Join{Member: b}),
-		encoded(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 1, Seq: 1}),
-		encoded(t, KindAcquire, "b", Acquire{Resource: slot, Holder: "b", Basis: BasisExpired, ExpectedOffset: 2, AppliedThrough: 2, Seq: 1}),
+		encodeEnvelope(t, KindJoin, "a", Join{Member: a}),
+		encodeEnvelope(t, KindJoin, "b", Join{Member: b}),
+		encodeEnvelope(t, KindAcquire, "a", Acquire{Resource: slot, Holder: "a", Basis: BasisFree, ExpectedOffset: NoOffset, AppliedThrough: 1, Seq: 1}),
+		encodeEnvelope(t, KindAcquire, "b", Acquire{Resource: slot, Holder: "b", Basis: BasisExpired, ExpectedOffset: 2, AppliedThrough: 2, Seq: 1}),
 	}
 }
 
-func holderAfter(t *testing.T, m Member, log []logrec.Envelope) *Holder {
+func replayedHolder(t *testing.T, m Member, log []logrec.Envelope) *Holder {
 	t.Helper()
 	h := NewHolder(DefaultSettings(m, []Resource{slot}))
 	for i, e := range log {
@@ -35,8 +35,8 @@
 	return h
 }
 
-func yielded(r Actions) (Yield, bool) {
-	for _, rec := range r.Records {
+func findYield(actions Actions) (Yield, bool) {
+	for _, rec := range actions.Records {
 		if y, ok := rec.Body.(Yield); ok {
 			return y, true
 		}
@@ -44,30 +44,31 @@
 	return Yield{}, false
 }
 
-// Instance a is paused past its lease, b takes the slot over without the
-// floor, and a thaws. Without the yield a quarter of the slot's rate would be
-// minted by nobody for the hold time of six hours, and callers be refused.
+// Guards against a floor that nobody uses. Instance a is paused past its lease,
+// b takes the slot over without the floor, and a resumes. Unless a releases the
+// floor, a quarter of the slot's rate is issued by nobody for the hold time of
+// six hours, and callers are refused.
 func TestThawedFormerHolderYieldsItsFloor(t *testing.T) {
 	is := is.New(t)
-	log := lapsedLog(t)
-	a := holderAfter(t, Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, log)
-	y, ok := yielded(a.Tick(time.Minute))
+	log := logWithTakeover(t)
+	a := replayedHolder(t, Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, log)
+	y, ok := findYield(a.Tick(time.Minute))
 	is.True(ok)
-	is.Equal(len(a.Grants(time.Minute)), 0) // a uses nothing of it any more
+	is.Equal(len(a.Grants(time.Minute)), 0) // a no longer uses the floor
 
 	s, _ := a.Table().State(slot)
 	is.True(!s.HasFloor)
-	is.NoErr(a.Apply(time.Minute, 4, encoded(t, KindYield, "a", y)))
+	is.NoErr(a.Apply(time.Minute, 4, encodeEnvelope(t, KindYield, "a", y)))
 	s, _ = a.Table().State(slot)
 	is.True(s.HasFloor)
 	is.Equal(s.Holder, "b")
-	_, again := yielded(a.Tick(time.Hour))
+	_, again := findYield(a.Tick(time.Hour))
 	is.True(!again)
 }
 
-// Who may speak for a's floor: a, and a process that runs at a's address now.
-// A yield by anybody else is void on every instance: a may be cut off and still
-// spend its floor, and b would spend it too.
+// Only a, or a later process at a's address, may release a's floor. A yield by
+// any other member is invalid on every instance: a may be partitioned and still
+// use the floor, and b would use it too.
 func TestOnlyOwnerOrItsSuccessorYields(t *testing.T) {
 	for name, x := range map[string]struct {
 		by    Member
@@ -80,12 +81,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			log := append(lapsedLog(t),
-				encoded(t, KindJoin, x.by.ID, Join{Member: x.by}),
-				encoded(t, KindYield, x.by.ID, Yield{Resource: slot, Owner: "a", Writer: x.by.ID}))
-			f := NewTable()
-			foldAll(f, log, 0)
-			s, _ := f.State(slot)
+			log := append(logWithTakeover(t),
+				encodeEnvelope(t, KindJoin, x.by.ID, Join{Member: x.by}),
+				encodeEnvelope(t, KindYield, x.by.ID, Yield{Resource: slot, Owner: "a", Writer: x.by.ID}))
+			table := NewTable()
+			applyAll(table, log, 0)
+			s, _ := table.State(slot)
 			is.Equal(s.HasFloor, x.floor)
 		})
 	}
