--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -6,9 +6,9 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// AuditEntry is the audit entry of a record of the control stream; false for
-// records that change no target. It shows what was written, also where the
-// ledger found it void.
+// AuditEntry returns the audit entry for a record of the control stream, and
+// false for records that change no target. It shows what was written, even if
+// State ignores the record as invalid.
 func AuditEntry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
 		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
@@ -17,7 +17,7 @@
 	case KindPool:
 		var r PoolRecord
 		err := e.DecodeBody(&r)
-		return poolEntry(out, r), err == nil
+		return poolAuditEntry(out, r), err == nil
 	case KindIssued:
 		var r Issued
 		err := e.DecodeBody(&r)
@@ -37,7 +37,7 @@
 	return out, false
 }
 
-func poolEntry(out audit.Entry, r PoolRecord) audit.Entry {
+func poolAuditEntry(out audit.Entry, r PoolRecord) audit.Entry {
 	out.Op, out.Outcome, out.Reason = r.State.ID.String(), audit.Accepted, r.State.Reason
 	if r.State.Halted {
 		out.Outcome = audit.Halted
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -2,142 +2,145 @@
 
 import "time"
 
-// Controller decides for the holder of the lease, for one term of it. It is
-// not safe for concurrent use. Once in Stale it decides nothing more.
+// Controller decides for the holder of the lease during one term. It is not
+// safe for concurrent use. Once it has returned Stale it decides nothing more.
 type Controller struct {
 	settings Settings
-	ledger   *State
+	state    *State
 	token    int64
-	// quietUntil is when no order of an older holder can still arrive.
-	quietUntil time.Duration
-	n          uint64
-	stale      bool
+	// staleOrdersUntil is when no order of an earlier holder can arrive any
+	// more.
+	staleOrdersUntil time.Duration
+	lastSeq          uint64
+	stale            bool
 
-	seen     map[string]Observation
-	proposed map[string]proposal
-	sent     map[string]sending
-	matched  map[string]match
-	restated map[string]statement
+	observations map[string]Observation
+	pending      map[string]proposal
+	lastSends    map[string]lastSend
+	servingSince map[string]servingTarget
+	firstSeen    map[string]seenPoolRecord
 }
 
-// proposal is a record that was handed out and not folded yet.
+// proposal is a record that was returned to be appended and has not been read
+// back.
 type proposal struct {
-	// content is the record's body without its id; what is decided again
-	// with the same content keeps the id.
-	content any
-	id      OrderID
-	record  Record
-	at      time.Duration
+	// content is the record's body without its id. A later decision with the
+	// same content keeps the id.
+	content    any
+	id         OrderID
+	record     Record
+	proposedAt time.Duration
 }
 
-// sending is the newest send to a target.
-type sending struct {
+// lastSend is the newest order sent to a target.
+type lastSend struct {
 	version string
 	id      OrderID
-	at      time.Duration
+	sentAt  time.Duration
 }
 
-// match is a target that serves what its open order asked for.
-type match struct {
-	id    OrderID
-	since time.Duration
+// servingTarget is a target that serves the version of its open order.
+type servingTarget struct {
+	id          OrderID
+	firstServed time.Duration
 }
 
-// statement is when this controller first saw a pool's newest record.
-type statement struct {
-	id OrderID
-	at time.Duration
+// seenPoolRecord notes when this controller first saw a pool's newest record.
+type seenPoolRecord struct {
+	id     OrderID
+	seenAt time.Duration
 }
 
 // NewController starts a term. token is the fencing token of the lease.
-// oldEnds is when the former holder's lease has surely lapsed on its own
-// clock, 0 when there was none. The ledger goes on being fed by the caller
-// and has to hold the control stream up to the token.
-func NewController(s Settings, l *State, token int64, oldEnds time.Duration) *Controller {
+// previousLeaseEnd is when the former holder's lease has certainly expired by
+// its own clock, or 0 if there was none. The state must include the control
+// stream up to the token, and the caller goes on applying records to it.
+func NewController(s Settings, state *State, token int64, previousLeaseEnd time.Duration) *Controller {
 	c := &Controller{
-		settings: s, ledger: l, token: token,
-		seen: map[string]Observation{}, proposed: map[string]proposal{},
-		sent: map[string]sending{}, matched: map[string]match{}, restated: map[string]statement{},
+		settings: s, state: state, token: token,
+		observations: map[string]Observation{}, pending: map[string]proposal{},
+		lastSends: map[string]lastSend{}, servingSince: map[string]servingTarget{}, firstSeen: map[string]seenPoolRecord{},
 	}
-	if oldEnds > 0 {
-		c.quietUntil = oldEnds + s.MaxOrderDelay
+	if previousLeaseEnd > 0 {
+		c.staleOrdersUntil = previousLeaseEnd + s.MaxOrderDelay
 	}
-	l.Fence(token)
+	state.Fence(token)
 	return c
 }
 
-// Observe takes a target's state, as of the time its answer arrived.
+// Observe records a target's state as of the time its answer arrived.
 func (c *Controller) Observe(target string, o Observation) {
 	if o.Fence > c.token {
 		c.stale = true
 	}
-	c.seen[target] = o
+	c.observations[target] = o
 }
 
-// Tick decides. validUntil is when this instance's own right to the lease
-// ends; the caller checks it again right before each send. The records are
-// to be appended, in order, whatever becomes of the answers.
+// Tick returns what to do now. validUntil is when this instance's lease ends;
+// the caller checks it again right before each send. The caller appends the
+// records in order, whatever the results of the appends.
 func (c *Controller) Tick(now, validUntil time.Duration, goals []Goal) Actions {
-	if c.stale || c.ledger.token > c.token {
+	if c.stale || c.state.token > c.token {
 		c.stale = true
 		return Actions{Stale: true}
 	}
 	if now >= validUntil {
 		return Actions{}
 	}
-	var r Actions
+	var actions Actions
 	for _, g := range goals {
-		t := &tick{Controller: c, now: now, goal: g, ready: &r}
-		t.run()
+		d := &poolDecision{Controller: c, now: now, goal: g, actions: &actions}
+		d.decide()
 	}
-	return r
+	return actions
 }
 
-// propose hands out the record of a decision, and again when it was not
-// folded in time. Its append may have been lost or may still arrive late; it
-// keeps its id, by which the ledger takes it once. A new decision under the
-// same key gets a higher id and makes the old one void.
-func (t *tick) propose(key string, content any, build func(OrderID) Record) {
-	p, there := t.proposed[key]
-	if there && p.content == content {
-		if t.now-p.at < t.settings.ReproposeAfter {
+// propose adds the record of a decision to the actions, and does so again if
+// the record was not read back in time. The append may have been lost or may
+// still arrive late, so the record keeps its id and State applies it only once.
+// A new decision under the same key gets a higher id, which makes the old one
+// invalid.
+func (d *poolDecision) propose(key string, content any, build func(OrderID) Record) {
+	p, exists := d.pending[key]
+	if exists && p.content == content {
+		if d.now-p.proposedAt < d.settings.ReproposeAfter {
 			return
 		}
 	} else {
-		t.n++
-		p = proposal{content: content, id: OrderID{Token: t.token, Seq: t.n}}
+		d.lastSeq++
+		p = proposal{content: content, id: OrderID{Token: d.token, Seq: d.lastSeq}}
 		p.record = build(p.id)
 	}
-	p.at = t.now
-	t.proposed[key] = p
-	t.ready.Records = append(t.ready.Records, p.record)
+	p.proposedAt = d.now
+	d.pending[key] = p
+	d.actions.Records = append(d.actions.Records, p.record)
 }
 
-// tick is one decision about one pool.
-type tick struct {
+// poolDecision makes the decisions about one pool in one Tick.
+type poolDecision struct {
 	*Controller
-	now   time.Duration
-	goal  Goal
-	ready *Actions
+	now     time.Duration
+	goal    Goal
+	actions *Actions
 }
 
-func (t *tick) run() {
-	state, known := t.ledger.Pool(t.goal.Pool)
-	t.forgetFolded(state)
-	if !known || state.Version != t.goal.Version || state.Model != t.goal.Model {
-		t.start(state)
+func (d *poolDecision) decide() {
+	pool, known := d.state.Pool(d.goal.Pool)
+	d.dropAppliedProposals(pool)
+	if !known || pool.Version != d.goal.Version || pool.Model != d.goal.Model {
+		d.recordWantedVersion(pool)
 		return
 	}
-	if t.failing() && !state.Halted && state.LastGood != state.Version {
-		t.halt(state)
+	if d.versionFailing() && !pool.Halted && pool.LastGood != pool.Version {
+		d.haltVersion(pool)
 		return
 	}
-	for _, target := range t.goal.Targets {
-		t.settle(target.Name)
+	for _, target := range d.goal.Targets {
+		d.settleOrder(target.Name)
 	}
-	t.conclude(state)
-	if version := state.Effective(); version != "" {
-		t.order(version)
+	d.recordProgress(pool)
+	if version := pool.Effective(); version != "" {
+		d.orderTargets(version)
 	}
 }
 
@@ -145,20 +148,20 @@
 func issueKey(target string) string   { return "issue/" + target }
 func settledKey(target string) string { return "settled/" + target }
 
-// forgetFolded drops the proposals that the ledger has, or that it has gone
-// past.
-func (t *tick) forgetFolded(state PoolState) {
-	if p, there := t.proposed[poolKey(t.goal.Pool)]; there && !p.id.after(state.ID) {
-		delete(t.proposed, poolKey(t.goal.Pool))
+// dropAppliedProposals drops the proposals that the state includes, or that
+// newer records have made obsolete.
+func (d *poolDecision) dropAppliedProposals(pool PoolState) {
+	if p, exists := d.pending[poolKey(d.goal.Pool)]; exists && !p.id.after(pool.ID) {
+		delete(d.pending, poolKey(d.goal.Pool))
 	}
-	for _, target := range t.goal.Targets {
-		o, _ := t.ledger.Order(target.Name)
-		if p, there := t.proposed[issueKey(target.Name)]; there && !p.id.after(o.ID) {
-			delete(t.proposed, issueKey(target.Name))
+	for _, target := range d.goal.Targets {
+		o, _ := d.state.Order(target.Name)
+		if p, exists := d.pending[issueKey(target.Name)]; exists && !p.id.after(o.ID) {
+			delete(d.pending, issueKey(target.Name))
 		}
-		p, there := t.proposed[settledKey(target.Name)]
-		if there && (!o.Open || p.record.Settled.Order != o.ID) {
-			delete(t.proposed, settledKey(target.Name))
+		p, exists := d.pending[settledKey(target.Name)]
+		if exists && (!o.Open || p.record.Settled.Order != o.ID) {
+			delete(d.pending, settledKey(target.Name))
 		}
 	}
 }
--- a/internal/rollout/goal.go
+++ b/internal/rollout/goal.go
@@ -8,21 +8,21 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 )
 
-// Goal is what operators want of one engine pool.
+// Goal is the state of one engine pool that operators want.
 type Goal struct {
 	Pool    string
 	Model   string
 	Version string
-	// ServingFloor is the least number of targets that keep serving one
-	// and the same version.
+	// ServingFloor is the minimum number of targets that must serve one common
+	// version at any time.
 	ServingFloor int
-	// MaxLoads is the most targets that may load at once.
+	// MaxLoads is the maximum number of targets that load at the same time.
 	MaxLoads int
 	// Targets are in name order.
 	Targets []config.Target
 }
 
-// Goals gives the goals of a configuration, in pool order.
+// Goals returns the goals of a configuration, in pool order.
 func Goals(intent *config.Intent) []Goal {
 	byPool := map[string][]config.Target{}
 	for _, t := range intent.Targets {
@@ -52,38 +52,39 @@
 	Version     string
 	// Loading is the version being loaded, or empty.
 	Loading string
-	// Fence is the highest token the target has accepted.
+	// Fence is the highest fencing token that the target has accepted.
 	Fence int64
 }
 
-// OutgoingOrder is an order to be sent to a target now.
+// OutgoingOrder is an order to send to a target now.
 type OutgoingOrder struct {
 	ID      OrderID
 	Target  string
 	Address string
 	Model   string
 	Version string
-	// Fence goes into the order; targets that check refuse lower ones.
+	// Fence is the fencing token of the order. Targets that check tokens refuse
+	// an order with a lower token than they have accepted.
 	Fence int64
 }
 
-// Record is a record to be appended to the control stream.
+// Record is a record to append to the control stream. Exactly one field is set.
 type Record struct {
 	Pool    *PoolRecord
 	Issued  *Issued
 	Settled *Settled
 }
 
-// Actions is what one tick asks for.
+// Actions are the records to append and the orders to send after a Tick.
 type Actions struct {
 	Records []Record
-	Orders   []OutgoingOrder
-	// Stale is set when a target has accepted a newer token: the lease went
-	// to another instance, and this controller must be thrown away.
+	Orders  []OutgoingOrder
+	// Stale is set when a higher fencing token was seen: another instance has
+	// the lease, and the controller must be discarded.
 	Stale bool
 }
 
-// Encode gives the record's kind and body, for logrec.Encode.
+// Encode returns the record's kind and body, for logrec.Encode.
 func (r Record) Encode() (logrec.Kind, any) {
 	switch {
 	case r.Pool != nil:
--- a/internal/rollout/pool.go
+++ b/internal/rollout/pool.go
@@ -5,117 +5,118 @@
 	"time"
 )
 
-// failedShare: a version is halted when at least one in this many targets
-// failed on it. In a large pool some targets crash on any day; without the
-// share those would halt every long rollout.
-const failedShare = 5
+// haltFailureDivisor: a version is halted only if at least one in this many
+// targets failed on it. In a large pool some targets crash on any day; without
+// this condition they would halt every long rollout.
+const haltFailureDivisor = 5
 
-// start records that operators want another version. It waits until a target
-// was seen, so that the version to roll back to can be told.
-func (t *tick) start(old PoolState) {
-	next := PoolState{Model: t.goal.Model, Version: t.goal.Version}
-	if old.Model == t.goal.Model {
+// recordWantedVersion proposes a record that operators want another version. It
+// waits until a target was observed, so that the version to roll back to is
+// known.
+func (d *poolDecision) recordWantedVersion(old PoolState) {
+	next := PoolState{Model: d.goal.Model, Version: d.goal.Version}
+	if old.Model == d.goal.Model {
 		next.LastGood = old.LastGood
 	}
-	seen, uniform := t.uniformVersion()
-	if !seen {
+	observed, uniform := d.uniformVersion()
+	if !observed {
 		return
 	}
 	if next.LastGood == "" {
 		next.LastGood = uniform
 	}
-	t.proposePool(next)
+	d.proposePool(next)
 }
 
-// uniformVersion is the version that all targets seen serve; empty when they
-// differ.
-func (t *tick) uniformVersion() (seen bool, version string) {
-	for _, target := range t.goal.Targets {
-		o, fresh := t.fresh(target.Name)
+// uniformVersion returns the version that all recently observed targets serve;
+// empty when they differ.
+func (d *poolDecision) uniformVersion() (observed bool, version string) {
+	for _, target := range d.goal.Targets {
+		o, fresh := d.freshObservation(target.Name)
 		if !fresh {
 			continue
 		}
-		if seen && o.Version != version {
+		if observed && o.Version != version {
 			return true, ""
 		}
-		seen, version = true, o.Version
+		observed, version = true, o.Version
 	}
-	return seen, version
+	return observed, version
 }
 
-func (t *tick) proposePool(s PoolState) {
+func (d *poolDecision) proposePool(s PoolState) {
 	s.ID = OrderID{}
-	t.propose(poolKey(t.goal.Pool), s, func(id OrderID) Record {
+	d.propose(poolKey(d.goal.Pool), s, func(id OrderID) Record {
 		s.ID = id
-		return Record{Pool: &PoolRecord{Pool: t.goal.Pool, State: s}}
+		return Record{Pool: &PoolRecord{Pool: d.goal.Pool, State: s}}
 	})
 }
 
-// failing says that the version itself is at fault, as far as can be told: it
-// failed on several targets, or on all there are, and not just on a few of
-// many.
-func (t *tick) failing() bool {
-	failed, passed := t.ledger.Results(t.goal.Pool)
-	enough := min(t.settings.MaxFailedTargets, len(t.goal.Targets))
-	return failed > 0 && failed >= enough && failed*failedShare >= failed+passed
+// versionFailing reports whether the version itself seems to be at fault: it
+// failed on several targets, or on all of a small pool, and not just on a few
+// of many.
+func (d *poolDecision) versionFailing() bool {
+	failed, passed := d.state.Results(d.goal.Pool)
+	enough := min(d.settings.MaxFailedTargets, len(d.goal.Targets))
+	return failed > 0 && failed >= enough && failed*haltFailureDivisor >= failed+passed
 }
 
-// halt stops the version before it takes more targets with it, and makes
-// them go back to the last good one.
-func (t *tick) halt(s PoolState) {
-	failed, passed := t.ledger.Results(t.goal.Pool)
+// haltVersion stops the rollout of a version before it crashes more targets,
+// and rolls back to the last good version.
+func (d *poolDecision) haltVersion(s PoolState) {
+	failed, passed := d.state.Results(d.goal.Pool)
 	s.Halted = true
 	s.Reason = fmt.Sprintf("%d targets failed on %s, %d passed", failed, s.Version, passed)
 	if s.LastGood == "" {
 		s.Reason += "; no good version is known to go back to"
 	}
-	t.proposePool(s)
+	d.proposePool(s)
 }
 
-// conclude records that all targets serve the version, and writes the state
-// anew from time to time, before the log's retention ends.
-func (t *tick) conclude(s PoolState) {
-	if !s.Halted && s.LastGood != s.Version && t.allServe(s.Version) {
+// recordProgress proposes a record once all targets serve the version, and
+// repeats the pool's state from time to time, before the log's retention ends.
+func (d *poolDecision) recordProgress(s PoolState) {
+	if !s.Halted && s.LastGood != s.Version && d.allServe(s.Version) {
 		s.LastGood = s.Version
-		t.proposePool(s)
+		d.proposePool(s)
 		return
 	}
-	if t.restateDue(s) {
-		t.proposePool(s)
+	if d.restateDue(s) {
+		d.proposePool(s)
 	}
 }
 
-// restateDue says that the state is to be written again: at the start of a
-// term, and before the log's retention can end for the newest record.
-func (t *tick) restateDue(s PoolState) bool {
-	last := t.restated[t.goal.Pool]
+// restateDue reports whether the state has to be written again: at the start of
+// a term, and before the newest record may pass the log's retention.
+func (d *poolDecision) restateDue(s PoolState) bool {
+	last := d.firstSeen[d.goal.Pool]
 	if last.id != s.ID {
-		last = statement{id: s.ID, at: t.now}
-		t.restated[t.goal.Pool] = last
+		last = seenPoolRecord{id: s.ID, seenAt: d.now}
+		d.firstSeen[d.goal.Pool] = last
 	}
-	return s.ID.Token != t.token || t.since(last.at) >= t.settings.RestateInterval
+	return s.ID.Token != d.token || d.elapsed(last.seenAt) >= d.settings.RestateInterval
 }
 
-func (t *tick) allServe(version string) bool {
-	for _, target := range t.goal.Targets {
-		o, open := t.ledger.Order(target.Name)
-		if (open && o.Open) || !t.serves(target.Name, version) {
+func (d *poolDecision) allServe(version string) bool {
+	for _, target := range d.goal.Targets {
+		o, known := d.state.Order(target.Name)
+		if (known && o.Open) || !d.servesVersion(target.Name, version) {
 			return false
 		}
 	}
-	return len(t.goal.Targets) > 0
+	return len(d.goal.Targets) > 0
 }
 
-// fresh gives the target's state if it was seen lately.
-func (t *tick) fresh(target string) (Observation, bool) {
-	o, seen := t.seen[target]
-	return o, seen && t.now-o.At <= t.settings.MaxObservationAge
+// freshObservation returns the target's state if it was observed recently.
+func (d *poolDecision) freshObservation(target string) (Observation, bool) {
+	o, observed := d.observations[target]
+	return o, observed && d.now-o.At <= d.settings.MaxObservationAge
 }
 
-func (t *tick) serves(target, version string) bool {
-	o, fresh := t.fresh(target)
-	return fresh && o.Loading == "" && o.Version == version && o.Model == t.goal.Model
+func (d *poolDecision) servesVersion(target, version string) bool {
+	o, fresh := d.freshObservation(target)
+	return fresh && o.Loading == "" && o.Version == version && o.Model == d.goal.Model
 }
 
-// since is how long ago a time was.
-func (t *tick) since(at time.Duration) time.Duration { return t.now - at }
+// elapsed returns the time since at.
+func (d *poolDecision) elapsed(at time.Duration) time.Duration { return d.now - at }
--- a/internal/rollout/property_test.go
+++ b/internal/rollout/property_test.go
@@ -7,113 +7,114 @@
 )
 
 const (
-	targets = 6
-	loads   = 2
-	// faultSteps is how long faults go on, calmSteps how long the world is
-	// given afterwards.
-	faultSteps = 300
-	calmSteps  = 700
+	targetCount = 6
+	maxLoads    = 2
+	// Faults occur for faultSteps steps. Afterwards the rollout has
+	// recoverySteps steps to finish.
+	faultSteps    = 300
+	recoverySteps = 700
 )
 
-// scenario is one seeded run: v1, then version under faults, then calm.
+// scenario is one seeded run: a rollout of v1, then of v2 under faults, then
+// steps without faults.
 type scenario struct {
-	seed    uint64
-	floor   int
-	crashes bool
-	bad     string
+	seed       uint64
+	floor      int
+	crashes    bool
+	badVersion string
 }
 
-// fataler is a *testing.T or a *rapid.T.
-type fataler interface {
+// failer is a *testing.T or a *rapid.T.
+type failer interface {
 	Fatalf(format string, args ...any)
 }
 
-func draw(t *rapid.T, crashes bool, bad string) scenario {
+func drawScenario(t *rapid.T, crashes bool, badVersion string) scenario {
 	return scenario{
 		seed:    rapid.Uint64().Draw(t, "seed"),
-		floor:   rapid.IntRange(1, targets/2).Draw(t, "floor"),
-		crashes: crashes, bad: bad,
+		floor:   rapid.IntRange(1, targetCount/2).Draw(t, "floor"),
+		crashes: crashes, badVersion: badVersion,
 	}
 }
 
-// run brings the pool to v1, wants v2 under faults and then without, and
-// checks after each step that no more targets load than may.
-func (s scenario) run(t fataler, check func(*world)) *world {
-	w := newWorld(s.seed, targets, s.floor, loads)
-	w.acquire()
-	w.faults = false
+// run rolls out v1, then v2 under faults and then without, and checks after
+// each step that no more targets load than allowed.
+func (s scenario) run(t failer, check func(*simulation)) *simulation {
+	sim := newSimulation(s.seed, targetCount, s.floor, maxLoads)
+	sim.startTerm()
+	sim.faults = false
 	for range 200 {
-		w.step()
+		sim.step()
 	}
-	w.crashes, w.bad, w.goal.Version = s.crashes, s.bad, "v2"
-	for i := range faultSteps + calmSteps {
-		w.faults = i < faultSteps
-		w.step()
-		if n := w.loads(); n > loads {
-			t.Fatalf("%s: %d targets load at once, at most %d", w.now, n, loads)
+	sim.crashes, sim.badVersion, sim.goal.Version = s.crashes, s.badVersion, "v2"
+	for i := range faultSteps + recoverySteps {
+		sim.faults = i < faultSteps
+		sim.step()
+		if n := sim.loading(); n > maxLoads {
+			t.Fatalf("%s: %d targets load at once, at most %d", sim.now, n, maxLoads)
 		}
-		check(w)
+		check(sim)
 	}
-	return w
+	return sim
 }
 
-func noCheck(*world) {}
+func noCheck(*simulation) {}
 
-// Records are lost, repeated and late, orders too, and the lease moves while
-// its old holder may still send. Callers see a pool that always has its
-// serving floor of one version, the weight store never has more loads than it bears, and in
-// the end every target serves the wanted version.
+// Records and orders are lost, repeated and late, and the lease moves while its
+// old holder may still send. The pool must always keep its serving floor at one
+// version, the weight store must never have more loads than allowed, and in the
+// end every target must serve the wanted version.
 func TestRolloutKeepsFloorAndLoadsOverHolderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := draw(t, false, "").run(t, func(w *world) {
-			if n := max(w.at("v1"), w.at("v2")); n < w.goal.ServingFloor {
-				t.Fatalf("%s: %d targets serve one version, floor %d", w.now, n, w.goal.ServingFloor)
+		sim := drawScenario(t, false, "").run(t, func(sim *simulation) {
+			if n := max(sim.serving("v1"), sim.serving("v2")); n < sim.goal.ServingFloor {
+				t.Fatalf("%s: %d targets serve one version, floor %d", sim.now, n, sim.goal.ServingFloor)
 			}
 		})
-		if w.at("v2") != targets || w.state().LastGood != "v2" {
-			t.Fatalf("%d of %d targets at v2, state %+v", w.at("v2"), targets, w.state())
+		if sim.serving("v2") != targetCount || sim.poolState().LastGood != "v2" {
+			t.Fatalf("%d of %d targets at v2, state %+v", sim.serving("v2"), targetCount, sim.poolState())
 		}
 	})
 }
 
-// Targets crash now and then while weights are loaded, and come back with
-// old weights. The rollout may halt, since this looks like a bad version. In
-// the end every target serves one version, and it is the effective one.
+// Targets crash now and then during the rollout and restart with old weights.
+// The rollout may halt, since this looks like a bad version. In the end every
+// target must serve one version, the effective one.
 func TestRolloutConvergesOverCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw(t, true, "").converges(t)
+		drawScenario(t, true, "").checkConverges(t)
 	})
 }
 
-func (s scenario) converges(t fataler) {
-	w := s.run(t, noCheck)
-	if want := w.state().Effective(); w.at(want) != targets {
-		t.Fatalf("%d of %d targets at %s", w.at(want), targets, want)
+func (s scenario) checkConverges(t failer) {
+	sim := s.run(t, noCheck)
+	if want := sim.poolState().Effective(); sim.serving(want) != targetCount {
+		t.Fatalf("%d of %d targets at %s", sim.serving(want), targetCount, want)
 	}
 }
 
-// Seeds that once failed. The first: an order's record was lost, its target
-// came to serve the version by the former holder's order, and the record
-// held a place among the loads for ever, so that two targets stayed behind.
+// Seeds that once failed. With the first, an order's record was lost while its
+// target came to serve the version by the former holder's order. The record
+// occupied a load slot for ever, so two targets never got the version.
 func TestSeedsThatFailedBefore(t *testing.T) {
 	for _, s := range []scenario{{seed: 0x7c199e9, floor: 3, crashes: true}, {seed: 2, floor: 3, crashes: true}} {
-		s.converges(t)
+		s.checkConverges(t)
 	}
 }
 
-// The new version crashes each target soon after it starts to serve. The
-// rollout halts itself, whichever holder sees the crashes, takes no more
-// targets down than the first failures and the loads beside them, and brings
-// all back to the version before.
+// The new version crashes each target soon after it starts to serve. Whichever
+// holder sees the crashes, the rollout must halt, crash no more targets than
+// the allowed failures and the loads beside them, and roll all targets back to
+// the version before.
 func TestBadVersionHaltsAndRollsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := draw(t, false, "v2").run(t, noCheck)
-		hit := w.count(func(e *engine) bool { return e.crashed["v2"] > 0 })
-		if most := loads + DefaultSettings.MaxFailedTargets - 1; hit > most {
-			t.Fatalf("%d targets were crashed, at most %d", hit, most)
+		sim := drawScenario(t, false, "v2").run(t, noCheck)
+		crashed := sim.count(func(e *engine) bool { return e.crashes["v2"] > 0 })
+		if limit := maxLoads + DefaultSettings.MaxFailedTargets - 1; crashed > limit {
+			t.Fatalf("%d targets were crashed, at most %d", crashed, limit)
 		}
-		if s := w.state(); !s.Halted || s.LastGood != bootVersion || w.at(bootVersion) != targets {
-			t.Fatalf("%d of %d targets at %s, state %+v", w.at(bootVersion), targets, bootVersion, s)
+		if s := sim.poolState(); !s.Halted || s.LastGood != bootVersion || sim.serving(bootVersion) != targetCount {
+			t.Fatalf("%d of %d targets at %s, state %+v", sim.serving(bootVersion), targetCount, bootVersion, s)
 		}
 	})
 }
