--- a/internal/lease/join_test.go
+++ b/internal/lease/join_test.go
@@ -10,10 +10,10 @@
 )
 
 // Guards against a slot that nobody can take over. A member joins, and the
-// holder of a slot fails within its renewal period. Only members that had
-// joined by the holder's last record may take over before the hold time of six
-// hours, and callers would be refused meanwhile. So the holder renews soon
-// after it has applied a join.
+// holder of a slot fails within its renewal period. Only members that the
+// holder had applied when it wrote its last record may take over before the
+// hold time of six hours has passed, and callers would be refused meanwhile. So
+// the holder renews soon after it has applied a join.
 func TestHolderRenewsSoonForANewMember(t *testing.T) {
 	is := is.New(t)
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -62,9 +62,10 @@
 const joinRenewDivisor = 6
 
 // renew returns a record that extends all held leases, and does so early when a
-// member of the domain has joined. Only members that a holder's last record
-// shows as applied may take over from it: if the holder failed before such a
-// record, its slots would stay unused for the hold time.
+// member of the domain has joined. Only members that a holder had applied when
+// it wrote its last record may take over from it: if the holder failed before
+// it wrote a record that covers the join, its slots would stay unused
+// for the hold time.
 func (h *Holder) renew(now time.Duration) (Record, bool) {
 	period := h.settings.RenewInterval
 	if h.renewSoon {
--- a/internal/rollout/goal.go
+++ b/internal/rollout/goal.go
@@ -46,6 +46,7 @@
 
 // Observation is a target's answer to GET /state.
 type Observation struct {
+	// At is when the answer arrived.
 	At          time.Duration
 	Incarnation string
 	Model       string
