--- a/internal/rate/allocations.go
+++ b/internal/rate/allocations.go
@@ -93,9 +93,9 @@
 		}
 		slot := 1 / float64(slots)
 		name := string(g.Resource)
-		out = append(out, Allocation{Name: name, StartFull: g.First, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
+		out = append(out, Allocation{Name: name, StartFull: g.FirstHolder, Fraction: slot * (1 - floor), Since: g.Since, Until: g.Until})
 		if g.FloorUntil > 0 {
-			out = append(out, Allocation{Name: name + floorSuffix, StartFull: g.First, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
+			out = append(out, Allocation{Name: name + floorSuffix, StartFull: g.FirstHolder, Fraction: slot * floor, Since: g.FloorSince, Until: g.FloorUntil})
 		}
 	}
 	return out
@@ -103,9 +103,9 @@
 
 // ShareOf returns the fraction of all rates that a peer mints according to the
 // log. It is only used to choose which peers to ask.
-func ShareOf(f *lease.Fold, peer string, slots int) float64 {
+func ShareOf(f *lease.Table, peer string, slots int) float64 {
 	n := 0
-	f.Resources(func(r lease.Resource, s lease.State) {
+	f.EachHeld(func(r lease.Resource, s lease.State) {
 		if s.Holder == peer && r.Domain() != "" {
 			n++
 		}
--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -6,27 +6,27 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Entry is the audit entry of a record of the control stream; false for
-// records that change no target. It shows what was written, also where the
-// ledger found it void.
-func Entry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
+// AuditEntry returns the audit entry for a record of the control stream, and
+// false for records that change no target. It shows what was written, even if
+// State ignores the record as invalid.
+func AuditEntry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
-		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.By, What: string(e.Kind),
+		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
 	}
 	switch e.Kind {
 	case KindPool:
 		var r PoolRecord
-		err := e.Into(&r)
-		return poolEntry(out, r), err == nil
+		err := e.DecodeBody(&r)
+		return poolAuditEntry(out, r), err == nil
 	case KindIssued:
 		var r Issued
-		err := e.Into(&r)
+		err := e.DecodeBody(&r)
 		out.Op, out.Outcome = r.ID.String(), audit.Issued
 		out.Subjects = []audit.Subject{{Name: r.Target, Before: r.Before, After: r.Version}}
 		return out, err == nil
 	case KindSettled:
 		var r Settled
-		err := e.Into(&r)
+		err := e.DecodeBody(&r)
 		out.Op, out.Outcome, out.Reason = r.Order.String(), audit.Observed, r.Reason
 		if r.Failed {
 			out.Outcome = audit.Failed
@@ -37,11 +37,11 @@
 	return out, false
 }
 
-func poolEntry(out audit.Entry, r PoolRecord) audit.Entry {
+func poolAuditEntry(out audit.Entry, r PoolRecord) audit.Entry {
 	out.Op, out.Outcome, out.Reason = r.State.ID.String(), audit.Accepted, r.State.Reason
 	if r.State.Halted {
 		out.Outcome = audit.Halted
 	}
-	out.Subjects = []audit.Subject{{Name: r.Pool, Before: r.State.Good, After: r.State.Effective()}}
+	out.Subjects = []audit.Subject{{Name: r.Pool, Before: r.State.LastGood, After: r.State.Effective()}}
 	return out
 }
