--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -204,7 +204,7 @@
 
 const simHead = 200 // bytes of a call without data
 
-func (f *simFleet) call(x, source *simNode, c wire.ConfigPartCall) {
+func (f *simFleet) call(x, source *simNode, c wire.ConfigPartRequest) {
 	answered := false
 	f.send(x, source, simHead, func() {
 		part, err := source.sender.Part(f.now, c)
--- a/internal/configsync/receiver.go
+++ b/internal/configsync/receiver.go
@@ -63,7 +63,7 @@
 
 // Next chooses the next call, if one is to be made now; else it says when to look
 // again, 0 for when there is a new source.
-func (r *Receiver) Next(now time.Duration, have wire.ConfigRef, sources []Source) (source string, c wire.ConfigPartCall, wait time.Duration) {
+func (r *Receiver) Next(now time.Duration, have wire.ConfigRef, sources []Source) (source string, c wire.ConfigPartRequest, wait time.Duration) {
 	if r.transfer.Target.Version <= have.Version || r.transfer.Base != (wire.ConfigRef{}) && r.transfer.Base != have {
 		r.reset()
 	}
@@ -81,7 +81,7 @@
 	if r.whole {
 		have.Digest = 0 // nobody has that one
 	}
-	return from, wire.ConfigPartCall{Base: have, Target: r.transfer.Target.Version, Offset: len(r.got), Limit: r.limit}, 0
+	return from, wire.ConfigPartRequest{Base: have, Target: r.transfer.Target.Version, Offset: len(r.got), Limit: r.limit}, 0
 }
 
 // choose stays with the sender of the last part while it has what is fetched. Else
@@ -128,15 +128,15 @@
 	from := r.asked
 	r.asked = ""
 	switch {
-	case p.RetryAfter > 0:
+	case p.RetryAfterMillis > 0:
 		// Another one may have the configuration and a free link.
-		r.avoided[from] = now + time.Duration(p.RetryAfter)*time.Millisecond
+		r.avoided[from] = now + time.Duration(p.RetryAfterMillis)*time.Millisecond
 		return nil, false
 	case p.Target.Version == 0 || len(p.Data) == 0:
 		r.avoid(now, from)
 		return nil, false
 	}
-	if p.Transfer != r.transfer.Transfer {
+	if p.EncodingHash != r.transfer.EncodingHash {
 		r.reset()
 		r.transfer = p
 	}
@@ -148,7 +148,7 @@
 	r.got = append(r.got, p.Data...)
 	r.progressAt = now
 	r.notBefore = now + time.Duration(float64(len(p.Data))/r.rate*float64(time.Second))
-	if len(r.got) < r.transfer.Size {
+	if len(r.got) < r.transfer.EncodingSize {
 		return nil, false
 	}
 	raw = r.got
--- a/internal/configsync/receiver_test.go
+++ b/internal/configsync/receiver_test.go
@@ -43,7 +43,7 @@
 }
 
 // call waits for the next call and says whom it goes to.
-func (x *transferTest) call() (string, wire.ConfigPartCall) {
+func (x *transferTest) call() (string, wire.ConfigPartRequest) {
 	x.t.Helper()
 	for range 1000 {
 		source, c, wait := x.r.Next(x.now, x.ref(), x.sources)
@@ -53,11 +53,11 @@
 		x.now += max(wait, ms)
 	}
 	x.t.Fatal("no call")
-	return "", wire.ConfigPartCall{}
+	return "", wire.ConfigPartRequest{}
 }
 
 // answer has a sender answer a call, 2 ms later.
-func (x *transferTest) answer(source string, c wire.ConfigPartCall) (raw []byte, done bool) {
+func (x *transferTest) answer(source string, c wire.ConfigPartRequest) (raw []byte, done bool) {
 	x.t.Helper()
 	x.now += 2 * ms
 	part, err := x.senders[source].Part(x.now, c)
@@ -138,7 +138,7 @@
 	x.senders["a"] = NewSender(1000)
 	x.senders["a"].Put(next)
 	x.senders["b"].Put(next)
-	_, err := x.senders["a"].Part(x.now, wire.ConfigPartCall{Limit: maxPart}) // uses the link for a minute
+	_, err := x.senders["a"].Part(x.now, wire.ConfigPartRequest{Limit: maxPart}) // uses the link for a minute
 	x.NoErr(err)
 	source, c := x.call()
 	x.Equal(source, "a")
@@ -186,7 +186,7 @@
 	s.Put(snapshotOf(t, testConfig(2, 20000)))
 	sent := 0
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
-		p, err := s.Part(now, wire.ConfigPartCall{Limit: 5000})
+		p, err := s.Part(now, wire.ConfigPartRequest{Limit: 5000})
 		is.NoErr(err)
 		sent += len(p.Data)
 	}
--- a/internal/configsync/sender.go
+++ b/internal/configsync/sender.go
@@ -68,13 +68,13 @@
 }
 
 // Part answers a call.
-func (s *Sender) Part(now time.Duration, c wire.ConfigPartCall) (wire.ConfigPart, error) {
+func (s *Sender) Part(now time.Duration, c wire.ConfigPartRequest) (wire.ConfigPart, error) {
 	target := s.target(c)
 	if target == nil {
 		return wire.ConfigPart{}, nil
 	}
 	if wait := s.busy(now); wait > 0 {
-		return wire.ConfigPart{Target: target.Ref, RetryAfter: wait.Milliseconds() + 1}, nil
+		return wire.ConfigPart{Target: target.Ref, RetryAfterMillis: wait.Milliseconds() + 1}, nil
 	}
 	e, err := s.encoding(c.Base, target)
 	if err != nil {
@@ -86,12 +86,12 @@
 	}
 	data := e.raw[offset:min(len(e.raw), offset+max(1, c.Limit))]
 	s.budget -= float64(len(data))
-	return wire.ConfigPart{Base: e.base, Target: e.target, Transfer: e.hash, Size: len(e.raw), Offset: offset, Data: data}, nil
+	return wire.ConfigPart{Base: e.base, Target: e.target, EncodingHash: e.hash, EncodingSize: len(e.raw), Offset: offset, Data: data}, nil
 }
 
 // target is the configuration of a transfer under way, while it is kept and newer
 // than what the caller has, or else the newest.
-func (s *Sender) target(c wire.ConfigPartCall) *Snapshot {
+func (s *Sender) target(c wire.ConfigPartRequest) *Snapshot {
 	for _, x := range s.snapshots {
 		if x.Ref.Version == c.Target && c.Target > c.Base.Version {
 			return x
--- a/internal/entry/claimdriver.go
+++ b/internal/entry/claimdriver.go
@@ -185,13 +185,13 @@
 )
 
 func (d *claimDriver) handleSnapshot(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.ClaimSnapshotAsk
-	if err := f.Into(&ask); err != nil {
+	var ask wire.ClaimSnapshotRequest
+	if err := f.DecodeBody(&ask); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.machine.Snapshot(platform.Offset(ask.From), min(max(ask.Max, 1), snapshotPage)).PageBody(), nil
+	return d.machine.Snapshot(platform.Offset(ask.From), min(max(ask.Limit, 1), snapshotPage)).PageBody(), nil
 }
 
 // bootstrap takes a peer's fold in place of the records that the log has lost:
@@ -222,7 +222,7 @@
 	var pages []claim.Page
 	for from := int64(-1); ; {
 		var body wire.ClaimPage
-		if _, err := d.node.Call(ctx, addr, wire.KindClaimSnapshot, wire.ClaimSnapshotAsk{From: from, Max: snapshotPage}, &body); err != nil {
+		if _, err := d.node.Call(ctx, addr, wire.KindClaimSnapshot, wire.ClaimSnapshotRequest{From: from, Limit: snapshotPage}, &body); err != nil {
 			return nil, err
 		}
 		page, err := claim.PageFrom(body)
--- a/internal/entry/configdriver.go
+++ b/internal/entry/configdriver.go
@@ -56,7 +56,7 @@
 		ready:    make(chan struct{}),
 	}
 	d.thaw = newThawGuard(c.now, d.refresh)
-	node.Handle(wire.KindConfigAsk, d.handleAsk)
+	node.Handle(wire.KindConfigRequest, d.handleAsk)
 	return d
 }
 
@@ -188,13 +188,13 @@
 func (d *configDriver) ask(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, configAskTimeout)
 	defer cancel()
-	ask := wire.ConfigAsk{Revision: config.NoRevision, Next: 0}
+	ask := wire.ConfigRequest{Revision: config.NoRevision, NextOffset: 0}
 	if s := d.state.Load(); s != nil {
-		ask = wire.ConfigAsk{Revision: s.Revision, Next: s.Next}
+		ask = wire.ConfigRequest{Revision: s.Revision, NextOffset: s.Next}
 	}
-	var ans wire.ConfigAnswer
+	var ans wire.ConfigResponse
 	asked := d.clock.now()
-	from, err := d.node.Call(ctx, addr, wire.KindConfigAsk, ask, &ans)
+	from, err := d.node.Call(ctx, addr, wire.KindConfigRequest, ask, &ans)
 	if err != nil {
 		return
 	}
@@ -204,7 +204,7 @@
 
 // adopt takes a peer's answer to a question of the time asked. What the peer
 // knew then is all that is certain: the process may have been paused since.
-func (d *configDriver) adopt(from wire.Identity, ans wire.ConfigAnswer, asked time.Duration) {
+func (d *configDriver) adopt(from wire.Identity, ans wire.ConfigResponse, asked time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	logAge := keys.Unknown
@@ -232,17 +232,17 @@
 }
 
 func (d *configDriver) handleAsk(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.ConfigAsk
-	if err := f.Into(&ask); err != nil {
+	var ask wire.ConfigRequest
+	if err := f.DecodeBody(&ask); err != nil {
 		return nil, err
 	}
-	ans := wire.ConfigAnswer{Revision: config.NoRevision, LogAgeMillis: d.logAgeMillis()}
+	ans := wire.ConfigResponse{Revision: config.NoRevision, LogAgeMillis: d.logAgeMillis()}
 	s := d.state.Load()
 	if s == nil {
 		return ans, nil
 	}
-	ans.Revision, ans.Next = s.Revision, s.Next
-	if s.Next <= ask.Next {
+	ans.Revision, ans.NextOffset = s.Revision, s.Next
+	if s.Next <= ask.NextOffset {
 		return ans, nil
 	}
 	raw, err := s.Encode()
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -12,8 +12,8 @@
 )
 
 func (d *rateDriver) handlePromise(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.LeasePromiseAsk
-	if err := f.Into(&ask); err != nil {
+	var ask wire.LeasePromiseRequest
+	if err := f.DecodeBody(&ask); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
@@ -63,7 +63,7 @@
 func (d *rateDriver) promise(ctx context.Context, a lease.Ask) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
-	var ans wire.LeasePromiseAnswer
+	var ans wire.LeasePromiseResponse
 	if _, err := d.node.Call(ctx, a.Member.Address, wire.KindLeasePromise, a.Body, &ans); err != nil {
 		return
 	}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -55,7 +55,7 @@
 	cfg := membership.Config{Self: node.Self(), StartMillis: c.wallMillis(), Seeds: m.seeds}
 	m.view = membership.New(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	node.Handle(wire.KindHeartbeat, m.handleBeat)
-	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberNews} {
+	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberUpdates} {
 		node.Handle(kind, m.receive)
 	}
 	return m
@@ -249,7 +249,7 @@
 
 func (m *members) handleBeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var hb wire.Heartbeat
-	if err := f.Into(&hb); err != nil {
+	if err := f.DecodeBody(&hb); err != nil {
 		return nil, err
 	}
 	m.take(hb)
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -44,8 +44,8 @@
 		address:  make(map[string]string),
 	}
 	for _, kind := range []wire.Kind{
-		wire.KindPoisonNotice, wire.KindPoisonAck, wire.KindPoisonAsk,
-		wire.KindPoisonGrant, wire.KindPoisonHold, wire.KindPoisonDone,
+		wire.KindPoisonNotice, wire.KindPoisonAck, wire.KindPoisonPermitRequest,
+		wire.KindPoisonPermitResponse, wire.KindPoisonPermitRenewal, wire.KindPoisonPermitRelease,
 	} {
 		node.Handle(kind, d.receive)
 	}
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -75,7 +75,7 @@
 		heardAt: make(map[string]time.Duration),
 		wake:    newWake(),
 	}
-	node.Handle(wire.KindRateAsk, d.handleAsk)
+	node.Handle(wire.KindRateRequest, d.handleAsk)
 	node.Handle(wire.KindRateReturn, d.handleReturn)
 	node.Handle(wire.KindLeasePromise, d.handlePromise)
 	return d
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(ctx, rateAskTimeout)
 	defer cancel()
 	var grant wire.RateGrant
-	_, err := d.node.Call(ctx, a.Peer, wire.KindRateAsk, a.Body, &grant)
+	_, err := d.node.Call(ctx, a.Peer, wire.KindRateRequest, a.Body, &grant)
 	d.mu.Lock()
 	if err != nil {
 		d.limiter.AskFailed(d.clock.now(), a.ID)
@@ -75,8 +75,8 @@
 }
 
 func (d *rateDriver) handleAsk(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.RateAsk
-	if err := f.Into(&ask); err != nil {
+	var ask wire.RateRequest
+	if err := f.DecodeBody(&ask); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
@@ -86,7 +86,7 @@
 
 func (d *rateDriver) handleReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var r wire.RateReturn
-	if err := f.Into(&r); err != nil {
+	if err := f.DecodeBody(&r); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -228,7 +228,7 @@
 	var out []wire.CacheStore
 	for address, store := range s.stores {
 		if boot, ok := store.index.Answers(); ok && store.reading {
-			out = append(out, wire.CacheStore{Address: address, Boot: boot})
+			out = append(out, wire.CacheStore{Address: address, BootEpoch: boot})
 		}
 	}
 	return out
@@ -243,7 +243,7 @@
 	for _, t := range stores {
 		if store := s.stores[t.Address]; store != nil && !store.reading {
 			store.answeredAt = now
-			store.index.Alive(t.Boot)
+			store.index.Alive(t.BootEpoch)
 		}
 	}
 }
--- a/internal/gateway/configtransfer.go
+++ b/internal/gateway/configtransfer.go
@@ -162,7 +162,7 @@
 }
 
 // next chooses the next call for a part.
-func (t *configTransfer) next() (source wire.Identity, call wire.ConfigPartCall, wait time.Duration) {
+func (t *configTransfer) next() (source wire.Identity, call wire.ConfigPartRequest, wait time.Duration) {
 	if !t.outdated() {
 		return source, call, 0
 	}
@@ -193,7 +193,7 @@
 
 // fetch makes a call for a part, and puts the configuration into force with the last
 // one.
-func (t *configTransfer) fetch(ctx context.Context, source wire.Identity, call wire.ConfigPartCall) {
+func (t *configTransfer) fetch(ctx context.Context, source wire.Identity, call wire.ConfigPartRequest) {
 	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
 	var part wire.ConfigPart
@@ -232,8 +232,8 @@
 
 // serve answers a peer's call for a part.
 func (t *configTransfer) serve(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var call wire.ConfigPartCall
-	if err := f.Into(&call); err != nil {
+	var call wire.ConfigPartRequest
+	if err := f.DecodeBody(&call); err != nil {
 		return nil, err
 	}
 	t.sending.Lock()
--- a/internal/gateway/configtransfer_test.go
+++ b/internal/gateway/configtransfer_test.go
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 2, targets: onVersions(2)}, "a")
 	p.contacts = contactsOf(p.clock.Now() - 5*time.Second)
-	for _, a := range []wire.ExchangeAnswer{{ConfigVersion: 2, ContactAge: 900}, {ConfigVersion: 3, ContactAge: 100}} {
+	for _, a := range []wire.ExchangeResponse{{ConfigVersion: 2, StoreContactAgeMillis: 900}, {ConfigVersion: 3, StoreContactAgeMillis: 100}} {
 		p.takeAnswer(p.clock.Now(), wire.Identity{Instance: "b"}, 0, a)
 	}
 	is.True(p.sinceContact() >= 5*time.Second)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -22,7 +22,7 @@
 	p.mu.Lock()
 	now := p.g.clock.Now()
 	p.look(now)
-	state.Overdue = p.overdue(now)
+	state.OverdueInstances = p.overdue(now)
 	p.table.SetStaleAfter(p.freshFor())
 	p.table.Publish(now, state, spent)
 	p.planCalls(now)
@@ -60,12 +60,12 @@
 	defer cancel()
 	p.mu.Lock()
 	asked := p.g.clock.Now()
-	m.Sent, m.Receiver = s.sent, replica.OriginOf(s.Incarnation)
-	m.Updates = p.table.Since(asked, m.Sent, replica.Followers, m.Receiver)
-	m.Follow, m.Received = follow, s.received
+	m.BaseVersion, m.ExpectedReceiver = s.sent, replica.OriginOf(s.Incarnation)
+	m.Updates = p.table.Since(asked, m.BaseVersion, replica.Followers, m.ExpectedReceiver)
+	m.Follow, m.ReceivedCursor = follow, s.received
 	sent, address := p.table.Place().Version, s.Address
 	p.mu.Unlock()
-	var answer wire.ExchangeAnswer
+	var answer wire.ExchangeResponse
 	from, err := p.call(ctx, address, wire.KindExchange, m, &answer)
 	if errors.Is(err, peer.ErrRefused) {
 		logline.Error(err, "exchange_refused", "peer", s.Instance)
@@ -80,24 +80,24 @@
 	case err != nil:
 		s.failedAt = p.g.clock.Now()
 	case from.Incarnation != s.Incarnation:
-		s.failedAt, s.sent, s.received = never, 0, wire.UpdatePlace{}
+		s.failedAt, s.sent, s.received = never, 0, wire.UpdateCursor{}
 	default:
 		s.failedAt, s.sent = never, sent
-		if answer.Lacking {
+		if answer.NeedsResync {
 			s.sent = 0
 		}
 		if follow {
-			s.received = answer.Place
+			s.received = answer.Cursor
 		}
 		if lacking {
-			s.received = wire.UpdatePlace{}
+			s.received = wire.UpdateCursor{}
 		}
-		s.state.Leaving, s.fleet = answer.Leaving, answer.Fleet
+		s.state.Leaving, s.fleet = answer.Leaving, answer.FleetSize
 		p.noteConfig(s, answer.ConfigVersion)
 	}
 	p.mu.Unlock()
 	if err == nil {
-		p.g.takeAnswer(asked, from, m.TargetsNext, answer)
+		p.g.takeAnswer(asked, from, m.RegistrationsOffset, answer)
 	}
 }
 
@@ -123,23 +123,23 @@
 // serve answers a peer's message.
 func (p *peers) serve(_ context.Context, from wire.Identity, f wire.Frame) (any, error) {
 	var m wire.Exchange
-	if err := f.Into(&m); err != nil {
+	if err := f.DecodeBody(&m); err != nil {
 		return nil, err
 	}
 	now := p.g.clock.Now()
 	// Updates that build on what an earlier process here has got are not for this
 	// one, also where it knows their origins from others.
-	lacking := m.Sent > 0 && m.Receiver != replica.OriginOf(p.g.self.Incarnation)
+	lacking := m.BaseVersion > 0 && m.ExpectedReceiver != replica.OriginOf(p.g.self.Incarnation)
 	if !lacking {
 		lacking = p.takeUpdates(now, from.Instance, m.Updates, m.Follow && !m.Hub)
 	}
 	answer := p.g.answer(now, from, m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer.Lacking, answer.Fleet = lacking, 1+len(p.known)
+	answer.NeedsResync, answer.FleetSize = lacking, 1+len(p.known)
 	if m.Follow {
-		answer.Place = p.table.Place()
-		answer.Updates = p.table.Since(now, p.table.VersionAt(m.Received), replica.All, replica.OriginOf(from.Incarnation))
+		answer.Cursor = p.table.Place()
+		answer.Updates = p.table.Since(now, p.table.VersionAt(m.ReceivedCursor), replica.All, replica.OriginOf(from.Incarnation))
 	}
 	return answer, nil
 }
@@ -185,7 +185,7 @@
 	}
 	s.updatedAt, s.via, s.state, s.Capacity = c.At, via, c.State, c.State.Capacity
 	p.noteConfig(s, c.State.ConfigVersion)
-	p.takeOverdue(now, c.State.Overdue)
+	p.takeOverdue(now, c.State.OverdueInstances)
 }
 
 // apply puts what is known of the peers into force here.
@@ -202,14 +202,14 @@
 			continue
 		}
 		reporting++
-		for _, id := range s.state.Silent {
+		for _, id := range s.state.SilentTargets {
 			silent[id]++
 		}
 		for target, l := range s.state.Loads {
 			sum := loads[target]
-			loads[target] = load{Unanswered: sum.Unanswered + float64(l.Unanswered), Held: sum.Held + l.Held}
+			loads[target] = load{Unanswered: sum.Unanswered + float64(l.PendingPromptTokens), Held: sum.Held + l.KVCacheTokens}
 		}
-		for _, id := range s.state.Loading {
+		for _, id := range s.state.LoadingTargets {
 			loading[id] = true
 		}
 	}
@@ -258,9 +258,9 @@
 // sentPrompt notes a prompt that a target has prefilled, and the pieces that it
 // saves under the scope, for the peers.
 func (p *peers) sentPrompt(pl *placed, scope string, saved []prefix.Hash) {
-	m := wire.SentPrompt{
-		Target: pl.target.ID, Born: pl.target.Born, Chain: numbers(pl.send.Request.Place.Chain), Tokens: pl.took(),
-		Scope: scope, Pieces: numbers(saved),
+	m := wire.PrefilledPrompt{
+		Target: pl.target.ID, Born: pl.target.Born, SharedPieces: numbers(pl.send.Request.Place.Chain), CachedTokens: pl.took(),
+		CacheScope: scope, SavedPieces: numbers(saved),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -287,5 +287,5 @@
 func (p *peers) crashed(fingerprint uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.AddEvent(wire.InstanceEvent{Crashed: fingerprint})
+	p.table.AddEvent(wire.InstanceEvent{CrashFingerprint: fingerprint})
 }
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -41,9 +41,9 @@
 	for i, o := range s.origins {
 		target := fmt.Sprintf("t%02d", (i+s.turn)%benchTargets)
 		for n := i; n < benchPrompts; n += benchFleet {
-			o.AddEvent(wire.InstanceEvent{Prompt: &wire.SentPrompt{Target: target, Born: 1, Chain: []uint64{1, 2, uint64(s.turn % 50)}, Tokens: 1000}})
+			o.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.turn % 50)}, CachedTokens: 1000}})
 		}
-		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {Unanswered: 3000, Held: 9000}}},
+		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
 			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.turn)})
 		s.table.Merge(now, o.Since(now, 0, replica.Followers, 0)[:1], false)
 	}
@@ -72,14 +72,14 @@
 		b.StopTimer()
 		updates := s.next(p.clock.Now(), since)
 		since = s.table.Place().Version
-		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeAnswer{Updates: updates})
+		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(f.Body)), "bytes")
 		b.StartTimer()
-		var answer wire.ExchangeAnswer
-		if err := f.Into(&answer); err != nil {
+		var answer wire.ExchangeResponse
+		if err := f.DecodeBody(&answer); err != nil {
 			b.Fatal(err)
 		}
 		p.peers.takeUpdates(p.clock.Now(), "hub", answer.Updates, false)
@@ -97,7 +97,7 @@
 		s.next(time.Second, since)
 		b.StartTimer()
 		updates := s.table.Since(time.Second, since, replica.All, 0)
-		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeAnswer{Updates: updates}); err != nil {
+		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates}); err != nil {
 			b.Fatal(err)
 		}
 		since = s.table.Place().Version
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -13,24 +13,24 @@
 // state is what this instance publishes: its state, and what it has admitted.
 func (g *Gateway) state() (wire.InstanceState, map[string]float64) {
 	m := wire.InstanceState{
-		Capacity: g.settings.Capacity, Leaving: g.closing.Load(), Cut: g.feeds.cut(), Orders: g.heldRecord(),
-		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, Stores: g.cache.answering(),
-		Limits: g.limits.reports(),
+		Capacity: g.settings.Capacity, Leaving: g.closing.Load(), StoreUnreachable: g.feeds.cut(), OrderLease: g.heldRecord(),
+		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.answering(),
+		TargetLimits: g.limits.reports(),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.Loading = g.ordered
+	m.LoadingTargets = g.ordered
 	for _, pool := range g.engines {
 		for id, l := range pool.loads() {
-			m.Loads[id] = wire.TargetLoad{Unanswered: int(l.Unanswered), Held: l.Held}
+			m.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
 		}
-		m.Silent = append(m.Silent, pool.silent()...)
+		m.SilentTargets = append(m.SilentTargets, pool.silent()...)
 	}
 	return m, g.quota.Spent()
 }
 
 // heldRecord is the record of the lease for orders while this instance holds it.
-func (g *Gateway) heldRecord() *wire.LeaseRecord {
+func (g *Gateway) heldRecord() *wire.OrderLeaseRecord {
 	record, held := g.lease.heldRecord(g.clock.Now())
 	if !held {
 		return nil
@@ -51,7 +51,7 @@
 func (g *Gateway) message() wire.Exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return wire.Exchange{From: g.self, ConfigVersion: g.configVersion(), TargetsNext: g.registrations.next}
+	return wire.Exchange{From: g.self, ConfigVersion: g.configVersion(), RegistrationsOffset: g.registrations.next}
 }
 
 // takeChanges puts what other instances have published into force.
@@ -62,8 +62,8 @@
 		c := &changes[i]
 		reports = append(reports, quota.Report{Incarnation: c.Identity.Incarnation, At: c.At, Spent: c.Spent})
 		for _, e := range c.Events {
-			if e.Crashed != 0 {
-				g.crashes.add(now, e.Crashed)
+			if e.CrashFingerprint != 0 {
+				g.crashes.add(now, e.CrashFingerprint)
 			}
 		}
 	}
@@ -71,11 +71,11 @@
 	g.mu.Unlock()
 	pools := g.enginePools()
 	for i := range changes {
-		g.limits.take(changes[i].State.Limits)
-		if stores := changes[i].State.Stores; len(stores) > 0 {
+		g.limits.take(changes[i].State.TargetLimits)
+		if stores := changes[i].State.CacheStores; len(stores) > 0 {
 			g.cache.reported(stores)
 		}
-		if orders := changes[i].State.Orders; orders != nil {
+		if orders := changes[i].State.OrderLease; orders != nil {
 			g.lease.read(now, fromWireLease(*orders))
 		}
 		for _, e := range changes[i].Events {
@@ -87,34 +87,34 @@
 }
 
 // takePrompt takes in a prompt that a target has prefilled for another instance.
-func (g *Gateway) takePrompt(pools []*enginePool, s *wire.SentPrompt) {
-	if len(s.Pieces) > 0 {
-		g.cache.saved(s.Scope, hashes(s.Pieces))
+func (g *Gateway) takePrompt(pools []*enginePool, s *wire.PrefilledPrompt) {
+	if len(s.SavedPieces) > 0 {
+		g.cache.saved(s.CacheScope, hashes(s.SavedPieces))
 	}
-	chain := hashes(s.Chain)
+	chain := hashes(s.SharedPieces)
 	for _, pool := range pools {
-		pool.noteCached(directory.Incarnation{ID: s.Target, Born: s.Born}, chain, s.Tokens)
+		pool.noteCached(directory.Incarnation{ID: s.Target, Born: s.Born}, chain, s.CachedTokens)
 	}
 }
 
 // answer answers a peer's message.
-func (g *Gateway) answer(now time.Duration, from wire.Identity, m wire.Exchange) wire.ExchangeAnswer {
+func (g *Gateway) answer(now time.Duration, from wire.Identity, m wire.Exchange) wire.ExchangeResponse {
 	reads := g.peers.readsForDomain()
 	g.mu.Lock()
-	answer := wire.ExchangeAnswer{
-		ContactAge: -1, OperatorsNext: g.operatorsNext, Leaving: g.closing.Load(), ConfigVersion: g.configVersion(),
+	answer := wire.ExchangeResponse{
+		StoreContactAgeMillis: -1, OperatorsOffset: g.operatorsNext, Leaving: g.closing.Load(), ConfigVersion: g.configVersion(),
 	}
 	if age := g.contactAge(); age < startAge {
-		answer.ContactAge = age.Milliseconds() + 1
+		answer.StoreContactAgeMillis = age.Milliseconds() + 1
 	}
 	for model, v := range g.versions {
 		for _, n := range v.since(now - g.settings.WeightsBound) {
 			answer.Weights = append(answer.Weights, wire.NamedWeights{
-				Model: model, Version: n.version, Age: (now - n.at).Milliseconds(), Observed: !n.estimated,
+				Model: model, Version: n.version, AgeMillis: (now - n.at).Milliseconds(), Observed: !n.estimated,
 			})
 		}
 	}
-	answer.Targets = g.targetNews(now, m.TargetsNext, reads || m.Follow)
+	answer.Registrations = g.targetNews(now, m.RegistrationsOffset, reads || m.Follow)
 	g.mu.Unlock()
 	return answer
 }
@@ -123,18 +123,18 @@
 // peer knew when it answered, this instance knows now: so the peer's contact
 // with the store counts as one of its own, made that much before it asked, as soon
 // as the peer's configuration is here too.
-func (g *Gateway) takeAnswer(asked time.Duration, from wire.Identity, place int64, a wire.ExchangeAnswer) {
-	g.takeTargetNews(asked, place, a.Targets)
+func (g *Gateway) takeAnswer(asked time.Duration, from wire.Identity, place int64, a wire.ExchangeResponse) {
+	g.takeTargetNews(asked, place, a.Registrations)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, v := range a.Weights {
 		g.nameVersion(routing.WeightsVersion{Model: v.Model, Version: v.Version}, g.namedAt(asked, v), from.Instance, !v.Observed)
 	}
 	contact := configContact{
-		version: a.ConfigVersion, at: asked - time.Duration(a.ContactAge)*time.Millisecond, next: a.OperatorsNext,
+		version: a.ConfigVersion, at: asked - time.Duration(a.StoreContactAgeMillis)*time.Millisecond, next: a.OperatorsOffset,
 	}
 	switch own := g.configVersion(); {
-	case a.ContactAge < 0 || a.ConfigVersion == 0:
+	case a.StoreContactAgeMillis < 0 || a.ConfigVersion == 0:
 	case own >= a.ConfigVersion:
 		g.takeContact(contact)
 	default:
@@ -155,7 +155,7 @@
 // each time would make a version older with each exchange, by 0.8 s in 4 s at 2
 // ms a way. The caller holds g.mu.
 func (g *Gateway) namedAt(asked time.Duration, v wire.NamedWeights) time.Duration {
-	age := time.Duration(v.Age) * time.Millisecond
+	age := time.Duration(v.AgeMillis) * time.Millisecond
 	known := g.versionsOf(v.Model)
 	if known.observed(v.Version) || !v.Observed && known.knows(v.Version) {
 		return g.clock.Now() - age
--- a/internal/gateway/leaserelay.go
+++ b/internal/gateway/leaserelay.go
@@ -21,7 +21,7 @@
 	// cut says that the store was not reached lately.
 	cut func() bool
 	// relay makes the call through one peer; errNoRelay where there is none.
-	relay func(context.Context, wire.LeaseCall) (wire.LeaseAnswer, error)
+	relay func(context.Context, wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error)
 }
 
 // directLeaseTimeout bounds a holder's own call while a peer may make it
@@ -34,25 +34,25 @@
 // read reads the record, as the holder or not.
 func (l *leaseLog) read(ctx context.Context, holder bool) (orderlease.Record, error) {
 	var r orderlease.Record
-	err := l.call(ctx, holder, wire.LeaseCall{}, func(ctx context.Context) (err error) {
+	err := l.call(ctx, holder, wire.OrderLeaseRequest{}, func(ctx context.Context) (err error) {
 		r, err = l.direct.ReadLease(ctx)
 		return err
-	}, func(a wire.LeaseAnswer) { r = fromWireLease(a.Record) })
+	}, func(a wire.OrderLeaseResponse) { r = fromWireLease(a.Record) })
 	return r, err
 }
 
 // write writes a record of the holder.
 func (l *leaseLog) write(ctx context.Context, holder bool, at int64, r orderlease.Record) (bool, error) {
 	written := false
-	err := l.call(ctx, holder, wire.LeaseCall{Write: true, At: at, Record: toWireLease(r)}, func(ctx context.Context) (err error) {
+	err := l.call(ctx, holder, wire.OrderLeaseRequest{Write: true, ExpectedOffset: at, Record: toWireLease(r)}, func(ctx context.Context) (err error) {
 		written, err = l.direct.WriteLease(ctx, at, r)
 		return err
-	}, func(a wire.LeaseAnswer) { written = a.Written })
+	}, func(a wire.OrderLeaseResponse) { written = a.Written })
 	return written, err
 }
 
 // call makes a holder's call on whichever way works; others make it themselves.
-func (l *leaseLog) call(ctx context.Context, holder bool, c wire.LeaseCall, direct func(context.Context) error, relayed func(wire.LeaseAnswer)) error {
+func (l *leaseLog) call(ctx context.Context, holder bool, c wire.OrderLeaseRequest, direct func(context.Context) error, relayed func(wire.OrderLeaseResponse)) error {
 	if !holder {
 		return direct(ctx)
 	}
@@ -76,21 +76,21 @@
 	return nil
 }
 
-func toWireLease(r orderlease.Record) wire.LeaseRecord {
-	return wire.LeaseRecord{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.End}
+func toWireLease(r orderlease.Record) wire.OrderLeaseRecord {
+	return wire.OrderLeaseRecord{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.End}
 }
 
-func fromWireLease(r wire.LeaseRecord) orderlease.Record {
+func fromWireLease(r wire.OrderLeaseRecord) orderlease.Record {
 	return orderlease.Record{Holder: r.Holder, Instance: r.Instance, Released: r.Released, Token: r.Token, End: r.End}
 }
 
 // relayLease has a connected peer that reaches the store make the call.
-func (p *peers) relayLease(ctx context.Context, c wire.LeaseCall) (wire.LeaseAnswer, error) {
+func (p *peers) relayLease(ctx context.Context, c wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
 	address, node := p.relayAddress()
 	if address == "" {
-		return wire.LeaseAnswer{}, errNoRelay
+		return wire.OrderLeaseResponse{}, errNoRelay
 	}
-	var answer wire.LeaseAnswer
+	var answer wire.OrderLeaseResponse
 	_, err := node.Call(ctx, address, wire.KindOrderLease, c, &answer)
 	return answer, errors.Wrapf(err, "lease by peer=%s", address)
 }
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	now, first := p.g.clock.Now(), ""
 	for name, s := range p.known {
-		if !s.state.Cut && !s.state.Leaving && p.fresh(now, s) && (first == "" || hubs.Compare(s.instance(), p.known[first].instance()) < 0) {
+		if !s.state.StoreUnreachable && !s.state.Leaving && p.fresh(now, s) && (first == "" || hubs.Compare(s.instance(), p.known[first].instance()) < 0) {
 			first = name
 		}
 	}
@@ -118,16 +118,16 @@
 
 // serveLease makes a holder's call to the store.
 func (p *peers) serveLease(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var c wire.LeaseCall
-	if err := f.Into(&c); err != nil {
+	var c wire.OrderLeaseRequest
+	if err := f.DecodeBody(&c); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if c.Write {
-		written, err := p.g.store.WriteLease(ctx, c.At, fromWireLease(c.Record))
-		return wire.LeaseAnswer{Written: written}, err
+		written, err := p.g.store.WriteLease(ctx, c.ExpectedOffset, fromWireLease(c.Record))
+		return wire.OrderLeaseResponse{Written: written}, err
 	}
 	r, err := p.g.store.ReadLease(ctx)
-	return wire.LeaseAnswer{Record: toWireLease(r)}, err
+	return wire.OrderLeaseResponse{Record: toWireLease(r)}, err
 }
--- a/internal/gateway/leaserelay_test.go
+++ b/internal/gateway/leaserelay_test.go
@@ -51,11 +51,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			log := &countedLog{turnsAway: c.turnsAway}
-			l := &leaseLog{direct: log, cut: func() bool { return c.cut }, relay: func(_ context.Context, call wire.LeaseCall) (wire.LeaseAnswer, error) {
+			l := &leaseLog{direct: log, cut: func() bool { return c.cut }, relay: func(_ context.Context, call wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
 				if !c.peer {
-					return wire.LeaseAnswer{}, errNoRelay
+					return wire.OrderLeaseResponse{}, errNoRelay
 				}
-				return wire.LeaseAnswer{Record: wire.LeaseRecord{Holder: "peer", End: 1}, Written: call.Write && call.At == 7}, nil
+				return wire.OrderLeaseResponse{Record: wire.OrderLeaseRecord{Holder: "peer", End: 1}, Written: call.Write && call.ExpectedOffset == 7}, nil
 			}}
 			r, err := l.read(t.Context(), c.holder)
 			is.Equal(r.Holder, c.by)
--- a/internal/gateway/operatorplace_test.go
+++ b/internal/gateway/operatorplace_test.go
@@ -75,9 +75,9 @@
 	s := &operatorStore{answers: []OperatorNews{{Next: 9}}}
 	is.Equal(s.read(t, func(g *Gateway) {
 		g.takeNews(g.clock.Now(), OperatorNews{Config: withRoutes(2, 3), Next: 4})
-		contact := wire.ExchangeAnswer{ConfigVersion: 2, ContactAge: 1, OperatorsNext: 8}
+		contact := wire.ExchangeResponse{ConfigVersion: 2, StoreContactAgeMillis: 1, OperatorsOffset: 8}
 		g.takeAnswer(g.clock.Now(), wire.Identity{Instance: "b"}, 0, contact)
-		newer := wire.ExchangeAnswer{ConfigVersion: 3, ContactAge: 1, OperatorsNext: 9} // not here yet
+		newer := wire.ExchangeResponse{ConfigVersion: 3, StoreContactAgeMillis: 1, OperatorsOffset: 9} // not here yet
 		g.takeAnswer(g.clock.Now(), wire.Identity{Instance: "b"}, 0, newer)
 	})[0].from, int64(8))
 }
@@ -90,7 +90,7 @@
 	reads := s.read(t, func(g *Gateway) {
 		g.peers.known["b"] = newState(0, Announced{Announcement: Announcement{Instance: "b", Domain: "d1", Capacity: 1}})
 		time.AfterFunc(50*time.Millisecond, func() { // the peer's configuration and contact come
-			g.takeAnswer(g.clock.Now(), wire.Identity{Instance: "b"}, 0, wire.ExchangeAnswer{ConfigVersion: 2, ContactAge: 1, OperatorsNext: 8})
+			g.takeAnswer(g.clock.Now(), wire.Identity{Instance: "b"}, 0, wire.ExchangeResponse{ConfigVersion: 2, StoreContactAgeMillis: 1, OperatorsOffset: 8})
 			l := g.load(withRoutes(2, 3))
 			g.mu.Lock()
 			defer g.mu.Unlock()
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -75,7 +75,7 @@
 	age := func(p *probed) int64 {
 		for _, v := range p.answer(p.clock.Now(), wire.Identity{}, wire.Exchange{}).Weights {
 			if v.Version == 3 {
-				return v.Age
+				return v.AgeMillis
 			}
 		}
 		return -1
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -109,7 +109,7 @@
 	// sent is the version of this instance's table that the peer has, received
 	// the place in the peer's table that this instance has.
 	sent     uint64
-	received wire.UpdatePlace
+	received wire.UpdateCursor
 }
 
 // newState is that of a peer without an update yet.
@@ -269,7 +269,7 @@
 func (p *peers) rankLocked(now time.Duration) int {
 	rank, self := 0, p.instance()
 	for _, s := range p.known {
-		if hubs.Compare(s.instance(), self) < 0 && !s.state.Leaving && !s.state.Cut && p.fresh(now, s) {
+		if hubs.Compare(s.instance(), self) < 0 && !s.state.Leaving && !s.state.StoreUnreachable && p.fresh(now, s) {
 			rank++
 		}
 	}
@@ -304,7 +304,7 @@
 	var members []feedturn.Peer
 	for _, s := range p.known {
 		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.fresh(now, s) {
-			members = append(members, feedturn.Peer{Instance: s.instance(), Lost: s.state.Cut})
+			members = append(members, feedturn.Peer{Instance: s.instance(), Lost: s.state.StoreUnreachable})
 		}
 	}
 	return feedturn.Reads(p.instance(), members)
@@ -316,7 +316,7 @@
 	defer p.mu.Unlock()
 	now := p.g.clock.Now()
 	for _, s := range p.known {
-		if s.state.Orders != nil && p.fresh(now, s) {
+		if s.state.OrderLease != nil && p.fresh(now, s) {
 			return true
 		}
 	}
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -108,7 +108,7 @@
 // targetNews is what this instance passes on to a peer that would read on at a
 // place in the registrations; nil when the peer has it from others, or when what
 // it lacks was dropped here. The caller holds g.mu.
-func (g *Gateway) targetNews(now time.Duration, place int64, passOn bool) *wire.TargetNews {
+func (g *Gateway) targetNews(now time.Duration, place int64, passOn bool) *wire.RegistrationChanges {
 	f := &g.registrations
 	if !passOn || place == unread || f.next == unread {
 		return nil
@@ -117,16 +117,16 @@
 	if !ok {
 		return nil
 	}
-	return &wire.TargetNews{Next: f.next, Age: (now - f.upTo).Milliseconds() + 1, Events: events}
+	return &wire.RegistrationChanges{NextOffset: f.next, AgeMillis: (now - f.upTo).Milliseconds() + 1, Events: events}
 }
 
 // takeTargetNews takes in a peer's report of the registrations, asked for at that
 // time by an instance that stood at that place.
-func (g *Gateway) takeTargetNews(asked time.Duration, place int64, n *wire.TargetNews) {
+func (g *Gateway) takeTargetNews(asked time.Duration, place int64, n *wire.RegistrationChanges) {
 	if n == nil {
 		return
 	}
-	g.register(asked-time.Duration(n.Age)*time.Millisecond, place, n.Next, n.Events, false)
+	g.register(asked-time.Duration(n.AgeMillis)*time.Millisecond, place, n.NextOffset, n.Events, false)
 }
 
 func logEvent(e directory.Event) {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -37,8 +37,8 @@
 			is := is.New(t)
 			store := &memoryStore{newest: 4, targets: onVersions(4, 4, 2, 2, 2, 2, 2)}
 			lived := startOn(store, "a")
-			lived.takeAnswer(lived.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{
-				{Model: "m", Version: 3, Age: 25000, Observed: true}, {Model: "m", Version: 4, Age: 6000, Observed: true},
+			lived.takeAnswer(lived.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
+				{Model: "m", Version: 3, AgeMillis: 25000, Observed: true}, {Model: "m", Version: 4, AgeMillis: 6000, Observed: true},
 			}})
 			lived.versionRecordStep(t.Context())
 			is.Equal(lived.excluded(), []int64{2, 2, 2, 2, 2})
@@ -114,7 +114,7 @@
 	lived, woken := startOn(store, "a"), startOn(store, "b")
 	for v := int64(3); v <= 10; v++ {
 		age := 1350 * (10 - v)
-		lived.takeAnswer(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: v, Age: age, Observed: true}}})
+		lived.takeAnswer(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: v, AgeMillis: age, Observed: true}}})
 	}
 	woken.takeAnswer(woken.clock.Now(), wire.Identity{}, 0, lived.answer(lived.clock.Now(), wire.Identity{}, wire.Exchange{}))
 	is.Equal(lived.excluded(), []int64{2, 2, 2})
@@ -128,7 +128,7 @@
 	p := startOn(&memoryStore{newest: 2, targets: onVersions(3, 2, 2, 2)}, "a")
 	slept(p, 8100*time.Millisecond)
 	p.takeNews(p.clock.Now(), named(3))
-	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 3, Age: 300, Observed: true}}})
+	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 300, Observed: true}}})
 	is.Equal(p.excluded(), nil)
 }
 
@@ -182,7 +182,7 @@
 	store.versionRecord = weights.VersionRecord{End: 1, List: []weights.NamedVersion{{Model: "m", Version: 4, At: time.Now().Add(-9 * time.Second)}}}
 	p := startOn(store, "a")
 	p.versionRecordStep(t.Context())
-	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 4, Age: 3000}}})
+	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 4, AgeMillis: 3000}}})
 	is.Equal(p.excluded(), []int64{3, 3, 3})
 }
 
@@ -194,7 +194,7 @@
 	store := &memoryStore{newest: 3, targets: onVersions(3, 2, 2, 2)}
 	startOn(store, "a").versionRecordStep(t.Context())
 	lived := startOn(store, "b")
-	lived.takeAnswer(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 3, Age: 9000, Observed: true}}})
+	lived.takeAnswer(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9000, Observed: true}}})
 	lived.versionRecordStep(t.Context())
 	restarted := startOn(store, "c")
 	restarted.versionRecordStep(t.Context())
@@ -226,7 +226,7 @@
 	first, other := startOn(store, "a"), startOn(store, "b")
 	other.peers.known["a"] = &peerState{updatedAt: other.clock.Now() + time.Hour}
 	for _, p := range []*probed{first, other} { // they have run for long
-		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 2, Age: 60000}}})
+		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 2, AgeMillis: 60000}}})
 	}
 	look := func() {
 		for range 5 {
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -50,7 +50,7 @@
 	}
 	reports := make([]targetlimit.Report, len(limits))
 	for i, l := range limits {
-		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, Born: l.Born}, Rate: l.Rate, Change: l.Change}
+		reports[i] = targetlimit.Report{Target: directory.Incarnation{ID: l.Target, Born: l.Born}, Rate: l.Rate, Change: l.Revision}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +63,7 @@
 	defer t.mu.Unlock()
 	var out []wire.TargetLimit
 	for _, r := range t.l.Reports() {
-		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.Born, Rate: r.Rate, Change: r.Change})
+		out = append(out, wire.TargetLimit{Target: r.Target.ID, Born: r.Target.Born, Rate: r.Rate, Revision: r.Change})
 	}
 	return out
 }
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -29,8 +29,8 @@
 	answers, answered := send()
 	pool.answered(answers)
 	older := func(age time.Duration) {
-		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{
-			{Model: "m", Version: 3, Age: age.Milliseconds(), Observed: true},
+		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
+			{Model: "m", Version: 3, AgeMillis: age.Milliseconds(), Observed: true},
 		}})
 		p.excluded()
 	}
@@ -54,7 +54,7 @@
 		pool.sent(pl, func() {}, mobility{})
 		waits = append(waits, pl)
 	}
-	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeAnswer{Weights: []wire.NamedWeights{{Model: "m", Version: 3, Age: 9600, Observed: true}}})
+	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
 	p.excluded()
 	for _, pl := range waits {
 		pool.ended(pl, overload.Failed)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -280,5 +280,5 @@
 type Ask struct {
 	ID     uint64
 	Member Member
-	Body   wire.LeasePromiseAsk
+	Body   wire.LeasePromiseRequest
 }
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -10,9 +10,9 @@
 // HandleAsk promises not to append an acquire for the named leases for a
 // while. It promises nothing where an own acquire may still take effect, or
 // where the log shows another holder: the asker's right is over there.
-func (h *Holder) HandleAsk(now time.Duration, ask wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
-	answer := wire.LeasePromiseAnswer{By: h.settings.Self.ID, Address: h.settings.Self.Address}
-	span := min(time.Duration(ask.ForMillis)*time.Millisecond, h.settings.PromiseFor)
+func (h *Holder) HandleAsk(now time.Duration, ask wire.LeasePromiseRequest) wire.LeasePromiseResponse {
+	answer := wire.LeasePromiseResponse{Promiser: h.settings.Self.ID, Address: h.settings.Self.Address}
+	span := min(time.Duration(ask.DurationMillis)*time.Millisecond, h.settings.PromiseFor)
 	for _, l := range ask.Leases {
 		r := Resource(l.Resource)
 		s, known := h.fold.State(r)
@@ -31,10 +31,10 @@
 // HandleAnswer counts a promise, from before it was asked for. An answer of a
 // newer incarnation at the member's address counts for the member: an address
 // belongs to one process at a time, so the member itself is dead.
-func (h *Holder) HandleAnswer(id uint64, a wire.LeasePromiseAnswer) {
+func (h *Holder) HandleAnswer(id uint64, a wire.LeasePromiseResponse) {
 	p, ok := h.asks[id]
 	delete(h.asks, id)
-	if !ok || (a.By != p.member.ID && a.Address != p.member.Address) {
+	if !ok || (a.Promiser != p.member.ID && a.Address != p.member.Address) {
 		return
 	}
 	for _, l := range a.Leases {
--- a/internal/lease/search_test.go
+++ b/internal/lease/search_test.go
@@ -49,7 +49,7 @@
 type call struct {
 	by     int
 	ask    Ask
-	answer *wire.LeasePromiseAnswer
+	answer *wire.LeasePromiseResponse
 }
 
 const unit = time.Second
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -162,14 +162,14 @@
 	if now-h.askAt < h.settings.RenewEvery {
 		return nil
 	}
-	wanted := map[Member][]wire.LeaseName{}
+	wanted := map[Member][]wire.LeaseRef{}
 	for _, r := range h.settings.Wanted {
 		l := h.held[r]
 		if l == nil || r.Domain() == "" || now-l.sentAt < 2*h.settings.RenewEvery {
 			continue
 		}
 		for _, m := range h.rivals(r) {
-			wanted[m] = append(wanted[m], wire.LeaseName{Resource: string(r), Token: int64(l.token)})
+			wanted[m] = append(wanted[m], wire.LeaseRef{Resource: string(r), Token: int64(l.token)})
 		}
 	}
 	if len(wanted) == 0 {
@@ -179,12 +179,12 @@
 	return h.asksFor(now, wanted)
 }
 
-func (h *Holder) asksFor(now time.Duration, wanted map[Member][]wire.LeaseName) []Ask {
+func (h *Holder) asksFor(now time.Duration, wanted map[Member][]wire.LeaseRef) []Ask {
 	var asks []Ask
 	for m, leases := range wanted {
-		asks = append(asks, Ask{Member: m, Body: wire.LeasePromiseAsk{
+		asks = append(asks, Ask{Member: m, Body: wire.LeasePromiseRequest{
 			Holder: h.settings.Self.ID, Member: m.ID,
-			ForMillis: h.settings.PromiseFor.Milliseconds(), Leases: leases,
+			DurationMillis: h.settings.PromiseFor.Milliseconds(), Leases: leases,
 		}})
 	}
 	slices.SortFunc(asks, func(a, b Ask) int { return compareIDs(a.Member.ID, b.Member.ID) })
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -115,7 +115,7 @@
 func filled(members, targets int) *View {
 	v := New(Config{Self: wire.Identity{Instance: "self"}}, rand.New(rand.NewPCG(1, 1)))
 	for i := range members {
-		v.learn(0, wire.MemberFact{Order: 1, Identity: wire.Identity{
+		v.learn(0, wire.MemberRecord{Generation: 1, Identity: wire.Identity{
 			Instance: fmt.Sprint("entry-", i), Incarnation: fmt.Sprintf("%032d", i),
 			Address: fmt.Sprintf("10.0.%d.%d:7000", i/256, i%256), Domain: "domain-a",
 		}})
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -25,29 +25,29 @@
 
 // answerDigests sends facts of the buckets that differ, up to a bound; the
 // rest follows at later beats.
-func (v *View) answerDigests(now time.Duration, b wire.MemberBeat) {
-	if len(b.Digests) != wire.MemberBuckets {
+func (v *View) answerDigests(now time.Duration, b wire.MemberPing) {
+	if len(b.Digests) != wire.DigestBuckets {
 		return
 	}
-	newcomer := b.Facts+newcomerLacks < len(v.members)+len(v.targets)
-	body := wire.MemberNews{Exchange: true}
-	first := v.rng.IntN(wire.MemberBuckets)
-	for i := range wire.MemberBuckets {
-		k := (first + i) % wire.MemberBuckets
+	newcomer := b.RecordCount+newcomerLacks < len(v.members)+len(v.targets)
+	body := wire.MemberUpdates{AntiEntropy: true}
+	first := v.rng.IntN(wire.DigestBuckets)
+	for i := range wire.DigestBuckets {
+		k := (first + i) % wire.DigestBuckets
 		if b.Digests[k] == v.digests[k] || len(body.Members)+len(body.Targets) >= maxFacts {
 			continue
 		}
 		v.offer(now, &v.buckets[k], newcomer, &body)
 	}
 	if len(body.Members)+len(body.Targets) > 0 {
-		v.send(b.From.Identity.Address, wire.KindMemberNews, body)
+		v.send(b.From.Identity.Address, wire.KindMemberUpdates, body)
 	}
 }
 
 // offer adds the bucket's recent facts, or all of them. Sending all of a
 // large bucket to each peer that is a moment behind would cost most of the
 // budget while anything changes.
-func (v *View) offer(now time.Duration, k *bucket, whole bool, body *wire.MemberNews) {
+func (v *View) offer(now time.Duration, k *bucket, whole bool, body *wire.MemberUpdates) {
 	members, targets := len(body.Members), len(body.Targets)
 	whole = whole || len(k.members)+len(k.targets) <= smallBucket
 	for _, m := range k.members {
@@ -69,12 +69,12 @@
 func Decode(f wire.Frame) (any, error) {
 	switch f.Kind {
 	case wire.KindMemberPing, wire.KindMemberPong:
-		var b wire.MemberBeat
-		err := f.Into(&b)
+		var b wire.MemberPing
+		err := f.DecodeBody(&b)
 		return b, errors.Wrap(err, "decode member beat")
-	case wire.KindMemberNews:
-		var b wire.MemberNews
-		err := f.Into(&b)
+	case wire.KindMemberUpdates:
+		var b wire.MemberUpdates
+		err := f.DecodeBody(&b)
 		return b, errors.Wrap(err, "decode member news")
 	}
 	return nil, errors.Newf("membership: unknown message kind=%s", f.Kind)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -136,8 +136,8 @@
 	v.send(to, wire.KindMemberPing, v.beatBody(v.seq))
 }
 
-func (v *View) beatBody(seq uint64) wire.MemberBeat {
-	return wire.MemberBeat{Seq: seq, From: v.self, Facts: len(v.members) + len(v.targets), Digests: slices.Clone(v.digests[:])}
+func (v *View) beatBody(seq uint64) wire.MemberPing {
+	return wire.MemberPing{Seq: seq, From: v.self, RecordCount: len(v.members) + len(v.targets), Digests: slices.Clone(v.digests[:])}
 }
 
 func (v *View) send(to string, kind wire.Kind, body any) {
@@ -155,29 +155,29 @@
 	for len(v.news.Members)+len(v.news.Targets) > 0 {
 		m := min(len(v.news.Members), maxFacts)
 		t := min(len(v.news.Targets), maxFacts-m)
-		body := wire.MemberNews{Members: v.news.Members[:m], Targets: v.news.Targets[:t]}
+		body := wire.MemberUpdates{Members: v.news.Members[:m], Targets: v.news.Targets[:t]}
 		v.news.Members, v.news.Targets = v.news.Members[m:], v.news.Targets[t:]
 		for _, a := range to {
-			v.send(a, wire.KindMemberNews, body)
+			v.send(a, wire.KindMemberUpdates, body)
 		}
 	}
-	v.news = wire.MemberNews{}
+	v.news = wire.MemberUpdates{}
 }
 
 // Receive takes a message from a peer: a MemberBeat with its kind, or a
 // MemberNews. Others are ignored.
 func (v *View) Receive(now time.Duration, kind wire.Kind, body any) {
 	switch b := body.(type) {
-	case wire.MemberBeat:
+	case wire.MemberPing:
 		v.beaten(now, kind, b)
-	case wire.MemberNews:
+	case wire.MemberUpdates:
 		v.takeNews(now, b)
 	}
 }
 
 // takeNews learns facts. Those of an exchange are not pushed on: an instance
 // that starts would push the whole state of the fleet back to its peers.
-func (v *View) takeNews(now time.Duration, b wire.MemberNews) {
+func (v *View) takeNews(now time.Duration, b wire.MemberUpdates) {
 	pending, self := v.news, v.self
 	for _, f := range b.Members {
 		v.learn(now, f)
@@ -185,7 +185,7 @@
 	for _, f := range b.Targets {
 		v.learnTarget(now, f)
 	}
-	if b.Exchange {
+	if b.AntiEntropy {
 		v.news = pending
 		if v.self != self {
 			v.news.Members = append(v.news.Members, v.self)
@@ -193,7 +193,7 @@
 	}
 }
 
-func (v *View) learnTarget(now time.Duration, f wire.TargetFact) {
+func (v *View) learnTarget(now time.Duration, f wire.TargetRecord) {
 	if v.targets[f.Target] == nil && f.Gone {
 		return // forgotten here
 	}
@@ -203,14 +203,14 @@
 	})
 }
 
-func (v *View) beaten(now time.Duration, kind wire.Kind, b wire.MemberBeat) {
+func (v *View) beaten(now time.Duration, kind wire.Kind, b wire.MemberPing) {
 	v.learn(now, b.From)
 	if m := v.members[b.From.Identity.Instance]; m != nil && m.fact.Identity == b.From.Identity {
 		m.asked = 0
 		if m.fact.State == wire.MemberSilent {
 			// It is heard, but takes itself for live: tell it, so that it
 			// refutes with a higher version.
-			v.send(b.From.Identity.Address, wire.KindMemberNews, wire.MemberNews{Members: []wire.MemberFact{m.fact}})
+			v.send(b.From.Identity.Address, wire.KindMemberUpdates, wire.MemberUpdates{Members: []wire.MemberRecord{m.fact}})
 		}
 	}
 	if kind == wire.KindMemberPing {
@@ -228,7 +228,7 @@
 
 // learn takes a fact about a member. One about this process itself, or about
 // another under its name, is settled here.
-func (v *View) learn(now time.Duration, f wire.MemberFact) {
+func (v *View) learn(now time.Duration, f wire.MemberRecord) {
 	if f.Identity.Instance == "" {
 		return
 	}
@@ -245,7 +245,7 @@
 	}
 }
 
-func (v *View) learnSelf(now time.Duration, f wire.MemberFact) {
+func (v *View) learnSelf(now time.Duration, f wire.MemberRecord) {
 	if !newer(f, v.self) {
 		return
 	}
@@ -254,7 +254,7 @@
 			v.replaced = true
 			return
 		}
-		v.self.Order = f.Order + 1
+		v.self.Generation = f.Generation + 1
 	}
 	v.self.Version = max(v.self.Version, f.Version) + 1
 	v.put(now, v.self)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -10,7 +10,7 @@
 
 // member is what is known of one entry instance.
 type member struct {
-	fact wire.MemberFact
+	fact wire.MemberRecord
 	// place is its position on the ring.
 	place uint64
 	// changed is when the fact last changed here.
@@ -24,10 +24,10 @@
 // newer says whether fact a replaces fact b about the same instance name. The
 // process itself raises its version to refute that it is silent; only a later
 // process under the name has a higher order.
-func newer(a, b wire.MemberFact) bool {
+func newer(a, b wire.MemberRecord) bool {
 	switch {
-	case a.Order != b.Order:
-		return a.Order > b.Order
+	case a.Generation != b.Generation:
+		return a.Generation > b.Generation
 	case a.Identity.Incarnation != b.Identity.Incarnation:
 		return a.Identity.Incarnation > b.Identity.Incarnation
 	case a.Version != b.Version:
@@ -48,11 +48,11 @@
 	_, _ = d.WriteString("\x00" + m.fact.Identity.Incarnation)
 	_, _ = d.Write([]byte{
 		byte(m.fact.State), byte(m.fact.Version), byte(m.fact.Version >> 8),
-		byte(m.fact.Order), byte(m.fact.Order >> 8), byte(m.fact.Order >> 16),
+		byte(m.fact.Generation), byte(m.fact.Generation >> 8), byte(m.fact.Generation >> 16),
 	})
 	return uint32(d.Sum64())
 }
 
 func bucketOf(name string) int {
-	return int(xxhash.Sum64String(name) % wire.MemberBuckets)
+	return int(xxhash.Sum64String(name) % wire.DigestBuckets)
 }
--- a/internal/membership/target.go
+++ b/internal/membership/target.go
@@ -14,7 +14,7 @@
 
 // target is what is known of one target.
 type target struct {
-	fact wire.TargetFact
+	fact wire.TargetRecord
 	// changed is when the fact last changed here.
 	changed time.Duration
 }
@@ -37,7 +37,7 @@
 // answer of an earlier one changes nothing: it would bring back trust in a
 // cache that is gone.
 func (t *target) observe(incarnation string) bool {
-	if incarnation == "" || incarnation == t.fact.Incarnation || slices.Contains(t.fact.Past, incarnation) {
+	if incarnation == "" || incarnation == t.fact.Incarnation || slices.Contains(t.fact.PastIncarnations, incarnation) {
 		return false
 	}
 	t.retire()
@@ -50,26 +50,26 @@
 	if t.fact.Incarnation == "" {
 		return
 	}
-	past := append(slices.Clone(t.fact.Past), t.fact.Incarnation)
-	t.fact.Past = past[max(0, len(past)-maxPast):]
+	past := append(slices.Clone(t.fact.PastIncarnations), t.fact.Incarnation)
+	t.fact.PastIncarnations = past[max(0, len(past)-maxPast):]
 }
 
 // learn takes a peer's word on the incarnation. With equal epochs both have
 // seen a different one and neither knows the order: each goes on with its own
 // until it sees the target again.
-func (t *target) learn(f wire.TargetFact) bool {
-	if f.Epoch <= t.fact.Epoch || slices.Contains(t.fact.Past, f.Incarnation) {
+func (t *target) learn(f wire.TargetRecord) bool {
+	if f.Epoch <= t.fact.Epoch || slices.Contains(t.fact.PastIncarnations, f.Incarnation) {
 		return false
 	}
 	if f.Incarnation != t.fact.Incarnation {
 		t.retire()
 	}
-	for _, p := range f.Past[:min(len(f.Past), maxPast)] {
-		if !slices.Contains(t.fact.Past, p) && p != f.Incarnation {
-			t.fact.Past = append(t.fact.Past, p)
+	for _, p := range f.PastIncarnations[:min(len(f.PastIncarnations), maxPast)] {
+		if !slices.Contains(t.fact.PastIncarnations, p) && p != f.Incarnation {
+			t.fact.PastIncarnations = append(t.fact.PastIncarnations, p)
 		}
 	}
-	t.fact.Past = t.fact.Past[max(0, len(t.fact.Past)-maxPast):]
+	t.fact.PastIncarnations = t.fact.PastIncarnations[max(0, len(t.fact.PastIncarnations)-maxPast):]
 	t.fact.Incarnation, t.fact.Epoch = f.Incarnation, f.Epoch
 	return true
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -20,9 +20,9 @@
 // Change tells what the view has learned.
 type Change struct {
 	// Member is set for a change of an entry instance.
-	Member *wire.MemberFact
+	Member *wire.MemberRecord
 	// Target is set for a change of a target.
-	Target *wire.TargetFact
+	Target *wire.TargetRecord
 }
 
 // Ready is the work that a View hands out.
@@ -38,7 +38,7 @@
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
-	self    wire.MemberFact
+	self    wire.MemberRecord
 	members map[string]*member
 	// ring has the members that are live or leaving, quiet the silent ones,
 	// both by place.
@@ -47,10 +47,10 @@
 	// watched are the ring successors pinged at the last beat.
 	watched []*member
 	targets map[string]*target
-	buckets [wire.MemberBuckets]bucket
+	buckets [wire.DigestBuckets]bucket
 	// seeds are addresses to ping until a member answers from there.
 	seeds   map[string]bool
-	digests [wire.MemberBuckets]uint32
+	digests [wire.DigestBuckets]uint32
 	thaw    thaw
 
 	seq      uint64
@@ -62,7 +62,7 @@
 	contact  time.Duration
 	met      bool
 	replaced bool
-	news     wire.MemberNews
+	news     wire.MemberUpdates
 	out      Ready
 }
 
@@ -90,7 +90,7 @@
 		cfg: cfg, rng: rng, members: map[string]*member{}, targets: map[string]*target{},
 		seeds: map[string]bool{}, pings: map[uint64]ping{},
 		thaw: thaw{gap: cfg.ThawGap, wait: cfg.ThawWait},
-		self: wire.MemberFact{Identity: cfg.Self, Order: uint64(max(cfg.StartMillis, 1))},
+		self: wire.MemberRecord{Identity: cfg.Self, Generation: uint64(max(cfg.StartMillis, 1))},
 	}
 	for _, a := range cfg.Seeds {
 		v.seed(a)
@@ -114,7 +114,7 @@
 }
 
 // put stores a newer fact about a member and keeps ring and digests in step.
-func (v *View) put(now time.Duration, f wire.MemberFact) {
+func (v *View) put(now time.Duration, f wire.MemberRecord) {
 	name := f.Identity.Instance
 	m := v.members[name]
 	b := bucketOf(name)
@@ -167,7 +167,7 @@
 	b := bucketOf(name)
 	t := v.targets[name]
 	if t == nil {
-		t = &target{fact: wire.TargetFact{Target: name}}
+		t = &target{fact: wire.TargetRecord{Target: name}}
 		v.targets[name] = t
 		v.buckets[b].targets = append(v.buckets[b].targets, t)
 		v.digests[b] ^= t.digest()
@@ -273,12 +273,12 @@
 
 // Members are the entry instances that are heard, by instance name, this one
 // included.
-func (v *View) Members() []wire.MemberFact {
-	out := make([]wire.MemberFact, 0, len(v.ring))
+func (v *View) Members() []wire.MemberRecord {
+	out := make([]wire.MemberRecord, 0, len(v.ring))
 	for _, m := range v.ring {
 		out = append(out, m.fact)
 	}
-	slices.SortFunc(out, func(a, b wire.MemberFact) int {
+	slices.SortFunc(out, func(a, b wire.MemberRecord) int {
 		return cmp.Compare(a.Identity.Instance, b.Identity.Instance)
 	})
 	return out
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -122,9 +122,9 @@
 	v.Observed(0, "t", "i2")
 	v.Observed(0, "t", "i1")
 	is.Equal(v.Incarnation("t"), "i2")
-	v.Receive(0, wire.KindMemberNews, wire.MemberNews{Targets: []wire.TargetFact{{Target: "t", Incarnation: "i1", Epoch: 7}}})
+	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Incarnation: "i1", Epoch: 7}}})
 	is.Equal(v.Incarnation("t"), "i2")
-	v.Receive(0, wire.KindMemberNews, wire.MemberNews{Targets: []wire.TargetFact{{Target: "t", Incarnation: "i3", Epoch: 7, Past: []string{"i2"}}}})
+	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Incarnation: "i3", Epoch: 7, PastIncarnations: []string{"i2"}}}})
 	is.Equal(v.Incarnation("t"), "i3")
 	v.Observed(0, "t", "i2")
 	is.Equal(v.Incarnation("t"), "i3")
@@ -145,7 +145,7 @@
 	list(5, platform.StateLive)
 	is.True(v.Draining("t"))
 	list(20, platform.StateLive)
-	v.Receive(0, wire.KindMemberNews, wire.MemberNews{Targets: []wire.TargetFact{{Target: "t", Draining: true, AsOfMillis: 15}}})
+	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Draining: true, AsOfMillis: 15}}})
 	is.True(!v.Draining("t"))
 	v.List(0, 0, platform.InstanceList{AsOf: time.UnixMilli(30)}, 0)
 	is.True(v.Draining("t")) // not listed any more
@@ -163,7 +163,7 @@
 	is.NoErr(f.agree())
 	old.Tick(f.now)
 	for _, m := range f.nodes[0].v.Members() {
-		old.Receive(f.now, wire.KindMemberNews, wire.MemberNews{Members: []wire.MemberFact{m}})
+		old.Receive(f.now, wire.KindMemberUpdates, wire.MemberUpdates{Members: []wire.MemberRecord{m}})
 	}
 	is.True(old.Replaced())
 	is.True(!f.nodes[2].v.Replaced())
@@ -175,7 +175,7 @@
 func TestPauseIsNotThePeersSilence(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
-	v.learn(0, wire.MemberFact{Identity: wire.Identity{Instance: "b", Address: "b"}, Order: 1})
+	v.learn(0, wire.MemberRecord{Identity: wire.Identity{Instance: "b", Address: "b"}, Generation: 1})
 	v.Tick(time.Second)
 	v.Tick(10 * time.Second)
 	is.Equal(len(v.Members()), 2)
@@ -185,8 +185,8 @@
 // itself.
 func FuzzReceive(f *testing.F) {
 	for kind, body := range map[wire.Kind]any{
-		wire.KindMemberPing: wire.MemberBeat{From: wire.MemberFact{Identity: wire.Identity{Instance: "b"}}, Digests: make([]uint32, wire.MemberBuckets)},
-		wire.KindMemberNews: wire.MemberNews{Targets: []wire.TargetFact{{Target: "t", Draining: true, AsOfMillis: 1}}},
+		wire.KindMemberPing:    wire.MemberPing{From: wire.MemberRecord{Identity: wire.Identity{Instance: "b"}}, Digests: make([]uint32, wire.DigestBuckets)},
+		wire.KindMemberUpdates: wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Draining: true, AsOfMillis: 1}}},
 	} {
 		frame, _ := wire.NewFrame(0, kind, body)
 		f.Add(string(kind), []byte(frame.Body))
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -125,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		if f.Answer {
+		if f.IsResponse {
 			c.deliver(f)
 			continue
 		}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -104,5 +104,5 @@
 	if f.Kind != kind {
 		return errors.Wrapf(wire.ErrFrameMalformed, "kind=%s want=%s", f.Kind, kind)
 	}
-	return f.Into(body)
+	return f.DecodeBody(body)
 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -126,7 +126,7 @@
 }
 
 func (n *Node) serve(from wire.Identity, f wire.Frame) (wire.Frame, bool) {
-	ans := wire.Frame{ID: f.ID, Answer: true, Kind: f.Kind}
+	ans := wire.Frame{ID: f.ID, IsResponse: true, Kind: f.Kind}
 	h, ok := n.handlers[f.Kind]
 	if !ok {
 		ans.Err = "unknown kind"
@@ -145,7 +145,7 @@
 		ans.Err = err.Error()
 		return ans, true
 	}
-	full.Answer = true
+	full.IsResponse = true
 	return full, true
 }
 
@@ -169,7 +169,7 @@
 	if answer == nil {
 		return c.from, nil
 	}
-	return c.from, ans.Into(answer)
+	return c.from, ans.DecodeBody(answer)
 }
 
 // Send sends a one-way message; nil says only that it was written.
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -22,7 +22,7 @@
 	n := NewNode(Options{Self: wire.Identity{Instance: name, Address: l.Addr().String()}, Secret: []byte(secret)})
 	n.Handle(kindEcho, func(_ context.Context, from wire.Identity, f wire.Frame) (any, error) {
 		var s string
-		if err := f.Into(&s); err != nil {
+		if err := f.DecodeBody(&s); err != nil {
 			return nil, err
 		}
 		if s == "refuse" {
--- a/internal/poison/home.go
+++ b/internal/poison/home.go
@@ -55,7 +55,7 @@
 	return best
 }
 
-func (h *home) ask(now time.Duration, from string, b wire.PoisonAsk) {
+func (h *home) ask(now time.Duration, from string, b wire.PoisonPermitRequest) {
 	fp, ok := fingerprint(b.Fingerprint)
 	if !ok || len(h.queue) >= maxQueue {
 		return
@@ -70,7 +70,7 @@
 }
 
 // hold keeps a permit alive, also one that another home granted.
-func (h *home) hold(now time.Duration, from string, b wire.PoisonHold) {
+func (h *home) hold(now time.Duration, from string, b wire.PoisonPermitRenewal) {
 	fp, ok := fingerprint(b.Fingerprint)
 	if !ok {
 		return
@@ -82,7 +82,7 @@
 }
 
 // done ends a permit, or the asks of a request that gave up.
-func (h *home) done(from string, b wire.PoisonDone) {
+func (h *home) done(from string, b wire.PoisonPermitRelease) {
 	fp, ok := fingerprint(b.Fingerprint)
 	if !ok {
 		return
@@ -144,7 +144,7 @@
 	queue := h.queue
 	h.queue = nil
 	for _, a := range queue {
-		g := wire.PoisonGrant{Request: a.request, Fingerprint: a.fp[:]}
+		g := wire.PoisonPermitResponse{Request: a.request, Fingerprint: a.fp[:]}
 		switch {
 		case r.ledger.quarantined(now, a.fp):
 			g.Quarantined = true
@@ -159,7 +159,7 @@
 			}
 			h.permits[a.fp] = &permit{holder: a.from, target: g.Target, until: now + h.cfg.PermitTTL}
 		}
-		r.send(now, a.from, wire.KindPoisonGrant, g)
+		r.send(now, a.from, wire.KindPoisonPermitResponse, g)
 	}
 }
 
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -50,13 +50,13 @@
 			delete(n.waiting, from)
 		}
 		r.release(now)
-	case wire.PoisonGrant:
+	case wire.PoisonPermitResponse:
 		r.granted(now, from, b)
-	case wire.PoisonAsk:
+	case wire.PoisonPermitRequest:
 		r.home.ask(now, from, b)
-	case wire.PoisonHold:
+	case wire.PoisonPermitRenewal:
 		r.home.hold(now, from, b)
-	case wire.PoisonDone:
+	case wire.PoisonPermitRelease:
 		if b.Crash != nil {
 			r.merge(now, wire.PoisonNotice{Crashes: []wire.PoisonCrash{*b.Crash}})
 		}
@@ -67,7 +67,7 @@
 
 // merge takes in what a peer knows.
 func (r *Registry) merge(now time.Duration, b wire.PoisonNotice) {
-	for _, c := range b.Clears {
+	for _, c := range b.Exonerations {
 		if fp, ok := fingerprint(c.Fingerprint); ok {
 			r.ledger.clear(now, fp, CrashID{Target: c.Target, Incarnation: c.Incarnation})
 		}
@@ -117,12 +117,12 @@
 	r.send(now, to, wire.KindPoisonNotice, body)
 }
 
-func (r *Registry) granted(now time.Duration, from string, b wire.PoisonGrant) {
+func (r *Registry) granted(now time.Duration, from string, b wire.PoisonPermitResponse) {
 	q := r.requests[b.Request]
 	if q == nil || q.home != from || q.permit {
 		if b.Target != "" && (q == nil || q.target != b.Target) {
 			// The request has ended: give the permit back.
-			r.send(now, from, wire.KindPoisonDone, wire.PoisonDone{Request: b.Request, Fingerprint: b.Fingerprint, Target: b.Target})
+			r.send(now, from, wire.KindPoisonPermitRelease, wire.PoisonPermitRelease{Request: b.Request, Fingerprint: b.Fingerprint, Target: b.Target})
 		}
 		return
 	}
@@ -156,7 +156,7 @@
 	})
 	for fp, s := range r.ledger.suspects {
 		for _, id := range s.cleared {
-			b.Clears = append(b.Clears, wire.PoisonClear{Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation})
+			b.Exonerations = append(b.Exonerations, wire.PoisonExoneration{Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation})
 		}
 		if s.quarantined > now {
 			age := r.cfg.QuarantineTTL - (s.quarantined - now)
@@ -198,21 +198,21 @@
 		return into[wire.PoisonNotice](f)
 	case wire.KindPoisonAck:
 		return into[wire.PoisonAck](f)
-	case wire.KindPoisonAsk:
-		return into[wire.PoisonAsk](f)
-	case wire.KindPoisonGrant:
-		return into[wire.PoisonGrant](f)
-	case wire.KindPoisonHold:
-		return into[wire.PoisonHold](f)
-	case wire.KindPoisonDone:
-		return into[wire.PoisonDone](f)
+	case wire.KindPoisonPermitRequest:
+		return into[wire.PoisonPermitRequest](f)
+	case wire.KindPoisonPermitResponse:
+		return into[wire.PoisonPermitResponse](f)
+	case wire.KindPoisonPermitRenewal:
+		return into[wire.PoisonPermitRenewal](f)
+	case wire.KindPoisonPermitRelease:
+		return into[wire.PoisonPermitRelease](f)
 	}
 	return nil, errors.Newf("poison: unknown message kind=%s", f.Kind)
 }
 
 func into[T any](f wire.Frame) (any, error) {
 	var b T
-	if err := f.Into(&b); err != nil {
+	if err := f.DecodeBody(&b); err != nil {
 		return nil, errors.Wrap(err, "decode poison message")
 	}
 	return b, nil
--- a/internal/poison/registry.go
+++ b/internal/poison/registry.go
@@ -157,8 +157,8 @@
 
 func (r *Registry) ask(now time.Duration, q *request) {
 	q.home = homeOf(q.pool, r.cfg.Self, r.peers)
-	body := wire.PoisonAsk{Request: q.id, Fingerprint: q.fp[:], Targets: q.targets}
-	r.send(now, q.home, wire.KindPoisonAsk, body)
+	body := wire.PoisonPermitRequest{Request: q.id, Fingerprint: q.fp[:], Targets: q.targets}
+	r.send(now, q.home, wire.KindPoisonPermitRequest, body)
 }
 
 // Started tells that an admitted request goes to a target, before its first
@@ -196,11 +196,11 @@
 	var body wire.PoisonNotice
 	for _, id := range r.ledger.open(fp) {
 		r.ledger.clear(now, fp, id)
-		body.Clears = append(body.Clears, wire.PoisonClear{
+		body.Exonerations = append(body.Exonerations, wire.PoisonExoneration{
 			Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation,
 		})
 	}
-	if len(body.Clears) > 0 {
+	if len(body.Exonerations) > 0 {
 		r.stats.Cleared++
 		r.broadcast(now, body)
 	}
@@ -211,11 +211,11 @@
 	if q.home == "" {
 		return
 	}
-	body := wire.PoisonDone{Request: q.id, Fingerprint: q.fp[:], Target: q.target, Crash: c}
+	body := wire.PoisonPermitRelease{Request: q.id, Fingerprint: q.fp[:], Target: q.target, Crash: c}
 	if !q.permit {
 		body.Target = ""
 	}
-	r.send(now, q.home, wire.KindPoisonDone, body)
+	r.send(now, q.home, wire.KindPoisonPermitRelease, body)
 	q.home, q.permit = "", false
 }
 
@@ -266,7 +266,7 @@
 		switch {
 		case q.permit:
 			q.home = homeOf(q.pool, r.cfg.Self, r.peers)
-			r.send(now, q.home, wire.KindPoisonHold, wire.PoisonHold{Fingerprint: q.fp[:], Target: q.target})
+			r.send(now, q.home, wire.KindPoisonPermitRenewal, wire.PoisonPermitRenewal{Fingerprint: q.fp[:], Target: q.target})
 		case q.home != "":
 			r.ask(now, q)
 		}
--- a/internal/poison/registry_test.go
+++ b/internal/poison/registry_test.go
@@ -42,7 +42,7 @@
 	r := suspected(Config{Self: "a", PermitTTL: 2 * time.Second})
 	r.SetPeers(0, []string{"b"})
 	r.SetPeers(time.Minute, nil)
-	r.Receive(time.Minute, "c", wire.PoisonHold{Fingerprint: fp[:], Target: "t2"})
+	r.Receive(time.Minute, "c", wire.PoisonPermitRenewal{Fingerprint: fp[:], Target: "t2"})
 	is.Equal(r.Admit(time.Minute, "r2", print(0), "pool", []string{"t3"}), Wait)
 	r.Tick(time.Minute + time.Second)
 	is.Equal(len(r.Ready().Decisions), 0) // held by c
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	r := suspected(Config{Self: "a"})
 	fp := print(0)
-	r.Receive(0, "b", wire.PoisonAsk{Request: "x", Fingerprint: fp[:], Targets: []string{"t2"}})
+	r.Receive(0, "b", wire.PoisonPermitRequest{Request: "x", Fingerprint: fp[:], Targets: []string{"t2"}})
 	r.Crashed(0, "t2", "i1", nil)
 	is.Equal(r.Admit(0, "r2", fp, "pool", nil), Quarantined)
 }
@@ -120,8 +120,8 @@
 	fp := print(0)
 	for _, m := range []Message{
 		{Kind: wire.KindPoisonNotice, Body: wire.PoisonNotice{Crashes: []wire.PoisonCrash{{Target: "t", Fingerprints: [][]byte{fp[:]}}}}},
-		{Kind: wire.KindPoisonAsk, Body: wire.PoisonAsk{Request: "r", Fingerprint: fp[:], Targets: []string{"t"}}},
-		{Kind: wire.KindPoisonDone, Body: wire.PoisonDone{Request: "r", Fingerprint: fp[:], Target: "t"}},
+		{Kind: wire.KindPoisonPermitRequest, Body: wire.PoisonPermitRequest{Request: "r", Fingerprint: fp[:], Targets: []string{"t"}}},
+		{Kind: wire.KindPoisonPermitRelease, Body: wire.PoisonPermitRelease{Request: "r", Fingerprint: fp[:], Target: "t"}},
 	} {
 		frame, _ := wire.NewFrame(0, m.Kind, m.Body)
 		f.Add(string(frame.Kind), []byte(frame.Body))
--- a/internal/rate/bench_test.go
+++ b/internal/rate/bench_test.go
@@ -41,7 +41,7 @@
 
 func BenchmarkHandleAsk(b *testing.B) {
 	l, now := benchLimiter(440, 5), time.Second
-	ask := wire.RateAsk{From: "i1", Items: []wire.RateItem{{Account: "account-007", Tokens: 1}}}
+	ask := wire.RateRequest{From: "i1", Items: []wire.RateItem{{Account: "account-007", Tokens: 1}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		now += time.Millisecond
@@ -102,12 +102,12 @@
 	for _, accounts := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
 			const id = "01a23935-8cec-7b06-907d-5eec2ad2e5c2"
-			ask, grant, ret := wire.RateAsk{From: id}, wire.RateGrant{From: id, At: 1 << 50}, wire.RateReturn{To: id}
+			ask, grant, ret := wire.RateRequest{From: id}, wire.RateGrant{From: id, DebitedAtNanos: 1 << 50}, wire.RateReturn{To: id}
 			for i := range accounts {
 				name := fmt.Sprintf("account-%03d", i)
 				ask.Items = append(ask.Items, wire.RateItem{Account: name, Tokens: 1234.5, WaitedMicros: 1500})
-				grant.Items = append(grant.Items, wire.RateGrantItem{Account: name, Tokens: 1234.5, Left: 987.6})
-				ret.Items = append(ret.Items, wire.RateReturnItem{Account: name, At: 1 << 50, Spent: 1234.5})
+				grant.Items = append(grant.Items, wire.RateGrantItem{Account: name, Tokens: 1234.5, Remaining: 987.6})
+				ret.Items = append(ret.Items, wire.RateReturnItem{Account: name, DebitedAtNanos: 1 << 50, Spent: 1234.5})
 			}
 			sum := 0
 			for b.Loop() {
--- a/internal/rate/collect.go
+++ b/internal/rate/collect.go
@@ -162,7 +162,7 @@
 			p.accounts = append(p.accounts, item.Account)
 		}
 		l.pending[l.lastAsk] = p
-		body := wire.RateAsk{From: l.settings.Self, Items: batch.items[peer]}
+		body := wire.RateRequest{From: l.settings.Self, Items: batch.items[peer]}
 		asks = append(asks, Ask{ID: l.lastAsk, Peer: peer, Body: body})
 	}
 	return asks
--- a/internal/rate/exchange.go
+++ b/internal/rate/exchange.go
@@ -40,7 +40,7 @@
 type Ask struct {
 	ID   uint64
 	Peer string
-	Body wire.RateAsk
+	Body wire.RateRequest
 }
 
 // Return is a one-way message to send to a peer.
@@ -79,9 +79,9 @@
 }
 
 // HandleAsk debits what it can spare and answers with it.
-func (l *Limiter) HandleAsk(now time.Duration, ask wire.RateAsk) wire.RateGrant {
+func (l *Limiter) HandleAsk(now time.Duration, ask wire.RateRequest) wire.RateGrant {
 	l.settle(now)
-	g := wire.RateGrant{From: l.settings.Self, At: int64(now)}
+	g := wire.RateGrant{From: l.settings.Self, DebitedAtNanos: int64(now)}
 	for i, item := range ask.Items {
 		a := l.accounts[item.Account]
 		if a == nil || i >= wire.MaxRateItems {
@@ -95,7 +95,7 @@
 		}
 		item.Tokens = a.bucket.balance
 		left := l.spare(a, now, ask.From, item) // to this asker
-		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Left: left})
+		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Remaining: left})
 	}
 	return g
 }
@@ -138,10 +138,10 @@
 			continue
 		}
 		h := a.known[peer]
-		h.tokens, h.at = item.Left, now
+		h.tokens, h.at = item.Remaining, now
 		a.known[peer] = h
 		if item.Tokens > 0 {
-			l.credit(a, now, credit{peer: peer, incarnation: g.From, grantedAt: g.At, until: until, tokens: item.Tokens})
+			l.credit(a, now, credit{peer: peer, incarnation: g.From, grantedAt: g.DebitedAtNanos, until: until, tokens: item.Tokens})
 		}
 	}
 }
@@ -181,11 +181,11 @@
 	}
 	for _, item := range r.Items {
 		a := l.accounts[item.Account]
-		if a == nil || time.Duration(item.At) > now {
+		if a == nil || time.Duration(item.DebitedAtNanos) > now {
 			continue
 		}
 		l.advance(a, now)
-		at := time.Duration(item.At)
+		at := time.Duration(item.DebitedAtNanos)
 		if item.Spent > 0 {
 			a.bucket.endLoan(at, item.Spent)
 		}
@@ -201,7 +201,7 @@
 // giveBack queues the return of unspent tokens of a credit.
 func (l *Limiter) giveBack(a *account, c credit, tokens float64) {
 	if tokens > 0 {
-		l.report(c, wire.RateReturnItem{Account: a.name, At: c.grantedAt, Unspent: tokens})
+		l.report(c, wire.RateReturnItem{Account: a.name, DebitedAtNanos: c.grantedAt, Unspent: tokens})
 	}
 }
 
--- a/internal/rate/limiter.go
+++ b/internal/rate/limiter.go
@@ -187,7 +187,7 @@
 	for _, c := range r.from {
 		n := min(c.tokens, unused)
 		unused -= n
-		l.report(c, wire.RateReturnItem{Account: a.name, At: c.grantedAt, Refunded: n})
+		l.report(c, wire.RateReturnItem{Account: a.name, DebitedAtNanos: c.grantedAt, Refunded: n})
 	}
 }
 
@@ -204,7 +204,7 @@
 	r.from = a.bucket.spend(cost)
 	r.seq = a.bucket.seq
 	for _, c := range r.from {
-		l.report(c, wire.RateReturnItem{Account: a.name, At: c.grantedAt, Spent: c.tokens})
+		l.report(c, wire.RateReturnItem{Account: a.name, DebitedAtNanos: c.grantedAt, Spent: c.tokens})
 	}
 	return r
 }
--- a/internal/rate/limiter_test.go
+++ b/internal/rate/limiter_test.go
@@ -107,10 +107,10 @@
 	l := full("i1")
 	now := 10 * time.Second
 	b := &l.accounts["acct"].bucket
-	g := l.HandleAsk(now, wire.RateAsk{Items: []wire.RateItem{{Account: "acct", Tokens: 1000}}})
+	g := l.HandleAsk(now, wire.RateRequest{Items: []wire.RateItem{{Account: "acct", Tokens: 1000}}})
 	tell := func(item wire.RateReturnItem) {
 		now += time.Millisecond
-		item.Account, item.At = "acct", g.At
+		item.Account, item.DebitedAtNanos = "acct", g.DebitedAtNanos
 		l.HandleReturn(now, wire.RateReturn{To: "i1", Items: []wire.RateReturnItem{item}})
 	}
 	tell(wire.RateReturnItem{Spent: 600})
@@ -220,10 +220,10 @@
 	a, now := full("a"), 10*time.Second
 	ask := func(from string, tokens float64, waited time.Duration) float64 {
 		item := wire.RateItem{Account: "acct", Tokens: tokens, WaitedMicros: waited.Microseconds()}
-		return a.HandleAsk(now, wire.RateAsk{From: from, Items: []wire.RateItem{item}}).Items[0].Tokens
+		return a.HandleAsk(now, wire.RateRequest{From: from, Items: []wire.RateItem{item}}).Items[0].Tokens
 	}
 	is.Equal(ask("b", 5100, 100*time.Millisecond), 5000.0)
-	a.HandleReturn(now, wire.RateReturn{To: "a", Items: []wire.RateReturnItem{{Account: "acct", At: int64(now), Spent: 5000}}})
+	a.HandleReturn(now, wire.RateReturn{To: "a", Items: []wire.RateReturnItem{{Account: "acct", DebitedAtNanos: int64(now), Spent: 5000}}})
 	now += 40 * time.Millisecond
 	is.Equal(ask("c", 30, 20*time.Millisecond), 0.0)
 	is.True(ask("b", 30, 140*time.Millisecond) == 30) // b has all it needs
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -37,7 +37,7 @@
 	until    time.Duration // end of a call under way
 	called   time.Duration
 	sent     uint64
-	received wire.UpdatePlace
+	received wire.UpdateCursor
 	fleet    int
 }
 
@@ -138,7 +138,7 @@
 	n.spent += float64(1 + s.rng.IntN(100))
 	s.actual[n.id.Incarnation] = n.spent
 	s.events[n.id.Incarnation]++
-	n.table.AddEvent(wire.InstanceEvent{Crashed: 1})
+	n.table.AddEvent(wire.InstanceEvent{CrashFingerprint: 1})
 }
 
 func (s *sim) act(n *simNode) {
@@ -203,10 +203,10 @@
 	}
 	p.failed = simNever
 	if s.take(n, answer, false) {
-		place = wire.UpdatePlace{}
+		place = wire.UpdateCursor{}
 	}
 	if to.id.Incarnation != p.identity.Incarnation {
-		p.sent, p.received = 0, wire.UpdatePlace{}
+		p.sent, p.received = 0, wire.UpdateCursor{}
 		return
 	}
 	p.sent, p.received, p.fleet = version, place, 1+len(to.peers)
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -94,11 +94,13 @@
 func (t *Table) SetStaleAfter(d time.Duration) { t.staleAfter = d }
 
 // Place is the end of the table's updates.
-func (t *Table) Place() wire.UpdatePlace { return wire.UpdatePlace{Table: t.self, Version: t.version} }
+func (t *Table) Place() wire.UpdateCursor {
+	return wire.UpdateCursor{Table: t.self, Version: t.version}
+}
 
 // VersionAt is the version of the table at a place; 0 for a place in the table of
 // another process, which says nothing of this one.
-func (t *Table) VersionAt(place wire.UpdatePlace) uint64 {
+func (t *Table) VersionAt(place wire.UpdateCursor) uint64 {
 	if place.Table != t.self {
 		return 0
 	}
@@ -188,7 +190,7 @@
 }
 
 func (r *row) update(now time.Duration, origin, version uint64) wire.InstanceUpdate {
-	u := wire.InstanceUpdate{Origin: origin, Seq: r.seq, Age: max(0, now-r.at).Milliseconds(), State: r.state}
+	u := wire.InstanceUpdate{Origin: origin, Seq: r.seq, AgeMillis: max(0, now-r.at).Milliseconds(), State: r.state}
 	if r.created > version {
 		identity := r.identity
 		u.Identity = &identity
@@ -252,7 +254,7 @@
 // replace takes in a newer update of a row.
 func (t *Table) replace(r *row, from time.Duration, u *wire.InstanceUpdate, passOn bool) Change {
 	t.version++
-	at := from - time.Duration(u.Age)*time.Millisecond
+	at := from - time.Duration(u.AgeMillis)*time.Millisecond
 	if passOn && !r.passOn || r.skipped {
 		t.renew(r)
 	}
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -44,7 +44,7 @@
 				for range rounds {
 					f, _ := wire.Read(bytes.NewReader(frameBytes(wire.KindHeartbeat, hb)))
 					var got wire.Heartbeat
-					_ = f.Into(&got)
+					_ = f.DecodeBody(&got)
 				}
 			})
 		}),
@@ -77,14 +77,14 @@
 			})
 		}),
 		measure("rate-exchange-bytes", "accounts asked for", "bytes of ask, grant and return", items, func(n int) float64 {
-			ask, grant, back := wire.RateAsk{From: incarnation}, wire.RateGrant{From: incarnation, At: 1 << 40}, wire.RateReturn{To: incarnation}
+			ask, grant, back := wire.RateRequest{From: incarnation}, wire.RateGrant{From: incarnation, DebitedAtNanos: 1 << 40}, wire.RateReturn{To: incarnation}
 			for i := range n {
 				account := fmt.Sprintf("account-%03d", i)
 				ask.Items = append(ask.Items, wire.RateItem{Account: account, Tokens: 1234.5, WaitedMicros: 1000})
-				grant.Items = append(grant.Items, wire.RateGrantItem{Account: account, Tokens: 1234.5, Left: 99})
-				back.Items = append(back.Items, wire.RateReturnItem{Account: account, At: 1 << 40, Spent: 1234.5})
+				grant.Items = append(grant.Items, wire.RateGrantItem{Account: account, Tokens: 1234.5, Remaining: 99})
+				back.Items = append(back.Items, wire.RateReturnItem{Account: account, DebitedAtNanos: 1 << 40, Spent: 1234.5})
 			}
-			return float64(len(frameBytes(wire.KindRateAsk, ask)) + len(frameBytes(wire.KindRateAsk, grant)) + len(frameBytes(wire.KindRateReturn, back)))
+			return float64(len(frameBytes(wire.KindRateRequest, ask)) + len(frameBytes(wire.KindRateRequest, grant)) + len(frameBytes(wire.KindRateReturn, back)))
 		}),
 	}
 }
--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -7,11 +7,11 @@
 	KindClaimSnapshot Kind = "claim.snapshot"
 )
 
-// ClaimSnapshotAsk asks for the holders claimed from an offset on; -1 gives
+// ClaimSnapshotRequest asks for the holders claimed from an offset on; -1 gives
 // the first page.
-type ClaimSnapshotAsk struct {
-	From int64 `msgpack:"f"`
-	Max  int   `msgpack:"m"`
+type ClaimSnapshotRequest struct {
+	From  int64 `msgpack:"f"`
+	Limit int   `msgpack:"m"`
 }
 
 // ClaimPage is a part of a fold of the claims stream, in claim order.
--- a/internal/wire/configpart.go
+++ b/internal/wire/configpart.go
@@ -15,8 +15,8 @@
 	Digest uint64
 }
 
-// ConfigPartCall asks for bytes of an encoded configuration.
-type ConfigPartCall struct {
+// ConfigPartRequest asks for bytes of an encoded configuration.
+type ConfigPartRequest struct {
 	// Base is the configuration that the caller has. The answer may build on it.
 	Base ConfigRef `msgpack:"b"`
 	// Target is the version of the transfer under way; 0 asks for the newest.
@@ -33,14 +33,14 @@
 	// Target is the configuration that it encodes; zero where the answerer has
 	// nothing newer.
 	Target ConfigRef `msgpack:"t"`
-	// Transfer is a hash of the encoding: parts with the same one fit together, no
+	// EncodingHash is a hash of the encoding: parts with the same one fit together, no
 	// matter which instance they come from.
-	Transfer uint64 `msgpack:"x"`
-	// Size is that of the encoding in bytes, Offset the place of Data in it.
-	Size   int    `msgpack:"s"`
-	Offset int    `msgpack:"o"`
-	Data   []byte `msgpack:"d,omitempty"`
-	// RetryAfter is how many milliseconds the answerer's link is in use by other
+	EncodingHash uint64 `msgpack:"x"`
+	// EncodingSize is that of the encoding in bytes, Offset the place of Data in it.
+	EncodingSize int    `msgpack:"s"`
+	Offset       int    `msgpack:"o"`
+	Data         []byte `msgpack:"d,omitempty"`
+	// RetryAfterMillis is how many milliseconds the answerer's link is in use by other
 	// transfers; there is no data then.
-	RetryAfter int64 `msgpack:"r,omitempty"`
+	RetryAfterMillis int64 `msgpack:"r,omitempty"`
 }
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -17,28 +17,28 @@
 	From Identity `msgpack:"f"`
 	// ConfigVersion is the configuration that the sender has; 0 for none.
 	ConfigVersion int64 `msgpack:"v"`
-	// TargetsNext is where the sender would read on in the registrations of
+	// RegistrationsOffset is where the sender would read on in the registrations of
 	// targets; -1 before it has read them.
-	TargetsNext int64 `msgpack:"t"`
+	RegistrationsOffset int64 `msgpack:"t"`
 	// Updates are the state of the sender, and of the instances that follow it,
 	// as far as it has changed since the last message that was answered.
 	Updates []InstanceUpdate `msgpack:"u,omitempty"`
-	// Sent is the place in the sender's updates on which these build, and
+	// BaseVersion is the place in the sender's updates on which these build, and
 	// Receiver the origin number of the process that has all up to there.
-	Sent     uint64 `msgpack:"s,omitempty"`
-	Receiver uint64 `msgpack:"e,omitempty"`
+	BaseVersion      uint64 `msgpack:"s,omitempty"`
+	ExpectedReceiver uint64 `msgpack:"e,omitempty"`
 	// Follow asks for what the answerer knows of all other instances.
 	Follow bool `msgpack:"o,omitempty"`
 	// Hub is set by a hub. The answerer passes the state of others on to the
 	// hubs.
 	Hub bool `msgpack:"b,omitempty"`
-	// Received is the place in the answerer's updates up to which the sender
+	// ReceivedCursor is the place in the answerer's updates up to which the sender
 	// has them.
-	Received UpdatePlace `msgpack:"r"`
+	ReceivedCursor UpdateCursor `msgpack:"r"`
 }
 
-// UpdatePlace is a place in the updates that one instance passes on.
-type UpdatePlace struct {
+// UpdateCursor is a place in the updates that one instance passes on.
+type UpdateCursor struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -53,8 +53,8 @@
 	Origin uint64
 	// Seq counts the updates that the origin has made.
 	Seq uint64
-	// Age is how many milliseconds ago the origin made this one.
-	Age int64
+	// AgeMillis is how many milliseconds ago the origin made this one.
+	AgeMillis int64
 	// Identity is nil where the receiver has it.
 	Identity *Identity
 	State    InstanceState
@@ -73,54 +73,54 @@
 	Capacity int
 	// Leaving is set by an instance that takes no more requests.
 	Leaving bool
-	// Cut is set by an instance that does not reach the store.
-	Cut bool
-	// Orders is the record of the lease for orders, by its holder; nil for others.
-	Orders *LeaseRecord
+	// StoreUnreachable is set by an instance that does not reach the store.
+	StoreUnreachable bool
+	// OrderLease is the record of the lease for orders, by its holder; nil for others.
+	OrderLease *OrderLeaseRecord
 	// ConfigVersion is the configuration that the origin has; 0 for none.
 	ConfigVersion int64
 	// Loads is what the origin has running, by target.
 	Loads map[string]TargetLoad
-	// Loading are targets that the origin has ordered to take new weights.
-	Loading []string
-	// Stores are the stores of KV cache that the origin reads.
-	Stores []CacheStore
-	// Silent are targets that the origin has found to answer nothing.
-	Silent []string
-	// Limits are what the origin knows of the rates that targets state.
-	Limits []TargetLimit
-	// Overdue are the instances of which the origin has no update, with the
+	// LoadingTargets are targets that the origin has ordered to take new weights.
+	LoadingTargets []string
+	// CacheStores are the stores of KV cache that the origin reads.
+	CacheStores []CacheStore
+	// SilentTargets are targets that the origin has found to answer nothing.
+	SilentTargets []string
+	// TargetLimits are what the origin knows of the rates that targets state.
+	TargetLimits []TargetLimit
+	// OverdueInstances are the instances of which the origin has no update, with the
 	// milliseconds since the last one, or since they were last announced in the
 	// store. Only the first instance in the order of duties lists them.
-	Overdue map[string]int64
+	OverdueInstances map[string]int64
 }
 
 // Equal says whether two states are the same.
 func (s *InstanceState) Equal(o *InstanceState) bool {
-	if (s.Orders == nil) != (o.Orders == nil) || s.Orders != nil && *s.Orders != *o.Orders {
+	if (s.OrderLease == nil) != (o.OrderLease == nil) || s.OrderLease != nil && *s.OrderLease != *o.OrderLease {
 		return false
 	}
-	return s.Capacity == o.Capacity && s.Leaving == o.Leaving && s.Cut == o.Cut && s.ConfigVersion == o.ConfigVersion &&
-		maps.Equal(s.Loads, o.Loads) && maps.Equal(s.Overdue, o.Overdue) && slices.Equal(s.Loading, o.Loading) &&
-		slices.Equal(s.Stores, o.Stores) && slices.Equal(s.Silent, o.Silent) &&
-		slices.Equal(s.Limits, o.Limits)
+	return s.Capacity == o.Capacity && s.Leaving == o.Leaving && s.StoreUnreachable == o.StoreUnreachable && s.ConfigVersion == o.ConfigVersion &&
+		maps.Equal(s.Loads, o.Loads) && maps.Equal(s.OverdueInstances, o.OverdueInstances) && slices.Equal(s.LoadingTargets, o.LoadingTargets) &&
+		slices.Equal(s.CacheStores, o.CacheStores) && slices.Equal(s.SilentTargets, o.SilentTargets) &&
+		slices.Equal(s.TargetLimits, o.TargetLimits)
 }
 
 // InstanceEvent is something that happened at an instance: either a prompt was
 // prefilled or a request broke off.
 type InstanceEvent struct {
-	Prompt *SentPrompt
-	// Crashed is the fingerprint of a request that broke off at a target; 0 for
+	Prompt *PrefilledPrompt
+	// CrashFingerprint is the fingerprint of a request that broke off at a target; 0 for
 	// none.
-	Crashed uint64
+	CrashFingerprint uint64
 }
 
 // TargetLoad is what an instance has running at one target.
 type TargetLoad struct {
-	// Unanswered is the prompt tokens whose first token has not come.
-	Unanswered int
-	// Held is the tokens of memory that running requests take.
-	Held int
+	// PendingPromptTokens is the prompt tokens whose first token has not come.
+	PendingPromptTokens int
+	// KVCacheTokens is the tokens of memory that running requests take.
+	KVCacheTokens int
 }
 
 // TargetLimit is the rate that a target states.
@@ -130,74 +130,74 @@
 	// Rate is the requests a second that it takes from all instances together; 0 for
 	// any number.
 	Rate float64 `msgpack:"r,omitempty"`
-	// Change counts the changes of the rate.
-	Change uint64 `msgpack:"c"`
+	// Revision counts the changes of the rate.
+	Revision uint64 `msgpack:"c"`
 }
 
-// SentPrompt is a prompt that a target has prefilled.
-type SentPrompt struct {
+// PrefilledPrompt is a prompt that a target has prefilled.
+type PrefilledPrompt struct {
 	Target string
 	Born   int64
-	// Chain are the hashes of the prompt's shared pieces.
-	Chain []uint64
-	// Tokens is what the request has put into the target's cache.
-	Tokens int
-	// Scope and Pieces are set when the target saves the pieces to a store.
-	Scope  string
-	Pieces []uint64
+	// SharedPieces are the hashes of the prompt's shared pieces.
+	SharedPieces []uint64
+	// CachedTokens is what the request has put into the target's cache.
+	CachedTokens int
+	// CacheScope and Pieces are set when the target saves the pieces to a store.
+	CacheScope  string
+	SavedPieces []uint64
 }
 
 // CacheStore is a store of KV cache that answers.
 type CacheStore struct {
 	Address string `msgpack:"a"`
-	// Boot tells its starts apart.
-	Boot int64 `msgpack:"b"`
+	// BootEpoch tells its starts apart.
+	BootEpoch int64 `msgpack:"b"`
 }
 
-// ExchangeAnswer answers an Exchange.
-type ExchangeAnswer struct {
+// ExchangeResponse answers an Exchange.
+type ExchangeResponse struct {
 	// ConfigVersion is the configuration that the answerer has.
 	ConfigVersion int64 `msgpack:"v"`
-	// ContactAge is how many milliseconds ago the answerer last heard from
+	// StoreContactAgeMillis is how many milliseconds ago the answerer last heard from
 	// the store what operators wrote, by itself or from a peer; -1 for never.
-	ContactAge int64 `msgpack:"a"`
-	// OperatorsNext is where the answerer would read on in what operators write; -1
+	StoreContactAgeMillis int64 `msgpack:"a"`
+	// OperatorsOffset is where the answerer would read on in what operators write; -1
 	// before it has read it.
-	OperatorsNext int64 `msgpack:"o"`
+	OperatorsOffset int64 `msgpack:"o"`
 	// Weights are the weights versions named last, oldest first.
 	Weights []NamedWeights `msgpack:"w,omitempty"`
-	// Targets is what is new of the registrations of targets; nil when the
+	// Registrations is what is new of the registrations of targets; nil when the
 	// caller is to have it from another instance.
-	Targets *TargetNews `msgpack:"t,omitempty"`
-	Leaving bool        `msgpack:"x,omitempty"`
-	// Fleet is the number of instances that the answerer knows, itself too. A
+	Registrations *RegistrationChanges `msgpack:"t,omitempty"`
+	Leaving       bool                 `msgpack:"x,omitempty"`
+	// FleetSize is the number of instances that the answerer knows, itself too. A
 	// caller that knows few of them learns by it that there are hubs.
-	Fleet int `msgpack:"n"`
+	FleetSize int `msgpack:"n"`
 	// Updates are the state of all other instances, for a caller that follows,
 	// and Place where they end.
 	Updates []InstanceUpdate `msgpack:"u,omitempty"`
-	Place   UpdatePlace      `msgpack:"p"`
-	// Lacking is set when an update built on one that the answerer does not
+	Cursor  UpdateCursor     `msgpack:"p"`
+	// NeedsResync is set when an update built on one that the answerer does not
 	// have: all of it is to be sent again.
-	Lacking bool `msgpack:"l,omitempty"`
+	NeedsResync bool `msgpack:"l,omitempty"`
 }
 
-// TargetNews is what has changed in the registrations of targets since the
+// RegistrationChanges is what has changed in the registrations of targets since the
 // place that the asker named.
-type TargetNews struct {
-	// Next is where to read on after the events.
-	Next int64 `msgpack:"n"`
-	// Age is how many milliseconds ago the answerer read up to there.
-	Age    int64             `msgpack:"a"`
-	Events []directory.Event `msgpack:"e,omitempty"`
+type RegistrationChanges struct {
+	// NextOffset is where to read on after the events.
+	NextOffset int64 `msgpack:"n"`
+	// AgeMillis is how many milliseconds ago the answerer read up to there.
+	AgeMillis int64             `msgpack:"a"`
+	Events    []directory.Event `msgpack:"e,omitempty"`
 }
 
 // NamedWeights is a weights version of a model that operators named.
 type NamedWeights struct {
 	Model   string `msgpack:"m"`
 	Version int64  `msgpack:"v"`
-	// Age is how many milliseconds ago it was named, as far as is known.
-	Age int64 `msgpack:"a"`
+	// AgeMillis is how many milliseconds ago it was named, as far as is known.
+	AgeMillis int64 `msgpack:"a"`
 	// Observed is set when the age comes from an instance that received the version as it
 	// was named. Without it the age is an estimate.
 	Observed bool `msgpack:"h,omitempty"`
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -30,9 +30,9 @@
 type Frame struct {
 	// ID pairs an answer with its call; 0 for a one-way message.
 	ID uint64 `msgpack:"i"`
-	// Answer is set on the reply to the call with the same ID.
-	Answer bool `msgpack:"a,omitempty"`
-	Kind   Kind `msgpack:"k"`
+	// IsResponse is set on the reply to the call with the same ID.
+	IsResponse bool `msgpack:"a,omitempty"`
+	Kind       Kind `msgpack:"k"`
 	// Err is the peer's refusal, on an answer only.
 	Err  string             `msgpack:"e,omitempty"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
@@ -51,8 +51,8 @@
 	return Frame{ID: id, Kind: kind, Body: buf.Bytes()}, nil
 }
 
-// Into decodes the body.
-func (f Frame) Into(body any) error {
+// DecodeBody decodes the body.
+func (f Frame) DecodeBody(body any) error {
 	if err := msgpack.Unmarshal(f.Body, body); err != nil {
 		return errors.Mark(errors.Wrapf(err, "decode body kind=%s", f.Kind), ErrFrameMalformed)
 	}
--- a/internal/wire/lease.go
+++ b/internal/wire/lease.go
@@ -4,29 +4,29 @@
 // the other members of its domain not to take its leases over for a while.
 const KindLeasePromise Kind = "lease.promise"
 
-// LeasePromiseAsk asks for a promise about leases of the asker.
-type LeasePromiseAsk struct {
+// LeasePromiseRequest asks for a promise about leases of the asker.
+type LeasePromiseRequest struct {
 	// Holder is the asking incarnation.
 	Holder string `msgpack:"h"`
 	// Member is the incarnation that the holder expects at this address.
 	Member string `msgpack:"m"`
-	// ForMillis is how long the promise is to last from when it is given.
-	ForMillis int64       `msgpack:"d"`
-	Leases    []LeaseName `msgpack:"l"`
+	// DurationMillis is how long the promise is to last from when it is given.
+	DurationMillis int64      `msgpack:"d"`
+	Leases         []LeaseRef `msgpack:"l"`
 }
 
-// LeaseName names one lease: a resource and its fencing token.
-type LeaseName struct {
+// LeaseRef names one lease: a resource and its fencing token.
+type LeaseRef struct {
 	Resource string `msgpack:"r"`
 	Token    int64  `msgpack:"t"`
 }
 
-// LeasePromiseAnswer lists the leases for which the promise is given: until
+// LeasePromiseResponse lists the leases for which the promise is given: until
 // the time is over, the answering process appends no acquire for them.
-type LeasePromiseAnswer struct {
-	// By is the answering incarnation.
-	By string `msgpack:"b"`
+type LeasePromiseResponse struct {
+	// Promiser is the answering incarnation.
+	Promiser string `msgpack:"b"`
 	// Address is the peer address that the answering process is bound to.
-	Address string      `msgpack:"a"`
-	Leases  []LeaseName `msgpack:"l"`
+	Address string     `msgpack:"a"`
+	Leases  []LeaseRef `msgpack:"l"`
 }
--- a/internal/wire/orderlease.go
+++ b/internal/wire/orderlease.go
@@ -4,8 +4,8 @@
 // reach the store has a peer read or write its record.
 const KindOrderLease Kind = "orderlease"
 
-// LeaseRecord is the record of the lease for orders.
-type LeaseRecord struct {
+// OrderLeaseRecord is the record of the lease for orders.
+type OrderLeaseRecord struct {
 	Holder   string `msgpack:"h"`
 	Instance string `msgpack:"i,omitempty"`
 	Released bool   `msgpack:"r,omitempty"`
@@ -14,18 +14,18 @@
 	End int64 `msgpack:"e"`
 }
 
-// LeaseCall asks for a read of the record, or for a write on condition that
+// OrderLeaseRequest asks for a read of the record, or for a write on condition that
 // nothing was written since offset At.
-type LeaseCall struct {
-	Write  bool        `msgpack:"w,omitempty"`
-	At     int64       `msgpack:"a,omitempty"`
-	Record LeaseRecord `msgpack:"r"`
+type OrderLeaseRequest struct {
+	Write          bool             `msgpack:"w,omitempty"`
+	ExpectedOffset int64            `msgpack:"a,omitempty"`
+	Record         OrderLeaseRecord `msgpack:"r"`
 }
 
-// LeaseAnswer answers a LeaseCall that reached the store.
-type LeaseAnswer struct {
+// OrderLeaseResponse answers a LeaseCall that reached the store.
+type OrderLeaseResponse struct {
 	// Record is what was read.
-	Record LeaseRecord `msgpack:"r"`
+	Record OrderLeaseRecord `msgpack:"r"`
 	// Written says that the write was carried out.
 	Written bool `msgpack:"w,omitempty"`
 }
--- a/internal/wire/poison.go
+++ b/internal/wire/poison.go
@@ -7,14 +7,14 @@
 	KindPoisonNotice Kind = "poison.notice"
 	// KindPoisonAck says that a notice has been taken in.
 	KindPoisonAck Kind = "poison.ack"
-	// KindPoisonAsk asks the home instance for a permit to run a suspect.
-	KindPoisonAsk Kind = "poison.ask"
-	// KindPoisonGrant answers a PoisonAsk.
-	KindPoisonGrant Kind = "poison.grant"
-	// KindPoisonHold keeps a permit alive.
-	KindPoisonHold Kind = "poison.hold"
-	// KindPoisonDone gives a permit back.
-	KindPoisonDone Kind = "poison.done"
+	// KindPoisonPermitRequest asks the home instance for a permit to run a suspect.
+	KindPoisonPermitRequest Kind = "poison.ask"
+	// KindPoisonPermitResponse answers a PoisonAsk.
+	KindPoisonPermitResponse Kind = "poison.grant"
+	// KindPoisonPermitRenewal keeps a permit alive.
+	KindPoisonPermitRenewal Kind = "poison.hold"
+	// KindPoisonPermitRelease gives a permit back.
+	KindPoisonPermitRelease Kind = "poison.done"
 )
 
 // PoisonCrash is one lost target incarnation and the fingerprints of the
@@ -26,8 +26,8 @@
 	AgeMillis    int64    `msgpack:"a"`
 }
 
-// PoisonClear says that a fingerprint did not cause a crash.
-type PoisonClear struct {
+// PoisonExoneration says that a fingerprint did not cause a crash.
+type PoisonExoneration struct {
 	Fingerprint []byte `msgpack:"f"`
 	Target      string `msgpack:"t"`
 	Incarnation string `msgpack:"i"`
@@ -43,10 +43,10 @@
 // twice, or in any order with others, changes nothing.
 type PoisonNotice struct {
 	// ID is repeated in the PoisonAck; 0 asks for none.
-	ID          uint64             `msgpack:"n"`
-	Crashes     []PoisonCrash      `msgpack:"c,omitempty"`
-	Clears      []PoisonClear      `msgpack:"l,omitempty"`
-	Quarantines []PoisonQuarantine `msgpack:"q,omitempty"`
+	ID           uint64              `msgpack:"n"`
+	Crashes      []PoisonCrash       `msgpack:"c,omitempty"`
+	Exonerations []PoisonExoneration `msgpack:"l,omitempty"`
+	Quarantines  []PoisonQuarantine  `msgpack:"q,omitempty"`
 }
 
 // PoisonAck answers the notice with the ID.
@@ -54,31 +54,31 @@
 	ID uint64 `msgpack:"n"`
 }
 
-// PoisonAsk asks for a permit to run a suspect request on one of the targets.
-type PoisonAsk struct {
+// PoisonPermitRequest asks for a permit to run a suspect request on one of the targets.
+type PoisonPermitRequest struct {
 	Request     string   `msgpack:"r"`
 	Fingerprint []byte   `msgpack:"f"`
 	Targets     []string `msgpack:"t"`
 }
 
-// PoisonGrant answers a PoisonAsk. Quarantined refuses for good; an empty
+// PoisonPermitResponse answers a PoisonAsk. Quarantined refuses for good; an empty
 // target says that the fingerprint is no suspect any more.
-type PoisonGrant struct {
+type PoisonPermitResponse struct {
 	Request     string `msgpack:"r"`
 	Fingerprint []byte `msgpack:"f"`
 	Target      string `msgpack:"t,omitempty"`
 	Quarantined bool   `msgpack:"q,omitempty"`
 }
 
-// PoisonHold says that the sender runs a suspect on the target.
-type PoisonHold struct {
+// PoisonPermitRenewal says that the sender runs a suspect on the target.
+type PoisonPermitRenewal struct {
 	Fingerprint []byte `msgpack:"f"`
 	Target      string `msgpack:"t"`
 }
 
-// PoisonDone ends a permit. Crash is set when the target was lost: the home
+// PoisonPermitRelease ends a permit. Crash is set when the target was lost: the home
 // has to know it before it grants again.
-type PoisonDone struct {
+type PoisonPermitRelease struct {
 	Request     string       `msgpack:"r"`
 	Fingerprint []byte       `msgpack:"f"`
 	Target      string       `msgpack:"t"`
--- a/internal/wire/rate.go
+++ b/internal/wire/rate.go
@@ -1,10 +1,10 @@
 package wire
 
-// Kinds of the rate exchange. KindRateAsk is a call, KindRateReturn a one-way
+// Kinds of the rate exchange. KindRateRequest is a call, KindRateReturn a one-way
 // message.
 const (
-	KindRateAsk    Kind = "rate.ask"
-	KindRateReturn Kind = "rate.return"
+	KindRateRequest Kind = "rate.ask"
+	KindRateReturn  Kind = "rate.return"
 )
 
 // MaxRateItems bounds the accounts in one message of the rate exchange.
@@ -22,9 +22,9 @@
 	WaitedMicros int64 `msgpack:"w,omitempty"`
 }
 
-// RateAsk asks a peer for tokens. The peer debits itself before it answers,
+// RateRequest asks a peer for tokens. The peer debits itself before it answers,
 // so a lost answer loses tokens and never doubles them.
-type RateAsk struct {
+type RateRequest struct {
 	// From is the asking incarnation.
 	From  string     `msgpack:"f"`
 	Items []RateItem `msgpack:"i"`
@@ -34,19 +34,19 @@
 type RateGrant struct {
 	// From is the granting incarnation; it binds a later RateReturn to it.
 	From string `msgpack:"f"`
-	// At is the granter's own clock at the debit, in nanoseconds. The asker
+	// DebitedAtNanos is the granter's own clock at the debit, in nanoseconds. The asker
 	// repeats it in a RateReturn and reads nothing from it.
-	At    int64           `msgpack:"t"`
-	Items []RateGrantItem `msgpack:"i"`
+	DebitedAtNanos int64           `msgpack:"t"`
+	Items          []RateGrantItem `msgpack:"i"`
 }
 
 // RateGrantItem is the granted tokens of one account.
 type RateGrantItem struct {
 	Account string  `msgpack:"a"`
 	Tokens  float64 `msgpack:"n"`
-	// Left is what the granter keeps and would give to this asker; a hint for
+	// Remaining is what the granter keeps and would give to this asker; a hint for
 	// later asks.
-	Left float64 `msgpack:"l"`
+	Remaining float64 `msgpack:"l"`
 }
 
 // RateReturn tells what became of grants: tokens that come back unspent, and
@@ -61,8 +61,8 @@
 // RateReturnItem is about the tokens of one account from one grant.
 type RateReturnItem struct {
 	Account string `msgpack:"a"`
-	// At is RateGrant.At.
-	At int64 `msgpack:"t"`
+	// DebitedAtNanos is RateGrant.DebitedAtNanos.
+	DebitedAtNanos int64 `msgpack:"t"`
 	// Unspent tokens come back; they were never spent.
 	Unspent float64 `msgpack:"u,omitempty"`
 	// Spent tokens no longer lower the granter's cap.
--- a/internal/wire/update.go
+++ b/internal/wire/update.go
@@ -17,28 +17,28 @@
 
 // uncommonState is the part of a state that few instances have at a time.
 type uncommonState struct {
-	Leaving bool             `msgpack:"x,omitempty"`
-	Cut     bool             `msgpack:"y,omitempty"`
-	Orders  *LeaseRecord     `msgpack:"o,omitempty"`
-	Loading []string         `msgpack:"l,omitempty"`
-	Stores  []CacheStore     `msgpack:"k,omitempty"`
-	Silent  []string         `msgpack:"q,omitempty"`
-	Overdue map[string]int64 `msgpack:"d,omitempty"`
-	Limits  []TargetLimit    `msgpack:"m,omitempty"`
+	Leaving bool              `msgpack:"x,omitempty"`
+	Cut     bool              `msgpack:"y,omitempty"`
+	Orders  *OrderLeaseRecord `msgpack:"o,omitempty"`
+	Loading []string          `msgpack:"l,omitempty"`
+	Stores  []CacheStore      `msgpack:"k,omitempty"`
+	Silent  []string          `msgpack:"q,omitempty"`
+	Overdue map[string]int64  `msgpack:"d,omitempty"`
+	Limits  []TargetLimit     `msgpack:"m,omitempty"`
 }
 
 func (s *InstanceState) uncommon() *uncommonState {
-	if !s.Leaving && !s.Cut && s.Orders == nil && len(s.Loading)+len(s.Stores)+len(s.Silent)+len(s.Overdue)+len(s.Limits) == 0 {
+	if !s.Leaving && !s.StoreUnreachable && s.OrderLease == nil && len(s.LoadingTargets)+len(s.CacheStores)+len(s.SilentTargets)+len(s.OverdueInstances)+len(s.TargetLimits) == 0 {
 		return nil
 	}
-	return &uncommonState{s.Leaving, s.Cut, s.Orders, s.Loading, s.Stores, s.Silent, s.Overdue, s.Limits}
+	return &uncommonState{s.Leaving, s.StoreUnreachable, s.OrderLease, s.LoadingTargets, s.CacheStores, s.SilentTargets, s.OverdueInstances, s.TargetLimits}
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (u *InstanceUpdate) EncodeMsgpack(e *msgpack.Encoder) error {
 	return errors.Wrap(firstError(
 		e.EncodeArrayLen(updateFields),
-		e.EncodeUint(u.Origin), e.EncodeUint(u.Seq), e.EncodeInt(u.Age),
+		e.EncodeUint(u.Origin), e.EncodeUint(u.Seq), e.EncodeInt(u.AgeMillis),
 		e.Encode(u.Identity),
 		e.EncodeInt(int64(u.State.Capacity)), e.EncodeInt(u.State.ConfigVersion),
 		encodeLoads(e, u.State.Loads),
@@ -61,7 +61,7 @@
 func encodeLoads(e *msgpack.Encoder, loads map[string]TargetLoad) error {
 	err := e.EncodeArrayLen(loadFields * len(loads))
 	for target, l := range loads {
-		err = firstError(err, e.EncodeString(target), e.EncodeInt(int64(l.Unanswered)), e.EncodeInt(int64(l.Held)))
+		err = firstError(err, e.EncodeString(target), e.EncodeInt(int64(l.PendingPromptTokens)), e.EncodeInt(int64(l.KVCacheTokens)))
 	}
 	return err
 }
@@ -79,13 +79,13 @@
 	err := firstError(e.EncodeArrayLen(1+len(events)), e.EncodeUint(number))
 	for _, event := range events {
 		if event.Prompt == nil {
-			err = firstError(err, e.EncodeUint(event.Crashed))
+			err = firstError(err, e.EncodeUint(event.CrashFingerprint))
 			continue
 		}
 		p := event.Prompt
 		err = firstError(err, e.EncodeArrayLen(promptFields),
-			e.EncodeString(p.Target), e.EncodeInt(p.Born), encodeNumbers(e, p.Chain), e.EncodeInt(int64(p.Tokens)),
-			e.EncodeString(p.Scope), encodeNumbers(e, p.Pieces))
+			e.EncodeString(p.Target), e.EncodeInt(p.Born), encodeNumbers(e, p.SharedPieces), e.EncodeInt(int64(p.CachedTokens)),
+			e.EncodeString(p.CacheScope), encodeNumbers(e, p.SavedPieces))
 	}
 	return err
 }
@@ -133,14 +133,14 @@
 	if n := r.length(d.DecodeArrayLen); r.err == nil && n != updateFields {
 		return errors.Wrapf(ErrFrameMalformed, "update with %d fields", n)
 	}
-	u.Origin, u.Seq, u.Age = read(r, d.DecodeUint64), read(r, d.DecodeUint64), read(r, d.DecodeInt64)
+	u.Origin, u.Seq, u.AgeMillis = read(r, d.DecodeUint64), read(r, d.DecodeUint64), read(r, d.DecodeInt64)
 	u.Identity = decodePointer[Identity](r)
 	u.State.Capacity, u.State.ConfigVersion = read(r, d.DecodeInt), read(r, d.DecodeInt64)
 	u.State.Loads = r.loads()
 	if s := decodePointer[uncommonState](r); s != nil {
-		u.State.Leaving, u.State.Cut, u.State.Orders = s.Leaving, s.Cut, s.Orders
-		u.State.Loading, u.State.Stores, u.State.Silent, u.State.Overdue = s.Loading, s.Stores, s.Silent, s.Overdue
-		u.State.Limits = s.Limits
+		u.State.Leaving, u.State.StoreUnreachable, u.State.OrderLease = s.Leaving, s.Cut, s.Orders
+		u.State.LoadingTargets, u.State.CacheStores, u.State.SilentTargets, u.State.OverdueInstances = s.Loading, s.Stores, s.Silent, s.Overdue
+		u.State.TargetLimits = s.Limits
 	}
 	u.Spent = r.spent()
 	u.FirstEvent, u.Events = r.events()
@@ -175,7 +175,7 @@
 	out := make(map[string]TargetLoad, min(n, maxReserved))
 	for range n {
 		target := read(r, r.d.DecodeString)
-		l := TargetLoad{Unanswered: read(r, r.d.DecodeInt), Held: read(r, r.d.DecodeInt)}
+		l := TargetLoad{PendingPromptTokens: read(r, r.d.DecodeInt), KVCacheTokens: read(r, r.d.DecodeInt)}
 		if r.err != nil {
 			return nil
 		}
@@ -214,14 +214,14 @@
 	code := read(r, r.d.PeekCode)
 	const firstArray, lastArray = 0x90, 0x9f
 	if code < firstArray || code > lastArray {
-		return InstanceEvent{Crashed: read(r, r.d.DecodeUint64)}
+		return InstanceEvent{CrashFingerprint: read(r, r.d.DecodeUint64)}
 	}
 	if n := r.length(r.d.DecodeArrayLen); r.err == nil && n != promptFields {
 		r.err = errors.Wrapf(ErrFrameMalformed, "prompt with %d fields", n)
 	}
-	return InstanceEvent{Prompt: &SentPrompt{
-		Target: read(r, r.d.DecodeString), Born: read(r, r.d.DecodeInt64), Chain: r.numbers(), Tokens: read(r, r.d.DecodeInt),
-		Scope: read(r, r.d.DecodeString), Pieces: r.numbers(),
+	return InstanceEvent{Prompt: &PrefilledPrompt{
+		Target: read(r, r.d.DecodeString), Born: read(r, r.d.DecodeInt64), SharedPieces: r.numbers(), CachedTokens: read(r, r.d.DecodeInt),
+		CacheScope: read(r, r.d.DecodeString), SavedPieces: r.numbers(),
 	}}
 }
 
--- a/internal/wire/update_test.go
+++ b/internal/wire/update_test.go
@@ -29,23 +29,23 @@
 func TestUpdateKeepsAllFields(t *testing.T) {
 	is := is.New(t)
 	full := InstanceUpdate{
-		Origin: 1 << 60, Seq: 300, Age: 12, Identity: &Identity{Instance: "a", Incarnation: "b", Address: "c", Domain: "d"},
+		Origin: 1 << 60, Seq: 300, AgeMillis: 12, Identity: &Identity{Instance: "a", Incarnation: "b", Address: "c", Domain: "d"},
 		State: InstanceState{
-			Capacity: 3, Leaving: true, Cut: true, Orders: &LeaseRecord{Holder: "h", Token: 4, End: 9}, ConfigVersion: 7,
-			Loads: map[string]TargetLoad{"t": {Unanswered: 1000, Held: 2000}}, Loading: []string{"x"},
-			Stores: []CacheStore{{Address: "s", Boot: 2}}, Silent: []string{"y"}, Overdue: map[string]int64{"z": 5},
-			Limits: []TargetLimit{{Target: "t", Born: 3, Rate: 1.5, Change: 2}},
+			Capacity: 3, Leaving: true, StoreUnreachable: true, OrderLease: &OrderLeaseRecord{Holder: "h", Token: 4, End: 9}, ConfigVersion: 7,
+			Loads: map[string]TargetLoad{"t": {PendingPromptTokens: 1000, KVCacheTokens: 2000}}, LoadingTargets: []string{"x"},
+			CacheStores: []CacheStore{{Address: "s", BootEpoch: 2}}, SilentTargets: []string{"y"}, OverdueInstances: map[string]int64{"z": 5},
+			TargetLimits: []TargetLimit{{Target: "t", Born: 3, Rate: 1.5, Revision: 2}},
 		},
 		Spent: map[string]float64{"acc": 1.5}, FirstEvent: 40,
 		Events: []InstanceEvent{
-			{Prompt: &SentPrompt{Target: "t", Born: -1, Chain: []uint64{1, 1 << 63}, Tokens: 9, Scope: "2/", Pieces: []uint64{7}}},
-			{Crashed: 1 << 62},
+			{Prompt: &PrefilledPrompt{Target: "t", Born: -1, SharedPieces: []uint64{1, 1 << 63}, CachedTokens: 9, CacheScope: "2/", SavedPieces: []uint64{7}}},
+			{CrashFingerprint: 1 << 62},
 		},
 	}
 	f, err := NewFrame(1, KindExchange, Exchange{Updates: []InstanceUpdate{full, {Origin: 2, Seq: 1}}})
 	is.NoErr(err)
 	var out Exchange
-	is.NoErr(sent(t, f).Into(&out))
+	is.NoErr(sent(t, f).DecodeBody(&out))
 	is.Equal(out.Updates, []InstanceUpdate{full, {Origin: 2, Seq: 1}})
 }
 
@@ -59,7 +59,7 @@
 	f.Add([]byte{0x81, 0xa1, 'u', 0x91, 0x9a, 1, 1, 1, 0xc0, 1, 1, 0xdf, 0x7f, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var out Exchange
-		if err := (Frame{Kind: KindExchange, Body: raw}).Into(&out); err != nil && !errors.Is(err, ErrFrameMalformed) {
+		if err := (Frame{Kind: KindExchange, Body: raw}).DecodeBody(&out); err != nil && !errors.Is(err, ErrFrameMalformed) {
 			t.Fatal(err)
 		}
 	})
@@ -73,11 +73,11 @@
 	numbers := rapid.SliceOfN(rapid.Uint64(), 0, 40)
 	rapid.Check(t, func(rt *rapid.T) {
 		u := InstanceUpdate{
-			Origin: rapid.Uint64().Draw(rt, "origin"), Seq: rapid.Uint64().Draw(rt, "seq"), Age: rapid.Int64().Draw(rt, "age"),
+			Origin: rapid.Uint64().Draw(rt, "origin"), Seq: rapid.Uint64().Draw(rt, "seq"), AgeMillis: rapid.Int64().Draw(rt, "age"),
 			State: InstanceState{
-				Capacity: rapid.Int().Draw(rt, "capacity"), Leaving: rapid.Bool().Draw(rt, "leaving"), Cut: rapid.Bool().Draw(rt, "cut"),
-				ConfigVersion: rapid.Int64().Draw(rt, "config"), Loading: words.Draw(rt, "loading"), Silent: words.Draw(rt, "silent"),
-				Overdue: rapid.MapOfN(word, rapid.Int64(), 0, 40).Draw(rt, "overdue"),
+				Capacity: rapid.Int().Draw(rt, "capacity"), Leaving: rapid.Bool().Draw(rt, "leaving"), StoreUnreachable: rapid.Bool().Draw(rt, "cut"),
+				ConfigVersion: rapid.Int64().Draw(rt, "config"), LoadingTargets: words.Draw(rt, "loading"), SilentTargets: words.Draw(rt, "silent"),
+				OverdueInstances: rapid.MapOfN(word, rapid.Int64(), 0, 40).Draw(rt, "overdue"),
 			},
 			Spent: rapid.MapOfN(word, rapid.Float64(), 0, 40).Draw(rt, "spent"), FirstEvent: rapid.Uint64().Draw(rt, "first"),
 		}
@@ -85,25 +85,25 @@
 			if u.State.Loads == nil {
 				u.State.Loads = map[string]TargetLoad{}
 			}
-			u.State.Loads[target] = TargetLoad{Unanswered: rapid.Int().Draw(rt, "unanswered"), Held: rapid.Int().Draw(rt, "held")}
+			u.State.Loads[target] = TargetLoad{PendingPromptTokens: rapid.Int().Draw(rt, "unanswered"), KVCacheTokens: rapid.Int().Draw(rt, "held")}
 		}
 		for _, target := range words.Draw(rt, "limits") {
-			u.State.Limits = append(u.State.Limits, TargetLimit{
-				Target: target, Born: rapid.Int64().Draw(rt, "limit born"), Rate: rapid.Float64Range(0, 1e6).Draw(rt, "rate"), Change: rapid.Uint64().Draw(rt, "change"),
+			u.State.TargetLimits = append(u.State.TargetLimits, TargetLimit{
+				Target: target, Born: rapid.Int64().Draw(rt, "limit born"), Rate: rapid.Float64Range(0, 1e6).Draw(rt, "rate"), Revision: rapid.Uint64().Draw(rt, "change"),
 			})
 		}
 		if rapid.Bool().Draw(rt, "named") {
 			u.Identity = &Identity{Instance: word.Draw(rt, "instance")}
 		}
 		if rapid.Bool().Draw(rt, "orders") {
-			u.State.Orders = &LeaseRecord{Holder: word.Draw(rt, "holder"), Token: rapid.Int64().Draw(rt, "token"), Released: rapid.Bool().Draw(rt, "released")}
+			u.State.OrderLease = &OrderLeaseRecord{Holder: word.Draw(rt, "holder"), Token: rapid.Int64().Draw(rt, "token"), Released: rapid.Bool().Draw(rt, "released")}
 		}
 		for range rapid.IntRange(0, 40).Draw(rt, "events") {
-			e := InstanceEvent{Crashed: rapid.Uint64().Draw(rt, "crashed")}
+			e := InstanceEvent{CrashFingerprint: rapid.Uint64().Draw(rt, "crashed")}
 			if rapid.Bool().Draw(rt, "prompt") {
-				e = InstanceEvent{Prompt: &SentPrompt{
-					Target: word.Draw(rt, "target"), Born: rapid.Int64().Draw(rt, "born"), Chain: numbers.Draw(rt, "chain"),
-					Tokens: rapid.Int().Draw(rt, "tokens"), Scope: word.Draw(rt, "scope"), Pieces: numbers.Draw(rt, "pieces"),
+				e = InstanceEvent{Prompt: &PrefilledPrompt{
+					Target: word.Draw(rt, "target"), Born: rapid.Int64().Draw(rt, "born"), SharedPieces: numbers.Draw(rt, "chain"),
+					CachedTokens: rapid.Int().Draw(rt, "tokens"), CacheScope: word.Draw(rt, "scope"), SavedPieces: numbers.Draw(rt, "pieces"),
 				}}
 			}
 			u.Events = append(u.Events, e)
@@ -113,7 +113,7 @@
 			rt.Fatal(err)
 		}
 		var out Exchange
-		if err := sent(t, f).Into(&out); err != nil {
+		if err := sent(t, f).DecodeBody(&out); err != nil {
 			rt.Fatal(err)
 		}
 		for _, read := range out.Updates {
@@ -130,18 +130,18 @@
 		if len(u.Spent) == 0 {
 			u.Spent = nil
 		}
-		if len(u.State.Overdue) == 0 {
-			u.State.Overdue = nil
+		if len(u.State.OverdueInstances) == 0 {
+			u.State.OverdueInstances = nil
 		}
 		for i, e := range u.Events {
 			if e.Prompt != nil {
 				p := *e.Prompt
-				p.Chain, p.Pieces = append([]uint64(nil), p.Chain...), append([]uint64(nil), p.Pieces...)
+				p.SharedPieces, p.SavedPieces = append([]uint64(nil), p.SharedPieces...), append([]uint64(nil), p.SavedPieces...)
 				u.Events[i].Prompt = &p
 			}
 		}
-		u.State.Loading, u.State.Silent = append([]string(nil), u.State.Loading...), append([]string(nil), u.State.Silent...)
-		u.State.Limits = append([]TargetLimit(nil), u.State.Limits...)
+		u.State.LoadingTargets, u.State.SilentTargets = append([]string(nil), u.State.LoadingTargets...), append([]string(nil), u.State.SilentTargets...)
+		u.State.TargetLimits = append([]TargetLimit(nil), u.State.TargetLimits...)
 		raw, err := json.Marshal(u)
 		if err != nil {
 			return err.Error()
