--- a/internal/configsync/delta.go
+++ b/internal/configsync/delta.go
@@ -14,10 +14,10 @@
 
 // Errors of Apply.
 var (
-	// ErrOtherBase: the encoding builds on another configuration.
-	ErrOtherBase = errors.New("configsync: builds on another configuration")
-	// ErrDigest: the result is not what the sender has.
-	ErrDigest = errors.New("configsync: digest does not match")
+	// ErrBaseMismatch: the encoding builds on another configuration.
+	ErrBaseMismatch = errors.New("configsync: builds on another configuration")
+	// ErrDigestMismatch: the result is not what the sender has.
+	ErrDigestMismatch = errors.New("configsync: digest does not match")
 	// ErrTooLarge: the encoding expands to more than maxDeltaBytes.
 	ErrTooLarge = errors.New("configsync: too large")
 )
@@ -99,7 +99,7 @@
 		base = have
 	}
 	if base == nil || d.Base != base.Ref {
-		return nil, errors.Wrapf(ErrOtherBase, "version=%d", d.Base.Version)
+		return nil, errors.Wrapf(ErrBaseMismatch, "version=%d", d.Base.Version)
 	}
 	s := &Snapshot{Config: &routing.Config{Version: d.Target.Version, Limits: d.Limits}}
 	if s.Config.Routes, s.routes, err = patch(base.Config.Routes, base.routes, d.Routes); err != nil {
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	if s.Ref != d.Target {
-		return nil, errors.Wrapf(ErrDigest, "version=%d", d.Target.Version)
+		return nil, errors.Wrapf(ErrDigestMismatch, "version=%d", d.Target.Version)
 	}
 	return s, nil
 }
@@ -136,7 +136,7 @@
 func patch[T any](base []T, known []uint64, edits []edit[T]) (items []T, sums []uint64, err error) {
 	for _, e := range edits {
 		if e.From < 0 || e.Count < 0 || e.From > len(base)-e.Count {
-			return nil, nil, errors.Wrapf(ErrOtherBase, "items %d to %d of %d", e.From, e.From+e.Count, len(base))
+			return nil, nil, errors.Wrapf(ErrBaseMismatch, "items %d to %d of %d", e.From, e.From+e.Count, len(base))
 		}
 		items = append(append(items, base[e.From:e.From+e.Count]...), e.Items...)
 		added, err := digests(e.Items)
--- a/internal/configsync/delta_test.go
+++ b/internal/configsync/delta_test.go
@@ -107,16 +107,16 @@
 	raw, err := encode(base, next)
 	is.NoErr(err)
 	_, err = Apply(nil, raw)
-	is.True(errors.Is(err, ErrOtherBase))
+	is.True(errors.Is(err, ErrBaseMismatch))
 	_, err = Apply(snapshotOf(t, testConfig(1, 9)), raw)
-	is.True(errors.Is(err, ErrOtherBase))
+	is.True(errors.Is(err, ErrBaseMismatch))
 	_, err = Apply(base, raw[:len(raw)-3])
 	is.True(err != nil)
 	other := *base
 	other.routes = slices.Clone(base.routes)
 	other.routes[3]++ // its items are not what its reference says
 	_, err = Apply(&other, raw)
-	is.True(errors.Is(err, ErrDigest))
+	is.True(errors.Is(err, ErrDigestMismatch))
 }
 
 // Guards against changes of one route that cost as much as the whole.
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -178,10 +178,10 @@
 	var sources []Source
 	for _, y := range f.nodes {
 		if v := x.versions[y]; v > x.have.Version {
-			sources = append(sources, Source{Name: y.name, Version: v, Near: y.domain == x.domain})
+			sources = append(sources, Source{Name: y.name, Version: v, SameDomain: y.domain == x.domain})
 		}
 	}
-	name, call, wait := x.receiver.Next(f.now, x.have, sources)
+	name, call, wait := x.receiver.NextRequest(f.now, x.have, sources)
 	if name == "" {
 		if wait > 0 {
 			f.after(wait, func() { f.fetch(x) })
@@ -216,7 +216,7 @@
 				return // after its time
 			}
 			answered, x.fetching = true, false
-			if _, done := x.receiver.Received(f.now, part); done {
+			if _, done := x.receiver.HandlePart(f.now, part); done {
 				f.put(x, f.known[part.Target.Version])
 			}
 			f.fetch(x)
@@ -225,14 +225,14 @@
 	f.after(simTimeout, func() {
 		if !answered {
 			answered, x.fetching = true, false
-			x.receiver.Failed(f.now)
+			x.receiver.HandleFailure(f.now)
 			f.fetch(x)
 		}
 	})
 }
 
 func (f *simFleet) put(x *simNode, s *Snapshot) {
-	x.sender.Put(s)
+	x.sender.AddSnapshot(s)
 	x.have, x.reached = s.Ref, f.now
 }
 
--- a/internal/configsync/receiver.go
+++ b/internal/configsync/receiver.go
@@ -30,8 +30,8 @@
 type Source struct {
 	Name    string
 	Version int64
-	// Near says that it is in the receiver's failure domain.
-	Near bool
+	// SameDomain says that it is in the receiver's failure domain.
+	SameDomain bool
 }
 
 // Receiver fetches the newest configuration that others have, one part at a time. It
@@ -61,9 +61,9 @@
 	return &Receiver{name: name, limit: limit, rate: link * share, avoided: map[string]time.Duration{}, progressAt: never}
 }
 
-// Next chooses the next call, if one is to be made now; else it says when to look
+// NextRequest chooses the next call, if one is to be made now; else it says when to look
 // again, 0 for when there is a new source.
-func (r *Receiver) Next(now time.Duration, have wire.ConfigRef, sources []Source) (source string, c wire.ConfigPartRequest, wait time.Duration) {
+func (r *Receiver) NextRequest(now time.Duration, have wire.ConfigRef, sources []Source) (source string, c wire.ConfigPartRequest, wait time.Duration) {
 	if r.transfer.Target.Version <= have.Version || r.transfer.Base != (wire.ConfigRef{}) && r.transfer.Base != have {
 		r.reset()
 	}
@@ -114,7 +114,7 @@
 }
 
 func distance(s Source) int {
-	if s.Near {
+	if s.SameDomain {
 		return 0
 	}
 	return 1
@@ -123,8 +123,8 @@
 // order is this receiver's own order of the sources.
 func (r *Receiver) order(s Source) uint64 { return xxhash.Sum64String(r.name + "/" + s.Name) }
 
-// Received takes in an answer. Once the last part is there it gives the encoding.
-func (r *Receiver) Received(now time.Duration, p wire.ConfigPart) (raw []byte, done bool) {
+// HandlePart takes in an answer. Once the last part is there it gives the encoding.
+func (r *Receiver) HandlePart(now time.Duration, p wire.ConfigPart) (raw []byte, done bool) {
 	from := r.asked
 	r.asked = ""
 	switch {
@@ -157,15 +157,15 @@
 	return raw, true
 }
 
-// Rejected takes in that the encoding whose last part came from a source could not be
+// RejectEncoding takes in that the encoding whose last part came from a source could not be
 // applied. The next one is asked for whole, and of another one.
-func (r *Receiver) Rejected(now time.Duration, source string) {
+func (r *Receiver) RejectEncoding(now time.Duration, source string) {
 	r.whole = true
 	r.avoid(now, source)
 }
 
-// Failed takes in a call without an answer. What has arrived is kept.
-func (r *Receiver) Failed(now time.Duration) {
+// HandleFailure takes in a call without an answer. What has arrived is kept.
+func (r *Receiver) HandleFailure(now time.Duration) {
 	r.avoid(now, r.asked)
 	r.asked = ""
 }
--- a/internal/configsync/receiver_test.go
+++ b/internal/configsync/receiver_test.go
@@ -46,7 +46,7 @@
 func (x *transferTest) call() (string, wire.ConfigPartRequest) {
 	x.t.Helper()
 	for range 1000 {
-		source, c, wait := x.r.Next(x.now, x.ref(), x.sources)
+		source, c, wait := x.r.NextRequest(x.now, x.ref(), x.sources)
 		if source != "" {
 			return source, c
 		}
@@ -62,7 +62,7 @@
 	x.now += 2 * ms
 	part, err := x.senders[source].Part(x.now, c)
 	x.NoErr(err)
-	return x.r.Received(x.now, part)
+	return x.r.HandlePart(x.now, part)
 }
 
 // finish makes calls until the configuration is there.
@@ -83,8 +83,8 @@
 func TestTransferStaysWithItsSource(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
-	x.senders["a"].Put(next)
-	x.senders["b"].Put(next)
+	x.senders["a"].AddSnapshot(next)
+	x.senders["b"].AddSnapshot(next)
 	first, c := x.call()
 	x.answer(first, c)
 	for range 3 {
@@ -99,13 +99,13 @@
 func TestTransferGoesOnWithAnotherSource(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
-	x.senders["a"].Put(next)
-	x.senders["b"].Put(next)
+	x.senders["a"].AddSnapshot(next)
+	x.senders["b"].AddSnapshot(next)
 	first, c := x.call()
 	x.answer(first, c)
 	lost, _ := x.call()
 	x.Equal(lost, first)
-	x.r.Failed(x.now)
+	x.r.HandleFailure(x.now)
 	other, c := x.call()
 	x.True(other != first)
 	x.Equal(c.Offset, x.r.limit)
@@ -119,11 +119,11 @@
 func TestTransferEndsBeforeTheNextBegins(t *testing.T) {
 	second := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2})
-	x.senders["a"].Put(second)
+	x.senders["a"].AddSnapshot(second)
 	source, c := x.call()
 	x.answer(source, c)
 	third := snapshotOf(t, testConfig(3, 5001))
-	x.senders["a"].Put(third)
+	x.senders["a"].AddSnapshot(third)
 	x.sources[0].Version = 3
 	x.have = x.finish()
 	x.Equal(x.have.Ref, second.Ref)
@@ -134,10 +134,10 @@
 
 func TestBusySourceIsLeftForAnother(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
-	x := newTransferTest(t, nil, Source{Name: "a", Version: 2, Near: true}, Source{Name: "b", Version: 2})
+	x := newTransferTest(t, nil, Source{Name: "a", Version: 2, SameDomain: true}, Source{Name: "b", Version: 2})
 	x.senders["a"] = NewSender(1000)
-	x.senders["a"].Put(next)
-	x.senders["b"].Put(next)
+	x.senders["a"].AddSnapshot(next)
+	x.senders["b"].AddSnapshot(next)
 	_, err := x.senders["a"].Part(x.now, wire.ConfigPartRequest{Limit: maxPart}) // uses the link for a minute
 	x.NoErr(err)
 	source, c := x.call()
@@ -153,19 +153,19 @@
 	base, next := snapshotOf(t, testConfig(1, 20)), snapshotOf(t, testConfig(2, 21))
 	x := newTransferTest(t, base, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
 	for _, s := range x.senders {
-		s.Put(base)
-		s.Put(next)
+		s.AddSnapshot(base)
+		s.AddSnapshot(next)
 	}
 	first, c := x.call()
 	_, done := x.answer(first, c)
 	x.True(done)
-	x.r.Rejected(x.now, first)
+	x.r.RejectEncoding(x.now, first)
 	source, c := x.call()
 	x.True(source != first)
 	part, err := x.senders[source].Part(x.now, c)
 	x.NoErr(err)
 	x.Equal(part.Base, wire.ConfigRef{})
-	raw, done := x.r.Received(x.now, part)
+	raw, done := x.r.HandlePart(x.now, part)
 	x.True(done)
 	got, err := Apply(base, raw)
 	x.NoErr(err)
@@ -174,7 +174,7 @@
 
 func TestNothingIsFetchedWithoutANewerVersion(t *testing.T) {
 	x := newTransferTest(t, snapshotOf(t, testConfig(2, 5)), Source{Name: "a", Version: 2}, Source{Name: "b", Version: 1})
-	source, _, wait := x.r.Next(x.now, x.ref(), x.sources)
+	source, _, wait := x.r.NextRequest(x.now, x.ref(), x.sources)
 	x.Equal(source, "")
 	x.Equal(wait, time.Duration(0))
 }
@@ -183,7 +183,7 @@
 func TestSenderKeepsBelowItsShare(t *testing.T) {
 	is := is.New(t)
 	s := NewSender(100_000)
-	s.Put(snapshotOf(t, testConfig(2, 20000)))
+	s.AddSnapshot(snapshotOf(t, testConfig(2, 20000)))
 	sent := 0
 	for now := time.Duration(0); now < 10*time.Second; now += ms {
 		p, err := s.Part(now, wire.ConfigPartRequest{Limit: 5000})
--- a/internal/configsync/sender.go
+++ b/internal/configsync/sender.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// KeptSnapshots is the versions that a receiver's version may be compared with,
+	// MaxSnapshots is the versions that a receiver's version may be compared with,
 	// and that a transfer under way may go on with: more than come within the time
 	// of one transfer.
-	KeptSnapshots = 4
+	MaxSnapshots = 4
 	// keptEncodings is the encodings that are kept for the next parts of them.
 	keptEncodings = 4
 	// burstTime is how long a sender's link may be used whole after a pause.
@@ -41,10 +41,10 @@
 // NewSender makes a sender that takes at most so many bytes a second of its link.
 func NewSender(bytesPerSecond float64) *Sender { return &Sender{rate: bytesPerSecond} }
 
-// Put takes in a newer configuration.
-func (s *Sender) Put(next *Snapshot) {
+// AddSnapshot takes in a newer configuration.
+func (s *Sender) AddSnapshot(next *Snapshot) {
 	s.snapshots = append(s.snapshots, next)
-	if len(s.snapshots) > KeptSnapshots {
+	if len(s.snapshots) > MaxSnapshots {
 		s.snapshots = s.snapshots[1:]
 	}
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -158,9 +158,9 @@
 	list, err := m.list.Instances(ctx)
 	m.mu.Lock()
 	if err != nil {
-		m.view.ListFailed(m.clock.now())
+		m.view.HandleListError(m.clock.now())
 	} else {
-		m.view.List(m.clock.now(), asked, list, listBytes(list))
+		m.view.HandleList(m.clock.now(), asked, list, listBytes(list))
 	}
 	m.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -193,7 +193,7 @@
 func (m *members) observed(target, incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Observed(m.clock.now(), target, incarnation)
+	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
 // leave tells the peers that this instance drains.
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -89,9 +89,9 @@
 			store.reading = true
 			out = append(out, address)
 		case !reads:
-			store.index.Unfollow()
+			store.index.StopFollowing()
 			if now-store.answeredAt > goneAfter {
-				store.index.Down()
+				store.index.MarkUnreachable()
 			}
 		}
 	}
@@ -130,16 +130,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	store.reading = false
-	_, was := store.index.Answers()
+	_, was := store.index.Reachable()
 	if err != nil {
-		store.index.Down()
+		store.index.MarkUnreachable()
 		if was {
 			logline.Error(err, "cache_store_lost", "address", address)
 		}
 		return
 	}
 	if !was {
-		logline.Info("cache_store_found", "address", address, "boot", news.Boot)
+		logline.Info("cache_store_found", "address", address, "boot", news.BootEpoch)
 	}
 	store.answeredAt = s.g.clock.Now()
 	store.index.Apply(store.answeredAt, news)
@@ -180,10 +180,10 @@
 		return cachePlan{}
 	}
 	index := s.stores[address].index
-	if _, ok := index.Answers(); !ok {
+	if _, ok := index.Reachable(); !ok {
 		return cachePlan{}
 	}
-	n := index.Holds(now, scope, pieces)
+	n := index.LeadingStored(now, scope, pieces)
 	return cachePlan{address: address, holds: n, save: worthSaving(n, len(pieces), tokens)}
 }
 
@@ -217,7 +217,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if address := s.of(pieces); address != "" {
-		s.stores[address].index.Saved(now, scope, pieces)
+		s.stores[address].index.RecordSave(now, scope, pieces)
 	}
 }
 
@@ -227,7 +227,7 @@
 	defer s.mu.Unlock()
 	var out []wire.CacheStore
 	for address, store := range s.stores {
-		if boot, ok := store.index.Answers(); ok && store.reading {
+		if boot, ok := store.index.Reachable(); ok && store.reading {
 			out = append(out, wire.CacheStore{Address: address, BootEpoch: boot})
 		}
 	}
@@ -243,7 +243,7 @@
 	for _, t := range stores {
 		if store := s.stores[t.Address]; store != nil && !store.reading {
 			store.answeredAt = now
-			store.index.Alive(t.BootEpoch)
+			store.index.MarkReachable(t.BootEpoch)
 		}
 	}
 }
--- a/internal/gateway/configtransfer.go
+++ b/internal/gateway/configtransfer.go
@@ -99,7 +99,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.newest, t.unsent = s, append(t.unsent, s)
-	if len(t.unsent) > configsync.KeptSnapshots {
+	if len(t.unsent) > configsync.MaxSnapshots {
 		t.unsent = t.unsent[1:]
 	}
 	n := 0
@@ -170,7 +170,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.g.clock.Now()
-	name, call, wait := t.receiver.Next(now, t.have(), sources)
+	name, call, wait := t.receiver.NextRequest(now, t.have(), sources)
 	if name == "" {
 		if wait <= 0 || wait > sourceEvery {
 			wait = sourceEvery
@@ -201,14 +201,14 @@
 	t.mu.Lock()
 	now := t.g.clock.Now()
 	if err != nil {
-		t.receiver.Failed(now)
+		t.receiver.HandleFailure(now)
 		t.mu.Unlock()
 		t.g.metrics.configPartFailed()
 		logline.Error(err, "config_part_failed", "peer", source.Instance, "have", call.Base.Version, "target", call.Target, "offset", call.Offset)
 		return
 	}
 	t.received += len(part.Data)
-	raw, done := t.receiver.Received(now, part)
+	raw, done := t.receiver.HandlePart(now, part)
 	base, took, bytes := t.newest, now-t.began, t.received
 	t.mu.Unlock()
 	if !done || base != nil && base.Ref.Version >= part.Target.Version {
@@ -218,7 +218,7 @@
 	if err != nil {
 		logline.Error(err, "config_unusable", "peer", source.Instance, "version", part.Target.Version, "base", part.Base.Version)
 		t.mu.Lock()
-		t.receiver.Rejected(now, source.Instance)
+		t.receiver.RejectEncoding(now, source.Instance)
 		t.mu.Unlock()
 		return
 	}
@@ -243,7 +243,7 @@
 	t.unsent = nil
 	t.mu.Unlock()
 	for _, s := range unsent {
-		t.sender.Put(s)
+		t.sender.AddSnapshot(s)
 	}
 	return t.sender.Part(t.g.clock.Now(), call)
 }
@@ -261,7 +261,7 @@
 			continue
 		}
 		identities[name] = wire.Identity{Instance: name, Address: s.Address}
-		source := configsync.Source{Name: name, Version: s.config, Near: s.Domain == p.g.self.Domain}
+		source := configsync.Source{Name: name, Version: s.config, SameDomain: s.Domain == p.g.self.Domain}
 		if p.fresh(now, s) {
 			fresh = append(fresh, source)
 		} else {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -42,12 +42,12 @@
 		fleet = max(fleet, s.fleet)
 		fresh := p.fresh(now, s)
 		view = append(view, hubs.Peer{
-			Instance: s.instance(), Updated: fresh, Calling: s.calling, Late: s.calling && now-s.calledAt > lateAfter,
-			Alive: !s.state.Leaving && now-s.failedAt > retryFailed && (fresh || s.updatedAt == never),
+			Instance: s.instance(), Fresh: fresh, CallInFlight: s.calling, CallLate: s.calling && now-s.calledAt > lateAfter,
+			Reachable: !s.state.Leaving && now-s.failedAt > retryFailed && (fresh || s.updatedAt == never),
 		})
 	}
 	was := p.plan
-	p.plan = hubs.Choose(p.instance(), view, fleet, p.turn)
+	p.plan = hubs.PlanCalls(p.instance(), view, fleet, p.turn)
 	p.turn++
 	if was.Hub != p.plan.Hub || was.Mesh != p.plan.Mesh {
 		logline.Info("hub_role", "hub", p.plan.Hub, "mesh", p.plan.Mesh, "known", len(p.known), "reporting", p.reportingLocked(now))
@@ -60,10 +60,10 @@
 	defer cancel()
 	p.mu.Lock()
 	asked := p.g.clock.Now()
-	m.BaseVersion, m.ExpectedReceiver = s.sent, replica.OriginOf(s.Incarnation)
-	m.Updates = p.table.Since(asked, m.BaseVersion, replica.Followers, m.ExpectedReceiver)
+	m.BaseVersion, m.ExpectedReceiver = s.sent, replica.OriginID(s.Incarnation)
+	m.Updates = p.table.UpdatesSince(asked, m.BaseVersion, replica.ScopeFollowers, m.ExpectedReceiver)
 	m.Follow, m.ReceivedCursor = follow, s.received
-	sent, address := p.table.Place().Version, s.Address
+	sent, address := p.table.Cursor().Version, s.Address
 	p.mu.Unlock()
 	var answer wire.ExchangeResponse
 	from, err := p.call(ctx, address, wire.KindExchange, m, &answer)
@@ -129,7 +129,7 @@
 	now := p.g.clock.Now()
 	// Updates that build on what an earlier process here has got are not for this
 	// one, also where it knows their origins from others.
-	lacking := m.BaseVersion > 0 && m.ExpectedReceiver != replica.OriginOf(p.g.self.Incarnation)
+	lacking := m.BaseVersion > 0 && m.ExpectedReceiver != replica.OriginID(p.g.self.Incarnation)
 	if !lacking {
 		lacking = p.takeUpdates(now, from.Instance, m.Updates, m.Follow && !m.Hub)
 	}
@@ -138,8 +138,8 @@
 	defer p.mu.Unlock()
 	answer.NeedsResync, answer.FleetSize = lacking, 1+len(p.known)
 	if m.Follow {
-		answer.Cursor = p.table.Place()
-		answer.Updates = p.table.Since(now, p.table.VersionAt(m.ReceivedCursor), replica.All, replica.OriginOf(from.Incarnation))
+		answer.Cursor = p.table.Cursor()
+		answer.Updates = p.table.UpdatesSince(now, p.table.VersionOf(m.ReceivedCursor), replica.ScopeAll, replica.OriginID(from.Incarnation))
 	}
 	return answer, nil
 }
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -45,9 +45,9 @@
 		}
 		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
 			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.turn)})
-		s.table.Merge(now, o.Since(now, 0, replica.Followers, 0)[:1], false)
+		s.table.Merge(now, o.UpdatesSince(now, 0, replica.ScopeFollowers, 0)[:1], false)
 	}
-	return s.table.Since(now, since, replica.All, 0)
+	return s.table.UpdatesSince(now, since, replica.ScopeAll, 0)
 }
 
 func newBenchGateway() *probed {
@@ -71,7 +71,7 @@
 	for range b.N {
 		b.StopTimer()
 		updates := s.next(p.clock.Now(), since)
-		since = s.table.Place().Version
+		since = s.table.Cursor().Version
 		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates})
 		if err != nil {
 			b.Fatal(err)
@@ -96,10 +96,10 @@
 		b.StopTimer()
 		s.next(time.Second, since)
 		b.StartTimer()
-		updates := s.table.Since(time.Second, since, replica.All, 0)
+		updates := s.table.UpdatesSince(time.Second, since, replica.ScopeAll, 0)
 		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates}); err != nil {
 			b.Fatal(err)
 		}
-		since = s.table.Place().Version
+		since = s.table.Cursor().Version
 	}
 }
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -81,7 +81,7 @@
 	Order(ctx context.Context, t directory.Registration, o weights.Order) (weights.Receipt, error)
 	// CacheEvents asks a store of KV cache what has changed and waits up to
 	// wait for news.
-	CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (storeindex.News, error)
+	CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (storeindex.EventBatch, error)
 }
 
 // Store is all that the gateway needs of the platform's store.
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -378,6 +378,6 @@
 	return "", errDeaf
 }
 
-func (deafTargets) CacheEvents(context.Context, string, int64, time.Duration) (storeindex.News, error) {
-	return storeindex.News{}, errDeaf
+func (deafTargets) CacheEvents(context.Context, string, int64, time.Duration) (storeindex.EventBatch, error) {
+	return storeindex.EventBatch{}, errDeaf
 }
--- a/internal/hubs/hubs.go
+++ b/internal/hubs/hubs.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// MeshSize is the largest fleet in which each instance calls each other one.
-	MeshSize = 20
+	// MaxMeshSize is the largest fleet in which each instance calls each other one.
+	MaxMeshSize = 20
 	// minHubs is the hubs of a failure domain, so that the loss of one leaves
 	// another that knows as much.
 	minHubs = 2
@@ -54,14 +54,14 @@
 // Peer is another instance as this one sees it.
 type Peer struct {
 	Instance
-	// Alive says that it may be called with a good chance of an answer: there is
+	// Reachable says that it may be called with a good chance of an answer: there is
 	// a recent update of it, or it was found in the store and not called yet.
-	Alive bool
-	// Updated says that there is a recent update of it.
-	Updated bool
-	// Calling says that a call to it is under way; Late that this takes longer
+	Reachable bool
+	// Fresh says that there is a recent update of it.
+	Fresh bool
+	// CallInFlight says that a call to it is under way; CallLate that this takes longer
 	// than usual.
-	Calling, Late bool
+	CallInFlight, CallLate bool
 }
 
 // Call is a call to make now.
@@ -80,18 +80,18 @@
 	Calls []Call
 }
 
-// Choose plans the calls of an instance in a fleet of that size, which may be
+// PlanCalls plans the calls of an instance in a fleet of that size, which may be
 // larger than what it knows of. turn counts its plans.
-func Choose(self Instance, peers []Peer, fleet, turn int) Plan {
+func PlanCalls(self Instance, peers []Peer, fleet, turn int) Plan {
 	peers = slices.SortedFunc(slices.Values(peers), func(a, b Peer) int { return Compare(a.Instance, b.Instance) })
-	if fleet <= MeshSize {
+	if fleet <= MaxMeshSize {
 		return mesh(peers)
 	}
 	byDomain := map[string][]Peer{}
 	for _, x := range peers {
 		byDomain[x.Domain] = append(byDomain[x.Domain], x)
 	}
-	own, n := alive(byDomain[self.Domain]), Count(1+len(byDomain[self.Domain]))
+	own, n := alive(byDomain[self.Domain]), HubsPerDomain(1+len(byDomain[self.Domain]))
 	var p Plan
 	if countBefore(self, own) >= n {
 		p.follow(self, own[:n], own)
@@ -130,14 +130,14 @@
 	return n
 }
 
-// Count is the number of hubs of a failure domain with so many instances.
-func Count(instances int) int {
+// HubsPerDomain is the number of hubs of a failure domain with so many instances.
+func HubsPerDomain(instances int) int {
 	return max(minHubs, (instances+followersPerHub-1)/followersPerHub)
 }
 
 // call adds a call, unless one is under way.
 func (p *Plan) call(x Peer, follow bool) {
-	if !x.Calling {
+	if !x.CallInFlight {
 		p.Calls = append(p.Calls, Call{Name: x.Name, Follow: follow})
 	}
 }
@@ -148,10 +148,10 @@
 func (p *Plan) follow(self Instance, hubs, own []Peer) {
 	late, calling := 0, false
 	for _, x := range own {
-		if x.Late {
+		if x.CallLate {
 			late++
 		}
-		calling = calling || x.Calling && !x.Late
+		calling = calling || x.CallInFlight && !x.CallLate
 	}
 	if calling {
 		return
@@ -161,7 +161,7 @@
 	order = append(order, own[len(hubs):]...)
 	want := min(1<<late, maxTries)
 	for _, x := range order {
-		if len(p.Calls) < want && !x.Late {
+		if len(p.Calls) < want && !x.CallLate {
 			p.call(x, true)
 		}
 	}
@@ -171,7 +171,7 @@
 // know. Either they have not found this instance, or this one takes others for
 // silent, as after a suspension, and is not the hub that it seems to be.
 func (p *Plan) probe(members []Peer, turn int) {
-	silent := slices.DeleteFunc(slices.Clone(members), func(x Peer) bool { return x.Updated })
+	silent := slices.DeleteFunc(slices.Clone(members), func(x Peer) bool { return x.Fresh })
 	p.rotate(silent, maxProbes, true, turn)
 }
 
@@ -179,7 +179,7 @@
 // cut off or lost: its first members are called, which are its hubs if they are
 // alive, and the others in turn.
 func (p *Plan) reach(members []Peer, turn int) {
-	n := Count(len(members))
+	n := HubsPerDomain(len(members))
 	hubs := first(alive(members), n)
 	if len(hubs) == 0 {
 		hubs = first(members, n)
@@ -199,7 +199,7 @@
 
 // alive are the peers that will probably answer.
 func alive(peers []Peer) []Peer {
-	return slices.DeleteFunc(slices.Clone(peers), func(x Peer) bool { return !x.Alive })
+	return slices.DeleteFunc(slices.Clone(peers), func(x Peer) bool { return !x.Reachable })
 }
 
 func first(peers []Peer, n int) []Peer { return peers[:min(n, len(peers))] }
--- a/internal/hubs/hubs_test.go
+++ b/internal/hubs/hubs_test.go
@@ -15,14 +15,14 @@
 			self = x
 			continue
 		}
-		peers = append(peers, Peer{Instance: x, Alive: true, Updated: true})
+		peers = append(peers, Peer{Instance: x, Reachable: true, Fresh: true})
 	}
 	return self, peers
 }
 
 // as is the fleet as another instance sees it.
 func as(name string, self Instance, peers []Peer) (Instance, []Peer) {
-	out := []Peer{{Instance: self, Alive: true, Updated: true}}
+	out := []Peer{{Instance: self, Reachable: true, Fresh: true}}
 	for _, x := range peers {
 		if x.Name == name {
 			self = x.Instance
@@ -51,7 +51,7 @@
 func TestSmallFleetIsAMesh(t *testing.T) {
 	is := is.New(t)
 	self, peers := fleet(3, 6)
-	p := Choose(self, peers, 18, 0)
+	p := PlanCalls(self, peers, 18, 0)
 	is.True(p.Mesh && p.Hub)
 	is.Equal(len(p.Calls), 17)
 	for _, c := range p.Calls {
@@ -62,7 +62,7 @@
 func TestHubsCallEachOther(t *testing.T) {
 	is := is.New(t)
 	self, peers := fleet(5, 10)
-	p := Choose(self, peers, 50, 0)
+	p := PlanCalls(self, peers, 50, 0)
 	is.True(p.Hub && !p.Mesh)
 	is.Equal(names(p), []string{"n005", "n001", "n006", "n002", "n007", "n003", "n008", "n004", "n009"})
 	is.True(p.Calls[0].Follow) // the other hub of the domain knows what came to it only
@@ -75,7 +75,7 @@
 	chosen := map[string]int{}
 	for i := 2; i < 10; i++ {
 		follower, others := as(fmt.Sprintf("n%03d", i*5), self, peers)
-		p := Choose(follower, others, 50, 0)
+		p := PlanCalls(follower, others, 50, 0)
 		is.True(!p.Hub)
 		is.Equal(len(p.Calls), 1)
 		is.True(p.Calls[0].Follow)
@@ -91,7 +91,7 @@
 	for _, name := range []string{"n040", "n045"} {
 		change(peers, name, func(x *Peer) { x.Capacity = 5 })
 	}
-	is.True(!Choose(self, peers, 50, 0).Hub)
+	is.True(!PlanCalls(self, peers, 50, 0).Hub)
 }
 
 // Guards against an instance that waits for a hub which is frozen, and against
@@ -100,16 +100,16 @@
 	is := is.New(t)
 	self, peers := fleet(5, 39)
 	follower, others := as("n100", self, peers)
-	first := Choose(follower, others, 195, 0).Calls[0].Name
-	change(others, first, func(x *Peer) { x.Calling = true })
-	is.Equal(names(Choose(follower, others, 195, 1)), nil) // it may answer yet
-	change(others, first, func(x *Peer) { x.Late = true })
-	p := Choose(follower, others, 195, 2)
+	first := PlanCalls(follower, others, 195, 0).Calls[0].Name
+	change(others, first, func(x *Peer) { x.CallInFlight = true })
+	is.Equal(names(PlanCalls(follower, others, 195, 1)), nil) // it may answer yet
+	change(others, first, func(x *Peer) { x.CallLate = true })
+	p := PlanCalls(follower, others, 195, 2)
 	is.Equal(len(p.Calls), 2)
 	for _, c := range p.Calls {
-		change(others, c.Name, func(x *Peer) { x.Calling, x.Late = true, true })
+		change(others, c.Name, func(x *Peer) { x.CallInFlight, x.CallLate = true, true })
 	}
-	is.Equal(len(Choose(follower, others, 195, 3).Calls), maxTries)
+	is.Equal(len(PlanCalls(follower, others, 195, 3).Calls), maxTries)
 }
 
 // Guards against a domain without hubs once the chosen ones have failed.
@@ -117,9 +117,9 @@
 	is := is.New(t)
 	self, peers := fleet(5, 10)
 	third, others := as("n010", self, peers)
-	is.True(!Choose(third, others, 50, 0).Hub)
-	change(others, "n005", func(x *Peer) { x.Alive = false })
-	is.True(Choose(third, others, 50, 0).Hub)
+	is.True(!PlanCalls(third, others, 50, 0).Hub)
+	change(others, "n005", func(x *Peer) { x.Reachable = false })
+	is.True(PlanCalls(third, others, 50, 0).Hub)
 }
 
 // Guards against a domain that was cut off and is called by nobody as it comes
@@ -129,13 +129,13 @@
 	self, peers := fleet(5, 10)
 	for i := range peers {
 		if peers[i].Domain == "d1" {
-			peers[i].Alive, peers[i].Updated = false, false
+			peers[i].Reachable, peers[i].Fresh = false, false
 		}
 	}
 	tried := map[string]bool{}
 	for turn := range 8 {
 		calls := map[string]bool{}
-		for _, name := range names(Choose(self, peers, 50, turn)) {
+		for _, name := range names(PlanCalls(self, peers, 50, turn)) {
 			tried[name], calls[name] = true, true
 		}
 		is.True(calls["n001"] && calls["n006"]) // its hubs, if they are alive
@@ -151,9 +151,9 @@
 	is := is.New(t)
 	self, peers := fleet(5, 10)
 	for i := range peers {
-		peers[i].Alive, peers[i].Updated = false, false
+		peers[i].Reachable, peers[i].Fresh = false, false
 	}
-	p := Choose(self, peers, 50, 0)
+	p := PlanCalls(self, peers, 50, 0)
 	asked := 0
 	for _, c := range p.Calls {
 		if c.Follow {
@@ -168,6 +168,6 @@
 func TestFleetIsAsLargeAsPeersSay(t *testing.T) {
 	is := is.New(t)
 	self, peers := fleet(5, 2)
-	is.True(Choose(self, peers, 10, 0).Mesh)
-	is.True(!Choose(self, peers, 195, 0).Mesh)
+	is.True(PlanCalls(self, peers, 10, 0).Mesh)
+	is.True(!PlanCalls(self, peers, 195, 0).Mesh)
 }
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -123,9 +123,9 @@
 	l := platform.InstanceList{AsOf: time.UnixMilli(5)}
 	for i := range targets {
 		l.Instances = append(l.Instances, platform.Instance{ID: fmt.Sprint("target-", i), Role: platform.RoleTarget})
-		v.Observed(0, fmt.Sprint("target-", i), fmt.Sprintf("%032d", i))
+		v.ObserveIncarnation(0, fmt.Sprint("target-", i), fmt.Sprintf("%032d", i))
 	}
-	v.List(0, 0, l, 0)
+	v.HandleList(0, 0, l, 0)
 	v.Ready()
 	return v
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -132,10 +132,10 @@
 		return
 	}
 	if n.listDown {
-		n.v.ListFailed(f.now)
+		n.v.HandleListError(f.now)
 	} else {
 		l := f.states[0]
-		n.v.List(f.now, f.now, l, 100*len(l.Instances))
+		n.v.HandleList(f.now, f.now, l, 100*len(l.Instances))
 	}
 	f.collect(i)
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -183,9 +183,9 @@
 	v.out.Changes = append(v.out.Changes, Change{Target: &f})
 }
 
-// List takes the platform's list; asked is when the read began and bytes its
+// HandleList takes the platform's list; asked is when the read began and bytes its
 // size.
-func (v *View) List(now, asked time.Duration, l platform.InstanceList, bytes int) {
+func (v *View) HandleList(now, asked time.Duration, l platform.InstanceList, bytes int) {
 	v.reading = false
 	v.thaw.news(asked)
 	v.nextList = now + v.listPeriod(bytes)
@@ -239,14 +239,14 @@
 	return p/2 + time.Duration(v.rng.Int64N(int64(p)))
 }
 
-// ListFailed tells that the list could not be read.
-func (v *View) ListFailed(now time.Duration) {
+// HandleListError tells that the list could not be read.
+func (v *View) HandleListError(now time.Duration) {
 	v.reading = false
 	v.nextList = now + v.listPeriod(0)
 }
 
-// Observed takes the incarnation that a target named in an answer.
-func (v *View) Observed(now time.Duration, name, incarnation string) {
+// ObserveIncarnation takes the incarnation that a target named in an answer.
+func (v *View) ObserveIncarnation(now time.Duration, name, incarnation string) {
 	v.change(now, name, func(t *target) bool { return t.observe(incarnation) })
 }
 
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -106,9 +106,9 @@
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
 	v.Tick(0)
 	v.Tick(10 * time.Second)
-	v.List(10*time.Second, 0, platform.InstanceList{}, 0)
+	v.HandleList(10*time.Second, 0, platform.InstanceList{}, 0)
 	is.Equal(v.Freshness(10*time.Second), Waiting)
-	v.List(10*time.Second, 10*time.Second, platform.InstanceList{}, 0)
+	v.HandleList(10*time.Second, 10*time.Second, platform.InstanceList{}, 0)
 	is.Equal(v.Freshness(10*time.Second), Fresh)
 }
 
@@ -118,15 +118,15 @@
 func TestEarlierIncarnationNeverComesBack(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
-	v.Observed(0, "t", "i1")
-	v.Observed(0, "t", "i2")
-	v.Observed(0, "t", "i1")
+	v.ObserveIncarnation(0, "t", "i1")
+	v.ObserveIncarnation(0, "t", "i2")
+	v.ObserveIncarnation(0, "t", "i1")
 	is.Equal(v.Incarnation("t"), "i2")
 	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Incarnation: "i1", Epoch: 7}}})
 	is.Equal(v.Incarnation("t"), "i2")
 	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Incarnation: "i3", Epoch: 7, PastIncarnations: []string{"i2"}}}})
 	is.Equal(v.Incarnation("t"), "i3")
-	v.Observed(0, "t", "i2")
+	v.ObserveIncarnation(0, "t", "i2")
 	is.Equal(v.Incarnation("t"), "i3")
 }
 
@@ -136,7 +136,7 @@
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
 	list := func(ms int64, state platform.InstanceState) {
-		v.List(0, 0, platform.InstanceList{
+		v.HandleList(0, 0, platform.InstanceList{
 			AsOf:      time.UnixMilli(ms),
 			Instances: []platform.Instance{{ID: "t", Role: platform.RoleTarget, State: state}},
 		}, 0)
@@ -147,7 +147,7 @@
 	list(20, platform.StateLive)
 	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Draining: true, AsOfMillis: 15}}})
 	is.True(!v.Draining("t"))
-	v.List(0, 0, platform.InstanceList{AsOf: time.UnixMilli(30)}, 0)
+	v.HandleList(0, 0, platform.InstanceList{AsOf: time.UnixMilli(30)}, 0)
 	is.True(v.Draining("t")) // not listed any more
 }
 
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -149,12 +149,12 @@
 		fleet = max(fleet, p.fleet)
 		fresh, calling := s.now-p.updated <= simFresh, s.now < p.until
 		view = append(view, hubs.Peer{
-			Instance: hubs.Instance{Name: name, Domain: p.identity.Domain}, Updated: fresh, Calling: calling,
-			Late:  calling && s.now-p.called > simLate,
-			Alive: s.now-p.failed > simRetry && (fresh || p.updated == simNever),
+			Instance: hubs.Instance{Name: name, Domain: p.identity.Domain}, Fresh: fresh, CallInFlight: calling,
+			CallLate:  calling && s.now-p.called > simLate,
+			Reachable: s.now-p.failed > simRetry && (fresh || p.updated == simNever),
 		})
 	}
-	plan := hubs.Choose(hubs.Instance{Name: n.id.Instance, Domain: n.id.Domain}, view, fleet, n.turn)
+	plan := hubs.PlanCalls(hubs.Instance{Name: n.id.Instance, Domain: n.id.Domain}, view, fleet, n.turn)
 	n.turn++
 	n.hub, n.next = plan.Hub, s.now+simHub
 	if !plan.Hub {
@@ -186,16 +186,16 @@
 		p.until, p.failed = s.now+simTimeout, s.now+simTimeout
 		return
 	}
-	version := n.table.Place().Version
+	version := n.table.Cursor().Version
 	lacking := p.sent > 0 && to.id.Incarnation != p.identity.Incarnation
 	if !lacking {
-		lacking = s.take(to, n.table.Since(s.now, p.sent, Followers, OriginOf(p.identity.Incarnation)), follow && !hub)
+		lacking = s.take(to, n.table.UpdatesSince(s.now, p.sent, ScopeFollowers, OriginID(p.identity.Incarnation)), follow && !hub)
 	}
 	var answer []wire.InstanceUpdate
 	place := p.received
 	if follow {
-		place = to.table.Place()
-		answer = to.table.Since(s.now, to.table.VersionAt(p.received), All, OriginOf(n.id.Incarnation))
+		place = to.table.Cursor()
+		answer = to.table.UpdatesSince(s.now, to.table.VersionOf(p.received), ScopeAll, OriginID(n.id.Incarnation))
 	}
 	if s.rng.Float64() < s.lost {
 		p.failed = s.now
@@ -336,8 +336,8 @@
 			}
 			most = max(most, n.calls)
 		}
-		is.Equal(followers, 5*(each-hubs.Count(each)))
-		is.True(most <= 16*(5*hubs.Count(each)-1)) // the other hubs, each 125 ms
+		is.Equal(followers, 5*(each-hubs.HubsPerDomain(each)))
+		is.True(most <= 16*(5*hubs.HubsPerDomain(each)-1)) // the other hubs, each 125 ms
 	}
 }
 
@@ -395,7 +395,7 @@
 	s.run(2 * time.Second)
 	is.Equal(s.agreed(), "")
 	for _, n := range s.nodes {
-		is.True(n.calls <= 16*(5*hubs.Count(28)+4))
+		is.True(n.calls <= 16*(5*hubs.HubsPerDomain(28)+4))
 	}
 }
 
--- a/internal/replica/table.go
+++ b/internal/replica/table.go
@@ -22,8 +22,8 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// OriginOf is the number that stands for an incarnation of an instance.
-func OriginOf(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
+// OriginID is the number that stands for an incarnation of an instance.
+func OriginID(incarnation string) uint64 { return xxhash.Sum64String(incarnation) }
 
 const (
 	// maxEvents is the events of one origin that are kept to be passed on, at
@@ -84,7 +84,7 @@
 // New makes the table of an instance. Updates older than staleAfter are not
 // passed on.
 func New(self wire.Identity, staleAfter time.Duration) *Table {
-	t := &Table{self: OriginOf(self.Incarnation), rows: map[uint64]*row{}, staleAfter: staleAfter}
+	t := &Table{self: OriginID(self.Incarnation), rows: map[uint64]*row{}, staleAfter: staleAfter}
 	t.rows[t.self] = &row{identity: self, spent: map[string]count{}, at: -repeatAfter, created: 1, passOn: true}
 	t.version = 1
 	return t
@@ -93,14 +93,14 @@
 // SetStaleAfter changes the age at which updates are no longer passed on.
 func (t *Table) SetStaleAfter(d time.Duration) { t.staleAfter = d }
 
-// Place is the end of the table's updates.
-func (t *Table) Place() wire.UpdateCursor {
+// Cursor is the end of the table's updates.
+func (t *Table) Cursor() wire.UpdateCursor {
 	return wire.UpdateCursor{Table: t.self, Version: t.version}
 }
 
-// VersionAt is the version of the table at a place; 0 for a place in the table of
+// VersionOf is the version of the table at a place; 0 for a place in the table of
 // another process, which says nothing of this one.
-func (t *Table) VersionAt(place wire.UpdateCursor) uint64 {
+func (t *Table) VersionOf(place wire.UpdateCursor) uint64 {
 	if place.Table != t.self {
 		return 0
 	}
@@ -165,19 +165,19 @@
 type Scope int
 
 const (
-	// All rows but the receiver's own.
-	All Scope = iota
-	// Followers: this instance's own row and those of its followers. Hubs get
+	// ScopeAll rows but the receiver's own.
+	ScopeAll Scope = iota
+	// ScopeFollowers: this instance's own row and those of its followers. Hubs get
 	// the others from the hubs that these follow.
-	Followers
+	ScopeFollowers
 )
 
-// Since gives what has changed after a version, for a receiver that has all up
+// UpdatesSince gives what has changed after a version, for a receiver that has all up
 // to it of the same scope.
-func (t *Table) Since(now time.Duration, version uint64, scope Scope, receiver uint64) []wire.InstanceUpdate {
+func (t *Table) UpdatesSince(now time.Duration, version uint64, scope Scope, receiver uint64) []wire.InstanceUpdate {
 	var out []wire.InstanceUpdate
 	for origin, r := range t.rows {
-		if r.changed <= version || origin == receiver || scope == Followers && !r.passOn {
+		if r.changed <= version || origin == receiver || scope == ScopeFollowers && !r.passOn {
 			continue
 		}
 		if now-r.at > t.staleAfter {
--- a/internal/storeindex/index.go
+++ b/internal/storeindex/index.go
@@ -19,19 +19,19 @@
 
 // Event tells that the store has taken in a piece or dropped it.
 type Event struct {
-	Scope string
-	Piece prefix.Hash
-	Held  bool
+	Scope  string
+	Piece  prefix.Hash
+	Stored bool
 }
 
-// News is an answer of the store to the question what has changed.
-type News struct {
-	// Boot changes when the store starts anew, without any piece.
-	Boot int64
+// EventBatch is an answer of the store to the question what has changed.
+type EventBatch struct {
+	// BootEpoch changes when the store starts anew, without any piece.
+	BootEpoch int64
 	// Next is where to ask on.
 	Next int64
-	// Lost is set when events are missing before these.
-	Lost   bool
+	// Gap is set when events are missing before these.
+	Gap    bool
 	Events []Event
 }
 
@@ -58,14 +58,14 @@
 
 // Apply takes in news. After a restart or a gap only what is told from then on
 // counts: a piece counted on and not there costs a fetch in vain.
-func (x *Index) Apply(now time.Duration, n News) {
+func (x *Index) Apply(now time.Duration, n EventBatch) {
 	x.follows = true
-	x.Alive(n.Boot)
-	if n.Lost || len(x.held) > maxHeld {
+	x.MarkReachable(n.BootEpoch)
+	if n.Gap || len(x.held) > maxHeld {
 		clear(x.held)
 	}
 	for _, e := range n.Events {
-		if e.Held {
+		if e.Stored {
 			x.held[key(e.Scope, e.Piece)] = now
 		} else {
 			delete(x.held, key(e.Scope, e.Piece))
@@ -73,27 +73,27 @@
 	}
 }
 
-// Alive takes in that the store was seen to answer, by this instance or by a
+// MarkReachable takes in that the store was seen to answer, by this instance or by a
 // peer, and which of its starts it was.
-func (x *Index) Alive(boot int64) {
+func (x *Index) MarkReachable(boot int64) {
 	if boot != x.boot {
 		clear(x.held)
 	}
 	x.boot, x.alive = boot, true
 }
 
-// Down takes in that the store does not answer: a fetch from it would cost
+// MarkUnreachable takes in that the store does not answer: a fetch from it would cost
 // each request some hundred milliseconds.
-func (x *Index) Down() { x.alive = false }
+func (x *Index) MarkUnreachable() { x.alive = false }
 
-// Answers says whether the store answers, and which of its starts it is.
-func (x *Index) Answers() (boot int64, ok bool) { return x.boot, x.alive }
+// Reachable says whether the store answers, and which of its starts it is.
+func (x *Index) Reachable() (boot int64, ok bool) { return x.boot, x.alive }
 
-// Unfollow notes that this process no longer reads the store's events.
-func (x *Index) Unfollow() { x.follows = false }
+// StopFollowing notes that this process no longer reads the store's events.
+func (x *Index) StopFollowing() { x.follows = false }
 
-// Saved notes that a model server saves these pieces.
-func (x *Index) Saved(now time.Duration, scope string, pieces []prefix.Hash) {
+// RecordSave notes that a model server saves these pieces.
+func (x *Index) RecordSave(now time.Duration, scope string, pieces []prefix.Hash) {
 	if len(x.held) > maxHeld {
 		clear(x.held)
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// Holds is the number of leading pieces that the store holds.
-func (x *Index) Holds(now time.Duration, scope string, pieces []prefix.Hash) int {
+// LeadingStored is the number of leading pieces that the store holds.
+func (x *Index) LeadingStored(now time.Duration, scope string, pieces []prefix.Hash) int {
 	if !x.alive {
 		return 0
 	}
--- a/internal/storeindex/index_test.go
+++ b/internal/storeindex/index_test.go
@@ -14,7 +14,7 @@
 	held := func(pieces ...prefix.Hash) []Event {
 		var out []Event
 		for _, p := range pieces {
-			out = append(out, Event{Scope: "s", Piece: p, Held: true})
+			out = append(out, Event{Scope: "s", Piece: p, Stored: true})
 		}
 		return out
 	}
@@ -22,23 +22,33 @@
 		do   func(*Index)
 		want int
 	}{
-		"nothing heard":        {func(x *Index) { x.Saved(0, "s", chain) }, 0},
-		"all held":             {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1, 2, 3)}) }, 3},
-		"a gap in the chain":   {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1, 3)}) }, 1},
-		"own save counts":      {func(x *Index) { x.Apply(0, News{Boot: 1}); x.Saved(0, "s", chain) }, 3},
-		"another scope's":      {func(x *Index) { x.Apply(0, News{Boot: 1}); x.Saved(0, "t", chain) }, 0},
-		"dropped":              {func(x *Index) { x.Apply(0, News{Boot: 1, Events: append(held(1, 2), Event{"s", 1, false})}) }, 0},
-		"restarted empty":      {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1, 2)}); x.Apply(0, News{Boot: 2}) }, 0},
-		"events were lost":     {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1, 2)}); x.Apply(0, News{Boot: 1, Lost: true}) }, 0},
-		"does not answer":      {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1)}); x.Down() }, 0},
-		"answers again as was": {func(x *Index) { x.Apply(0, News{Boot: 1, Events: held(1)}); x.Down(); x.Apply(0, News{Boot: 1}) }, 1},
+		"nothing heard":      {func(x *Index) { x.RecordSave(0, "s", chain) }, 0},
+		"all held":           {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1, 2, 3)}) }, 3},
+		"a gap in the chain": {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1, 3)}) }, 1},
+		"own save counts":    {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1}); x.RecordSave(0, "s", chain) }, 3},
+		"another scope's":    {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1}); x.RecordSave(0, "t", chain) }, 0},
+		"dropped":            {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1, Events: append(held(1, 2), Event{"s", 1, false})}) }, 0},
+		"restarted empty": {func(x *Index) {
+			x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1, 2)})
+			x.Apply(0, EventBatch{BootEpoch: 2})
+		}, 0},
+		"events were lost": {func(x *Index) {
+			x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1, 2)})
+			x.Apply(0, EventBatch{BootEpoch: 1, Gap: true})
+		}, 0},
+		"does not answer": {func(x *Index) { x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1)}); x.MarkUnreachable() }, 0},
+		"answers again as was": {func(x *Index) {
+			x.Apply(0, EventBatch{BootEpoch: 1, Events: held(1)})
+			x.MarkUnreachable()
+			x.Apply(0, EventBatch{BootEpoch: 1})
+		}, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			x := New()
 			c.do(x)
-			is.Equal(x.Holds(0, "s", chain), c.want)
+			is.Equal(x.LeadingStored(0, "s", chain), c.want)
 		})
 	}
 }
@@ -50,11 +60,11 @@
 	is := is.New(t)
 	chain := []prefix.Hash{1, 2}
 	x := New()
-	x.Alive(1)
-	x.Saved(0, "s", chain)
-	is.Equal(x.Holds(unfollowedFor, "s", chain), 2)
-	is.Equal(x.Holds(unfollowedFor+1, "s", chain), 0)
-	x.Saved(time.Minute, "s", chain)
-	x.Alive(2) // it came back empty
-	is.Equal(x.Holds(time.Minute, "s", chain), 0)
+	x.MarkReachable(1)
+	x.RecordSave(0, "s", chain)
+	is.Equal(x.LeadingStored(unfollowedFor, "s", chain), 2)
+	is.Equal(x.LeadingStored(unfollowedFor+1, "s", chain), 0)
+	x.RecordSave(time.Minute, "s", chain)
+	x.MarkReachable(2) // it came back empty
+	is.Equal(x.LeadingStored(time.Minute, "s", chain), 0)
 }
