--- a/internal/wire/claim.go
+++ b/internal/wire/claim.go
@@ -1,20 +1,20 @@
 package wire
 
-// Kinds of message about claims.
+// Message kinds of the claim protocol.
 const (
-	// KindClaimSnapshot asks a peer for a page of its fold of the claims
-	// stream; the answer is a ClaimPage.
+	// KindClaimSnapshot requests a page of a peer's aggregated claims stream;
+	// the response is a ClaimPage.
 	KindClaimSnapshot Kind = "claim.snapshot"
 )
 
-// ClaimSnapshotRequest asks for the holders claimed from an offset on; -1 gives
-// the first page.
+// ClaimSnapshotRequest requests the holders claimed at or after an offset; -1
+// requests the first page.
 type ClaimSnapshotRequest struct {
 	From  int64 `msgpack:"f"`
 	Limit int   `msgpack:"m"`
 }
 
-// ClaimPage is a part of a fold of the claims stream, in claim order.
+// ClaimPage is one page of the aggregated claims stream, in claim order.
 type ClaimPage struct {
 	Start   int64         `msgpack:"s"`
 	Next    int64         `msgpack:"n"`
@@ -24,13 +24,14 @@
 	After   int64         `msgpack:"a,omitempty"`
 }
 
-// ClaimMark says that offsets below Head were appended before Millis (Unix).
+// ClaimMark states that all offsets below Head were appended before Millis, a
+// Unix time.
 type ClaimMark struct {
 	Head   int64 `msgpack:"h"`
 	Millis int64 `msgpack:"m"`
 }
 
-// ClaimHolder is who holds a key, without the body of its answer.
+// ClaimHolder is the holder of an idempotency key, without the response body.
 type ClaimHolder struct {
 	Key         []byte `msgpack:"k"`
 	Request     []byte `msgpack:"r"`
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -1,25 +1,25 @@
 package wire
 
-// Kinds of message about the configuration.
+// Message kinds of the configuration protocol.
 const (
-	// KindConfigRequest asks a peer for a newer state.
+	// KindConfigRequest requests a peer's configuration state if it is newer.
 	KindConfigRequest Kind = "config.ask"
 )
 
-// ConfigRequest says what the asking instance has; -1 for nothing.
+// ConfigRequest states what the requesting instance has; -1 for nothing.
 type ConfigRequest struct {
 	Revision   int64 `msgpack:"r"`
 	NextOffset int64 `msgpack:"n"`
 }
 
-// ConfigResponse has the peer's state when it is newer than what was asked
-// with, else only its revision and next offset.
+// ConfigResponse carries the peer's state if that is newer than the
+// requester's, otherwise only its revision and next offset.
 type ConfigResponse struct {
 	Revision   int64 `msgpack:"r"`
 	NextOffset int64 `msgpack:"n"`
-	// LogAgeMillis is how long ago the log was read, by the answering
-	// instance or by one that has passed on what it read; -1 for never.
+	// LogAgeMillis is the time since the log was last read, by the responding
+	// instance or by one whose state it received; -1 for never.
 	LogAgeMillis int64 `msgpack:"l"`
-	// State is encoded by config.State.Encode; empty when not newer.
+	// State is encoded by config.State.Encode; empty if not newer.
 	State []byte `msgpack:"s,omitempty"`
 }
--- a/internal/wire/configpart.go
+++ b/internal/wire/configpart.go
@@ -1,46 +1,48 @@
 package wire
 
-// KindConfigPart is a call for a part of a configuration, made until the caller has
-// all parts.
+// KindConfigPart is a call for one part of a configuration. The caller repeats it
+// until it has all parts.
 const KindConfigPart Kind = "config.part"
 
-// ConfigRef names one version of the configuration.
+// ConfigRef identifies one version of the configuration.
 type ConfigRef struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Version is the operators' number; 0 for no configuration.
+	// Version is assigned by the operators; 0 for no configuration.
 	Version int64
 	// Digest is a hash of the content.
 	Digest uint64
 }
 
-// ConfigPartRequest asks for bytes of an encoded configuration.
+// ConfigPartRequest requests a byte range of an encoded configuration.
 type ConfigPartRequest struct {
-	// Base is the configuration that the caller has. The answer may build on it.
+	// Base is the configuration that the caller has. The encoding may be a delta
+	// from it.
 	Base ConfigRef `msgpack:"b"`
-	// Target is the version of the transfer under way; 0 asks for the newest.
+	// Target is the version being transferred; 0 requests the newest.
 	Target int64 `msgpack:"t,omitempty"`
-	// Offset is where to read on in the encoding, Limit the most bytes to answer.
+	// Offset is the start of the range, Limit its maximum length in bytes.
 	Offset int `msgpack:"o,omitempty"`
 	Limit  int `msgpack:"l"`
 }
 
-// ConfigPart answers a ConfigPartCall.
+// ConfigPart is the response to a ConfigPartRequest.
 type ConfigPart struct {
-	// Base is what the encoding builds on; zero where it is whole.
+	// Base is the configuration that the encoding is a delta from; zero if it is
+	// complete.
 	Base ConfigRef `msgpack:"b"`
-	// Target is the configuration that it encodes; zero where the answerer has
-	// nothing newer.
+	// Target is the encoded configuration; zero if the sender has nothing newer.
 	Target ConfigRef `msgpack:"t"`
-	// EncodingHash is a hash of the encoding: parts with the same one fit together, no
-	// matter which instance they come from.
+	// EncodingHash identifies the encoding: parts with equal hashes can be
+	// combined, whichever instances they come from.
 	EncodingHash uint64 `msgpack:"x"`
-	// EncodingSize is that of the encoding in bytes, Offset the place of Data in it.
+	// EncodingSize is the length of the encoding in bytes, Offset the position of
+	// Data in it.
 	EncodingSize int    `msgpack:"s"`
 	Offset       int    `msgpack:"o"`
 	Data         []byte `msgpack:"d,omitempty"`
-	// RetryAfterMillis is how many milliseconds the answerer's link is in use by other
-	// transfers; there is no data then.
+	// RetryAfterMillis is how long other transfers will use up the sender's share
+	// of its link. If set, there is no data.
 	RetryAfterMillis int64 `msgpack:"r,omitempty"`
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire is the inner protocol between the system's own processes: the
-// frame, the kinds of message and the body of each. It has no sockets; the
-// peer package carries frames over TCP.
+// Package wire defines the protocol between the system's own processes: the
+// frame format, the message kinds and their bodies. It does no I/O on sockets;
+// package peer carries the frames over TCP.
 package wire
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -7,95 +7,97 @@
 	"github.com/mastictray/mastictray/internal/directory"
 )
 
-// KindExchange is a call between instances a few times a second: the caller
-// passes on the state of instances, the answer says how fresh the peer's
-// configuration is.
+// KindExchange is a call that instances make several times a second: the caller
+// sends updates of instance state, the response states among other things which
+// configuration the peer has and how recently it was in contact with the store.
 const KindExchange Kind = "exchange"
 
-// Exchange is a message from one instance to another.
+// Exchange carries the sender's state and, from a hub, that of its followers.
 type Exchange struct {
 	From Identity `msgpack:"f"`
-	// ConfigVersion is the configuration that the sender has; 0 for none.
+	// ConfigVersion is the version of the sender's configuration; 0 for none.
 	ConfigVersion int64 `msgpack:"v"`
-	// RegistrationsOffset is where the sender would read on in the registrations of
-	// targets; -1 before it has read them.
+	// RegistrationsOffset is the offset up to which the sender has read the target
+	// registrations; -1 if it has not read them yet.
 	RegistrationsOffset int64 `msgpack:"t"`
-	// Updates are the state of the sender, and of the instances that follow it,
-	// as far as it has changed since the last message that was answered.
+	// Updates are the changes in the state of the sender and its followers since
+	// the last exchange that the receiver answered.
 	Updates []InstanceUpdate `msgpack:"u,omitempty"`
-	// BaseVersion is the place in the sender's updates on which these build, and
-	// Receiver the origin number of the process that has all up to there.
+	// BaseVersion is the version of the sender's table that Updates are relative
+	// to, ExpectedReceiver the origin ID of the process that has that version.
 	BaseVersion      uint64 `msgpack:"s,omitempty"`
 	ExpectedReceiver uint64 `msgpack:"e,omitempty"`
-	// Follow asks for what the answerer knows of all other instances.
+	// Follow requests the updates of all other instances that the receiver knows.
 	Follow bool `msgpack:"o,omitempty"`
-	// Hub is set by a hub. The answerer passes the state of others on to the
-	// hubs.
+	// Hub is set if the sender is a hub. A receiver forwards the updates of its
+	// followers to the hubs, but not those that a hub sent it.
 	Hub bool `msgpack:"b,omitempty"`
-	// ReceivedCursor is the place in the answerer's updates up to which the sender
-	// has them.
+	// ReceivedCursor is the position up to which the sender has the receiver's
+	// updates.
 	ReceivedCursor UpdateCursor `msgpack:"r"`
 }
 
-// UpdateCursor is a place in the updates that one instance passes on.
+// UpdateCursor is a position in the updates that one instance sends.
 type UpdateCursor struct {
 	//lint:ignore U1000 the codec reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	// Table is the origin number of the instance that passes them on.
+	// Table is the origin ID of the sending process.
 	Table   uint64
 	Version uint64
 }
 
-// InstanceUpdate is the state of one instance, as it or another one reports it.
+// InstanceUpdate is the state of one instance, sent by itself or forwarded.
 type InstanceUpdate struct {
-	// Origin is a number for the incarnation of the instance.
+	// Origin is the ID of the incarnation that the state is of.
 	Origin uint64
-	// Seq counts the updates that the origin has made.
+	// Seq is the sequence number that the origin gave the update.
 	Seq uint64
-	// AgeMillis is how many milliseconds ago the origin made this one.
+	// AgeMillis is how long ago the origin made the update.
 	AgeMillis int64
-	// Identity is nil where the receiver has it.
+	// Identity is nil if the receiver has it already.
 	Identity *Identity
 	State    InstanceState
-	// Spent is what the origin has admitted since its start, by account, as far
-	// as it has changed.
+	// Spent has the changed totals of tokens that the origin has admitted since its
+	// start, by account.
 	Spent map[string]float64
-	// FirstEvent is the number of the first event; an origin numbers its own
-	// from 1 on.
+	// FirstEvent is the number of the first event; each origin numbers its events
+	// from 1.
 	FirstEvent uint64
 	Events     []InstanceEvent
 }
 
-// InstanceState is the part of an update that replaces the one before.
+// InstanceState is the part of an update that replaces its predecessor as a whole.
 type InstanceState struct {
-	// Capacity is the hubs' work that the instance can do beside its own.
+	// Capacity is the instance's spare capacity for the work of a hub.
 	Capacity int
-	// Leaving is set by an instance that takes no more requests.
+	// Leaving is set by an instance that is draining.
 	Leaving bool
-	// StoreUnreachable is set by an instance that does not reach the store.
+	// StoreUnreachable is set by an instance that cannot reach the store.
 	StoreUnreachable bool
-	// OrderLease is the record of the lease for orders, by its holder; nil for others.
+	// OrderLease is the record of the order lease if the origin holds it.
 	OrderLease *OrderLeaseRecord
-	// ConfigVersion is the configuration that the origin has; 0 for none.
+	// ConfigVersion is the version of the origin's configuration; 0 for none.
 	ConfigVersion int64
-	// Loads is what the origin has running, by target.
+	// Loads is the load from requests that the origin has running, by target.
 	Loads map[string]TargetLoad
-	// LoadingTargets are targets that the origin has ordered to take new weights.
+	// LoadingTargets are the targets that the origin has ordered to load new
+	// weights.
 	LoadingTargets []string
-	// CacheStores are the stores of KV cache that the origin reads.
+	// CacheStores are the KV cache stores whose events the origin reads.
 	CacheStores []CacheStore
-	// SilentTargets are targets that the origin has found to answer nothing.
+	// SilentTargets are the targets from which the origin gets no response.
 	SilentTargets []string
-	// TargetLimits are what the origin knows of the rates that targets state.
+	// TargetLimits are the rate limits that targets have reported to the origin.
 	TargetLimits []TargetLimit
-	// OverdueInstances are the instances of which the origin has no update, with the
-	// milliseconds since the last one, or since they were last announced in the
-	// store. Only the first instance in the order of duties lists them.
+	// OverdueInstances maps the instances without a recent update at the origin to
+	// the milliseconds since their last update or, if later, their last
+	// announcement in the store. Only the instance of highest rank (hubs.Compare)
+	// reports them.
 	OverdueInstances map[string]int64
 }
 
-// Equal says whether two states are the same.
+// Equal reports whether two states are the same.
 func (s *InstanceState) Equal(o *InstanceState) bool {
 	if (s.OrderLease == nil) != (o.OrderLease == nil) || s.OrderLease != nil && *s.OrderLease != *o.OrderLease {
 		return false
@@ -106,99 +108,103 @@
 		slices.Equal(s.TargetLimits, o.TargetLimits)
 }
 
-// InstanceEvent is something that happened at an instance: either a prompt was
-// prefilled or a request broke off.
+// InstanceEvent is either a prefilled prompt or an aborted request.
 type InstanceEvent struct {
 	Prompt *PrefilledPrompt
-	// CrashFingerprint is the fingerprint of a request that broke off at a target; 0 for
-	// none.
+	// CrashFingerprint is the fingerprint of a request whose target broke off the
+	// response; 0 for none.
 	CrashFingerprint uint64
 }
 
-// TargetLoad is what an instance has running at one target.
+// TargetLoad is the load that one instance's requests put on a target.
 type TargetLoad struct {
-	// PendingPromptTokens is the prompt tokens whose first token has not come.
+	// PendingPromptTokens is the number of prompt tokens of requests without a first
+	// output token.
 	PendingPromptTokens int
-	// KVCacheTokens is the tokens of memory that running requests take.
+	// KVCacheTokens is the KV cache memory of running requests, in tokens.
 	KVCacheTokens int
 }
 
-// TargetLimit is the rate that a target states.
+// TargetLimit is the rate limit that a target reports.
 type TargetLimit struct {
 	Target string `msgpack:"t"`
-	Born   int64  `msgpack:"b"`
-	// Rate is the requests a second that it takes from all instances together; 0 for
-	// any number.
+	// Born is the target's start time, which distinguishes its incarnations.
+	Born int64 `msgpack:"b"`
+	// Rate is the number of requests per second that it accepts from all instances
+	// together; 0 for no limit.
 	Rate float64 `msgpack:"r,omitempty"`
-	// Revision counts the changes of the rate.
+	// Revision is incremented with each change of the rate.
 	Revision uint64 `msgpack:"c"`
 }
 
 // PrefilledPrompt is a prompt that a target has prefilled.
 type PrefilledPrompt struct {
 	Target string
-	Born   int64
+	// Born is the target's start time, which distinguishes its incarnations.
+	Born int64
 	// SharedPieces are the hashes of the prompt's shared pieces.
 	SharedPieces []uint64
-	// CachedTokens is what the request has put into the target's cache.
+	// CachedTokens is the number of tokens that the request has added to the target's
+	// cache.
 	CachedTokens int
-	// CacheScope and Pieces are set when the target saves the pieces to a store.
+	// CacheScope and SavedPieces are set if the target saves the pieces to a store.
 	CacheScope  string
 	SavedPieces []uint64
 }
 
-// CacheStore is a store of KV cache that answers.
+// CacheStore is a KV cache store that responds.
 type CacheStore struct {
 	Address string `msgpack:"a"`
-	// BootEpoch tells its starts apart.
+	// BootEpoch differs for each start of the store.
 	BootEpoch int64 `msgpack:"b"`
 }
 
-// ExchangeResponse answers an Exchange.
+// ExchangeResponse is the response to an Exchange.
 type ExchangeResponse struct {
-	// ConfigVersion is the configuration that the answerer has.
+	// ConfigVersion is the version of the responder's configuration; 0 for none.
 	ConfigVersion int64 `msgpack:"v"`
-	// StoreContactAgeMillis is how many milliseconds ago the answerer last heard from
-	// the store what operators wrote, by itself or from a peer; -1 for never.
+	// StoreContactAgeMillis is how long ago the responder, directly or through a
+	// peer, last read the operators' records from the store; -1 for never.
 	StoreContactAgeMillis int64 `msgpack:"a"`
-	// OperatorsOffset is where the answerer would read on in what operators write; -1
-	// before it has read it.
+	// OperatorsOffset is the offset up to which the responder has the operators'
+	// records; -1 if it has not read them yet.
 	OperatorsOffset int64 `msgpack:"o"`
-	// Weights are the weights versions named last, oldest first.
+	// Weights are the most recently named weights versions, oldest first.
 	Weights []NamedWeights `msgpack:"w,omitempty"`
-	// Registrations is what is new of the registrations of targets; nil when the
-	// caller is to have it from another instance.
+	// Registrations are the new target registrations; nil if the caller is to get
+	// them from another instance.
 	Registrations *RegistrationChanges `msgpack:"t,omitempty"`
 	Leaving       bool                 `msgpack:"x,omitempty"`
-	// FleetSize is the number of instances that the answerer knows, itself too. A
-	// caller that knows few of them learns by it that there are hubs.
+	// FleetSize is the number of instances that the responder knows, itself
+	// included. From it, a caller that knows only a few of them learns that the
+	// fleet is large enough to have hubs.
 	FleetSize int `msgpack:"n"`
-	// Updates are the state of all other instances, for a caller that follows,
-	// and Place where they end.
+	// Updates are those of all other instances, for a caller that set Follow, and
+	// Cursor their end.
 	Updates []InstanceUpdate `msgpack:"u,omitempty"`
 	Cursor  UpdateCursor     `msgpack:"p"`
-	// NeedsResync is set when an update built on one that the answerer does not
-	// have: all of it is to be sent again.
+	// NeedsResync is set if the responder lacks what an update is relative to: the
+	// caller must send its whole table again.
 	NeedsResync bool `msgpack:"l,omitempty"`
 }
 
-// RegistrationChanges is what has changed in the registrations of targets since the
-// place that the asker named.
+// RegistrationChanges are the changes in the target registrations since the offset
+// in the request.
 type RegistrationChanges struct {
-	// NextOffset is where to read on after the events.
+	// NextOffset is the offset after the events.
 	NextOffset int64 `msgpack:"n"`
-	// AgeMillis is how many milliseconds ago the answerer read up to there.
+	// AgeMillis is how long ago the responder read up to NextOffset.
 	AgeMillis int64             `msgpack:"a"`
 	Events    []directory.Event `msgpack:"e,omitempty"`
 }
 
-// NamedWeights is a weights version of a model that operators named.
+// NamedWeights is a weights version of a model that operators have named.
 type NamedWeights struct {
 	Model   string `msgpack:"m"`
 	Version int64  `msgpack:"v"`
-	// AgeMillis is how many milliseconds ago it was named, as far as is known.
+	// AgeMillis is how long ago it was named, as far as is known.
 	AgeMillis int64 `msgpack:"a"`
-	// Observed is set when the age comes from an instance that received the version as it
-	// was named. Without it the age is an estimate.
+	// Observed is set if the age comes from an instance that received the version
+	// when it was named; otherwise the age is an estimate.
 	Observed bool `msgpack:"h,omitempty"`
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -9,36 +9,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrameBytes bounds one frame. A peer that announces more is cut off
-// before anything is allocated for it.
+// MaxFrameBytes is the maximum size of a frame. A larger announced length ends
+// the connection before anything is allocated for the frame.
 const MaxFrameBytes = 4 << 20
 
 const headerBytes = 4
 
-// Errors of the frame reader.
+// Errors of reading and writing frames.
 var (
-	// ErrFrameTooLarge: the length in the header is over MaxFrameBytes.
+	// ErrFrameTooLarge: the frame is longer than MaxFrameBytes.
 	ErrFrameTooLarge = errors.New("wire: frame too large")
-	// ErrFrameMalformed: the bytes are no frame.
+	// ErrFrameMalformed: a frame or its body cannot be decoded.
 	ErrFrameMalformed = errors.New("wire: frame malformed")
 )
 
-// Kind names a message, such as "hello" or "rate.ask".
+// Kind identifies the type of a message, such as "hello" or "rate.ask".
 type Kind string
 
 // Frame is one message on a peer connection.
 type Frame struct {
-	// ID pairs an answer with its call; 0 for a one-way message.
+	// ID matches a response to its call; 0 for a one-way message.
 	ID uint64 `msgpack:"i"`
-	// IsResponse is set on the reply to the call with the same ID.
+	// IsResponse is set on the response to the call with the same ID.
 	IsResponse bool `msgpack:"a,omitempty"`
 	Kind       Kind `msgpack:"k"`
-	// Err is the peer's refusal, on an answer only.
+	// Err is set on a response if the peer's handler failed.
 	Err  string             `msgpack:"e,omitempty"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
 }
 
-// NewFrame builds a frame with an encoded body.
+// NewFrame encodes body and returns a frame with it.
 func NewFrame(id uint64, kind Kind, body any) (Frame, error) {
 	var buf bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -51,7 +51,8 @@
 	return Frame{ID: id, Kind: kind, Body: buf.Bytes()}, nil
 }
 
-// DecodeBody decodes the body.
+// DecodeBody decodes the frame's body into a pointer. The error is marked with
+// ErrFrameMalformed.
 func (f Frame) DecodeBody(body any) error {
 	if err := msgpack.Unmarshal(f.Body, body); err != nil {
 		return errors.Mark(errors.Wrapf(err, "decode body kind=%s", f.Kind), ErrFrameMalformed)
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Append encodes the frame behind its 4-byte big-endian length.
+// Append appends the frame to dst, preceded by its 4-byte big-endian length.
 func Append(dst []byte, f Frame) ([]byte, error) {
 	raw, err := msgpack.Marshal(&f)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return append(dst, raw...), nil
 }
 
-// Read reads one frame. io.EOF means that the peer closed between frames.
+// Read reads one frame. It returns io.EOF if the stream ended between frames.
 func Read(r io.Reader) (Frame, error) {
 	var f Frame
 	var head [headerBytes]byte
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -19,9 +19,9 @@
 	is.Equal(got, f)
 }
 
-// A broken or hostile peer announces a frame of 4 GB. The reader refuses at
-// the header: allocating first would let one connection end the process.
-func TestReadRefusesOversizedFrame(t *testing.T) {
+// A faulty or hostile peer announces a frame of 4 GB. Read must fail on the
+// header: allocating the frame first could exhaust the process's memory.
+func TestReadRejectsOversizedFrame(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	is.True(errors.Is(err, ErrFrameTooLarge))
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -1,14 +1,14 @@
 package wire
 
-// KindHeartbeat is a call between entry instances; both sides say what they
-// can spare of the accounts' rates.
+// KindHeartbeat is a call between entry instances. Both sides report how many
+// tokens of the accounts' rates they can give away.
 const KindHeartbeat Kind = "heartbeat"
 
-// Heartbeat is a sender's part in the accounts' rates.
+// Heartbeat reports the sender's share of the accounts' rates.
 type Heartbeat struct {
 	From Identity `msgpack:"f"`
-	// RateShare is the part of all rates that the sender mints now. It only
-	// steers asks for tokens; nothing is spent on its word.
+	// RateShare is the fraction of all rates that the sender generates tokens
+	// for. It only guides token requests; no tokens are spent based on it.
 	RateShare float64 `msgpack:"s"`
 	// Hints are the sender's rate balances.
 	Hints RateHints `msgpack:"h"`
--- a/internal/wire/hello.go
+++ b/internal/wire/hello.go
@@ -1,17 +1,18 @@
 package wire
 
-// Kinds of the handshake that opens each peer connection.
+// Message kinds of the handshake that opens each peer connection.
 const (
 	KindHello Kind = "hello"
 	KindProof Kind = "proof"
 )
 
-// Identity says who a process is. The same instance gets a new incarnation at
-// each start, so answers of an earlier process are never taken for its own.
+// Identity identifies a process. Each start of an instance has a new
+// incarnation, so responses of an earlier process are not attributed to the
+// current one.
 type Identity struct {
-	// Instance is the name from the settings.
+	// Instance is the configured instance name.
 	Instance string `msgpack:"n"`
-	// Incarnation is new at each start.
+	// Incarnation is unique to one start of the instance.
 	Incarnation string `msgpack:"i"`
 	// Address is the peer address, ip:port.
 	Address string `msgpack:"a"`
@@ -24,8 +25,8 @@
 	Nonce []byte   `msgpack:"n"`
 }
 
-// Proof is the second frame: a MAC over both nonces and the sender's
-// identity, keyed by the secret that the instances share.
+// Proof is the second frame in each direction: a MAC over both nonces and the
+// sender's identity, keyed by the secret that the instances share.
 type Proof struct {
 	MAC []byte `msgpack:"m"`
 }
--- a/internal/wire/lease.go
+++ b/internal/wire/lease.go
@@ -1,12 +1,13 @@
 package wire
 
-// KindLeasePromise is a call: a lease holder that cannot reach the log asks
-// the other members of its domain not to take its leases over for a while.
+// KindLeasePromise is a call: a lease holder that cannot reach the log asks the
+// other members of its failure domain not to acquire its leases for a limited
+// time.
 const KindLeasePromise Kind = "lease.promise"
 
-// LeasePromiseRequest asks for a promise about leases of the asker.
+// LeasePromiseRequest requests a promise not to acquire the requester's leases.
 type LeasePromiseRequest struct {
-	// Holder is the asking incarnation.
+	// Holder is the requesting incarnation.
 	Holder string `msgpack:"h"`
 	// Member is the incarnation that the holder expects at this address.
 	Member string `msgpack:"m"`
@@ -15,18 +16,18 @@
 	Leases         []LeaseRef `msgpack:"l"`
 }
 
-// LeaseRef names one lease: a resource and its fencing token.
+// LeaseRef identifies a lease by its resource and fencing token.
 type LeaseRef struct {
 	Resource string `msgpack:"r"`
 	Token    int64  `msgpack:"t"`
 }
 
 // LeasePromiseResponse lists the leases for which the promise is given: until
-// the time is over, the answering process appends no acquire for them.
+// it expires, the responding process appends no acquire record for them.
 type LeasePromiseResponse struct {
-	// Promiser is the answering incarnation.
+	// Promiser is the responding incarnation.
 	Promiser string `msgpack:"b"`
-	// Address is the peer address that the answering process is bound to.
+	// Address is the peer address that the responding process is bound to.
 	Address string     `msgpack:"a"`
 	Leases  []LeaseRef `msgpack:"l"`
 }
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -1,32 +1,33 @@
 package wire
 
-// Kinds of message about membership. None of them is a call.
+// Message kinds of the membership protocol. All are one-way messages.
 const (
-	// KindMemberPing asks a peer to answer with a KindMemberPong.
+	// KindMemberPing requests a KindMemberPong.
 	KindMemberPing Kind = "member.ping"
-	// KindMemberPong answers a ping.
+	// KindMemberPong acknowledges a ping.
 	KindMemberPong Kind = "member.pong"
-	// KindMemberUpdates pushes facts that are new to the sender.
+	// KindMemberUpdates pushes records that are new to the sender.
 	KindMemberUpdates Kind = "member.news"
 )
 
-// DigestBuckets is the number of digests in a ping: facts fall into buckets
-// by the hash of their name, and only buckets that differ are exchanged.
+// DigestBuckets is the number of digests in a ping. Records are assigned to
+// buckets by the hash of their name, and only buckets whose digests differ are
+// exchanged.
 const DigestBuckets = 32
 
-// MemberState is what is known of an entry instance.
+// MemberState is the state of an entry instance.
 type MemberState uint8
 
-// The states of a member. At equal versions the higher one wins.
+// Member states. Between records of equal version the higher state wins.
 const (
 	MemberLive MemberState = iota
 	MemberLeaving
-	// MemberSilent: a peer that watches it hears nothing.
+	// MemberSilent: the peer that monitors it gets no response.
 	MemberSilent
 )
 
-// MemberRecord is one entry instance. A higher Order is a later process under
-// the same name; Version is raised by the process itself.
+// MemberRecord describes an entry instance. A later process under the same name
+// has a higher Generation; Version is raised by the process itself.
 type MemberRecord struct {
 	Identity   Identity    `msgpack:"i"`
 	Generation uint64      `msgpack:"o"`
@@ -34,9 +35,9 @@
 	State      MemberState `msgpack:"s"`
 }
 
-// TargetRecord is one target. Draining, and Gone for one that the list does not
-// name any more, are as of AsOfMillis of the platform's
-// list; Epoch counts the incarnations seen, and Past names the latest ones.
+// TargetRecord describes a target. Draining and Gone (no longer listed) are as
+// of AsOfMillis, the time of the platform's list. Epoch counts the observed
+// incarnations; PastIncarnations holds the most recent earlier ones.
 type TargetRecord struct {
 	Target           string   `msgpack:"t"`
 	Draining         bool     `msgpack:"d,omitempty"`
@@ -49,21 +50,20 @@
 
 // MemberPing is the body of a ping and of a pong.
 type MemberPing struct {
-	// Seq is the ping's number, repeated in the pong.
+	// Seq is the sequence number of the ping, repeated in the pong.
 	Seq  uint64       `msgpack:"q"`
 	From MemberRecord `msgpack:"f"`
-	// RecordCount is how many facts the sender has.
+	// RecordCount is the number of records that the sender has.
 	RecordCount int `msgpack:"n"`
-	// Digests has MemberBuckets entries.
+	// Digests has DigestBuckets entries.
 	Digests []uint32 `msgpack:"g"`
 }
 
-// MemberUpdates carries facts. Taking them in again, or in another order,
-// changes nothing.
+// MemberUpdates carries records. Merging them is idempotent and commutative.
 type MemberUpdates struct {
 	Members []MemberRecord `msgpack:"m,omitempty"`
 	Targets []TargetRecord `msgpack:"t,omitempty"`
-	// AntiEntropy is set on facts sent because digests differ; they are not
-	// pushed on.
+	// AntiEntropy is set on records that are sent because digests differ; the
+	// receiver does not push them further.
 	AntiEntropy bool `msgpack:"x,omitempty"`
 }
--- a/internal/wire/orderlease.go
+++ b/internal/wire/orderlease.go
@@ -1,10 +1,10 @@
 package wire
 
-// KindOrderLease is a call: the holder of the lease for orders that does not
-// reach the store has a peer read or write its record.
+// KindOrderLease is a call: a holder of the order lease that cannot reach the
+// store has a peer read or write the lease record.
 const KindOrderLease Kind = "orderlease"
 
-// OrderLeaseRecord is the record of the lease for orders.
+// OrderLeaseRecord is the stored record of the order lease.
 type OrderLeaseRecord struct {
 	Holder   string `msgpack:"h"`
 	Instance string `msgpack:"i,omitempty"`
@@ -14,18 +14,19 @@
 	End int64 `msgpack:"e"`
 }
 
-// OrderLeaseRequest asks for a read of the record, or for a write on condition that
-// nothing was written since offset At.
+// OrderLeaseRequest requests a read of the record, or a write that succeeds only
+// if nothing was written since ExpectedOffset.
 type OrderLeaseRequest struct {
 	Write          bool             `msgpack:"w,omitempty"`
 	ExpectedOffset int64            `msgpack:"a,omitempty"`
 	Record         OrderLeaseRecord `msgpack:"r"`
 }
 
-// OrderLeaseResponse answers a LeaseCall that reached the store.
+// OrderLeaseResponse is the response to an OrderLeaseRequest that reached the
+// store.
 type OrderLeaseResponse struct {
-	// Record is what was read.
+	// Record is the result of a read.
 	Record OrderLeaseRecord `msgpack:"r"`
-	// Written says that the write was carried out.
+	// Written is set if the write was applied.
 	Written bool `msgpack:"w,omitempty"`
 }
--- a/internal/wire/rate.go
+++ b/internal/wire/rate.go
@@ -1,59 +1,61 @@
 package wire
 
-// Kinds of the rate exchange. KindRateRequest is a call, KindRateReturn a one-way
-// message.
+// Message kinds of the rate exchange. KindRateRequest is a call, KindRateReturn
+// a one-way message.
 const (
 	KindRateRequest Kind = "rate.ask"
 	KindRateReturn  Kind = "rate.return"
 )
 
-// MaxRateItems bounds the accounts in one message of the rate exchange.
+// MaxRateItems is the maximum number of accounts in one message of the rate
+// exchange.
 const MaxRateItems = 64
 
 // RateItem is a number of tokens of one account.
 type RateItem struct {
 	Account string  `msgpack:"a"`
 	Tokens  float64 `msgpack:"n"`
-	// Demand is, in a hint, what the sender's callers asked for lately, in
+	// Demand is used in hints only: the recent demand of the sender's callers in
 	// tokens per second.
 	Demand float64 `msgpack:"d,omitempty"`
-	// WaitedMicros is, in an ask, how long the asker's first request has
-	// been waiting; 0 when none waits.
+	// WaitedMicros is used in requests only: how long the requester's first
+	// queued request has been waiting; 0 if none is queued.
 	WaitedMicros int64 `msgpack:"w,omitempty"`
 }
 
-// RateRequest asks a peer for tokens. The peer debits itself before it answers,
-// so a lost answer loses tokens and never doubles them.
+// RateRequest asks a peer for tokens. The peer debits itself before it responds,
+// so a lost response loses tokens and never duplicates them.
 type RateRequest struct {
-	// From is the asking incarnation.
+	// From is the requesting incarnation.
 	From  string     `msgpack:"f"`
 	Items []RateItem `msgpack:"i"`
 }
 
-// RateGrant answers a RateAsk.
+// RateGrant is the response to a RateRequest.
 type RateGrant struct {
-	// From is the granting incarnation; it binds a later RateReturn to it.
+	// From is the granting incarnation, the only one that accepts a RateReturn
+	// for this grant.
 	From string `msgpack:"f"`
-	// DebitedAtNanos is the granter's own clock at the debit, in nanoseconds. The asker
-	// repeats it in a RateReturn and reads nothing from it.
+	// DebitedAtNanos is the granter's own clock at the debit, in nanoseconds. It
+	// is opaque to the requester, which repeats it in a RateReturn.
 	DebitedAtNanos int64           `msgpack:"t"`
 	Items          []RateGrantItem `msgpack:"i"`
 }
 
-// RateGrantItem is the granted tokens of one account.
+// RateGrantItem is the number of tokens granted for one account.
 type RateGrantItem struct {
 	Account string  `msgpack:"a"`
 	Tokens  float64 `msgpack:"n"`
-	// Remaining is what the granter keeps and would give to this asker; a hint for
-	// later asks.
+	// Remaining is how many more tokens the granter would give to this requester;
+	// a hint for later requests.
 	Remaining float64 `msgpack:"l"`
 }
 
-// RateReturn tells what became of grants: tokens that come back unspent, and
-// tokens that were spent, so that the granter's cap need not stay lowered. It
-// is sent once and never again: a lost one loses tokens.
+// RateReturn reports the use of grants: tokens returned unspent, and tokens
+// spent, for which the granter's cap no longer needs to be lowered. It is sent
+// at most once: losing it loses tokens.
 type RateReturn struct {
-	// To is the granting incarnation; another one drops the message.
+	// To is the granting incarnation; any other drops the message.
 	To    string           `msgpack:"to"`
 	Items []RateReturnItem `msgpack:"i"`
 }
@@ -61,19 +63,19 @@
 // RateReturnItem is about the tokens of one account from one grant.
 type RateReturnItem struct {
 	Account string `msgpack:"a"`
-	// DebitedAtNanos is RateGrant.DebitedAtNanos.
+	// DebitedAtNanos is copied from the RateGrant.
 	DebitedAtNanos int64 `msgpack:"t"`
-	// Unspent tokens come back; they were never spent.
+	// Unspent tokens are returned without having been spent.
 	Unspent float64 `msgpack:"u,omitempty"`
 	// Spent tokens no longer lower the granter's cap.
 	Spent float64 `msgpack:"s,omitempty"`
-	// Refunded tokens come back; they were told as Spent before.
+	// Refunded tokens are returned after they were reported as Spent.
 	Refunded float64 `msgpack:"r,omitempty"`
 }
 
 // RateHints are balances and demands carried on heartbeats, at most
-// MaxRateItems of them, largest balance first. They steer asks and the split
-// over the domains; nothing is spent on their word.
+// MaxRateItems of them, largest balance first. They guide token requests and
+// the split between failure domains; no tokens are spent based on them.
 type RateHints struct {
 	Items []RateItem `msgpack:"i,omitempty"`
 }
--- a/internal/wire/update.go
+++ b/internal/wire/update.go
@@ -5,18 +5,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The codec of updates is written out: hubs encode and followers decode those of
-// the whole fleet several times a second, and most fields of most are empty.
+// Updates have a hand-written codec: hubs encode and followers decode those of the
+// whole fleet several times a second, and most fields are empty in most updates.
 
-// The lengths of the encoded arrays.
+// Lengths of the encoded arrays.
 const (
 	updateFields = 10
 	loadFields   = 3
 	promptFields = 6
 )
 
-// uncommonState is the part of a state that few instances have at a time.
-type uncommonState struct {
+// optionalState holds the fields of InstanceState that are empty for most
+// instances; it is encoded as nil if all are.
+type optionalState struct {
 	Leaving bool              `msgpack:"x,omitempty"`
 	Cut     bool              `msgpack:"y,omitempty"`
 	Orders  *OrderLeaseRecord `msgpack:"o,omitempty"`
@@ -27,11 +28,11 @@
 	Limits  []TargetLimit     `msgpack:"m,omitempty"`
 }
 
-func (s *InstanceState) uncommon() *uncommonState {
+func (s *InstanceState) optional() *optionalState {
 	if !s.Leaving && !s.StoreUnreachable && s.OrderLease == nil && len(s.LoadingTargets)+len(s.CacheStores)+len(s.SilentTargets)+len(s.OverdueInstances)+len(s.TargetLimits) == 0 {
 		return nil
 	}
-	return &uncommonState{s.Leaving, s.StoreUnreachable, s.OrderLease, s.LoadingTargets, s.CacheStores, s.SilentTargets, s.OverdueInstances, s.TargetLimits}
+	return &optionalState{s.Leaving, s.StoreUnreachable, s.OrderLease, s.LoadingTargets, s.CacheStores, s.SilentTargets, s.OverdueInstances, s.TargetLimits}
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -42,7 +43,7 @@
 		e.Encode(u.Identity),
 		e.EncodeInt(int64(u.State.Capacity)), e.EncodeInt(u.State.ConfigVersion),
 		encodeLoads(e, u.State.Loads),
-		e.Encode(u.State.uncommon()),
+		e.Encode(u.State.optional()),
 		encodeSpent(e, u.Spent),
 		encodeEvents(e, u.FirstEvent, u.Events),
 	), "encode update")
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// encodeLoads writes an array of loadFields items for each target.
+// encodeLoads writes a flat array with loadFields items per target.
 func encodeLoads(e *msgpack.Encoder, loads map[string]TargetLoad) error {
 	err := e.EncodeArrayLen(loadFields * len(loads))
 	for target, l := range loads {
@@ -74,9 +75,10 @@
 	return err
 }
 
-// encodeEvents writes the number of the first event before the events.
-func encodeEvents(e *msgpack.Encoder, number uint64, events []InstanceEvent) error {
-	err := firstError(e.EncodeArrayLen(1+len(events)), e.EncodeUint(number))
+// encodeEvents writes an array of the first event's number and the events. An
+// event is an array for a prompt and an integer for a crash.
+func encodeEvents(e *msgpack.Encoder, first uint64, events []InstanceEvent) error {
+	err := firstError(e.EncodeArrayLen(1+len(events)), e.EncodeUint(first))
 	for _, event := range events {
 		if event.Prompt == nil {
 			err = firstError(err, e.EncodeUint(event.CrashFingerprint))
@@ -98,23 +100,24 @@
 	return err
 }
 
-// updateReader reads the parts of an update until one cannot be read.
+// updateReader decodes the fields of an update. After the first error, which it
+// keeps, further reads return zero values.
 type updateReader struct {
 	d   *msgpack.Decoder
 	err error
 }
 
-func read[T any](r *updateReader, decode func() (T, error)) (out T) {
+func readField[T any](r *updateReader, decode func() (T, error)) (out T) {
 	if r.err == nil {
 		out, r.err = decode()
 	}
 	return out
 }
 
-// length reads the length of an array or map. Each item takes a byte or more, so
-// a frame bounds it.
+// length reads the length of an array or map. Each item takes at least one byte, so
+// a length above MaxFrameBytes is malformed.
 func (r *updateReader) length(decode func() (int, error)) int {
-	n := read(r, decode)
+	n := readField(r, decode)
 	if r.err == nil && n > MaxFrameBytes {
 		r.err = errors.Wrapf(ErrFrameMalformed, "length %d", n)
 	}
@@ -124,8 +127,9 @@
 	return max(n, 0)
 }
 
-// maxReserved bounds the items for which there is memory before they are read.
-const maxReserved = 64
+// maxPreallocated bounds the number of items for which memory is allocated before
+// they are read.
+const maxPreallocated = 64
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (u *InstanceUpdate) DecodeMsgpack(d *msgpack.Decoder) error {
@@ -133,11 +137,11 @@
 	if n := r.length(d.DecodeArrayLen); r.err == nil && n != updateFields {
 		return errors.Wrapf(ErrFrameMalformed, "update with %d fields", n)
 	}
-	u.Origin, u.Seq, u.AgeMillis = read(r, d.DecodeUint64), read(r, d.DecodeUint64), read(r, d.DecodeInt64)
+	u.Origin, u.Seq, u.AgeMillis = readField(r, d.DecodeUint64), readField(r, d.DecodeUint64), readField(r, d.DecodeInt64)
 	u.Identity = decodePointer[Identity](r)
-	u.State.Capacity, u.State.ConfigVersion = read(r, d.DecodeInt), read(r, d.DecodeInt64)
+	u.State.Capacity, u.State.ConfigVersion = readField(r, d.DecodeInt), readField(r, d.DecodeInt64)
 	u.State.Loads = r.loads()
-	if s := decodePointer[uncommonState](r); s != nil {
+	if s := decodePointer[optionalState](r); s != nil {
 		u.State.Leaving, u.State.StoreUnreachable, u.State.OrderLease = s.Leaving, s.Cut, s.Orders
 		u.State.LoadingTargets, u.State.CacheStores, u.State.SilentTargets, u.State.OverdueInstances = s.Loading, s.Stores, s.Silent, s.Overdue
 		u.State.TargetLimits = s.Limits
@@ -147,7 +151,7 @@
 	return errors.Wrap(r.err, "decode update")
 }
 
-// decodePointer reads a value, or nil.
+// decodePointer decodes a value or nil.
 func decodePointer[T any](r *updateReader) *T {
 	if r.err != nil {
 		return nil
@@ -172,10 +176,10 @@
 	if n == 0 {
 		return nil
 	}
-	out := make(map[string]TargetLoad, min(n, maxReserved))
+	out := make(map[string]TargetLoad, min(n, maxPreallocated))
 	for range n {
-		target := read(r, r.d.DecodeString)
-		l := TargetLoad{PendingPromptTokens: read(r, r.d.DecodeInt), KVCacheTokens: read(r, r.d.DecodeInt)}
+		target := readField(r, r.d.DecodeString)
+		l := TargetLoad{PendingPromptTokens: readField(r, r.d.DecodeInt), KVCacheTokens: readField(r, r.d.DecodeInt)}
 		if r.err != nil {
 			return nil
 		}
@@ -189,10 +193,10 @@
 	if n == 0 {
 		return nil
 	}
-	out := make(map[string]float64, min(n, maxReserved))
+	out := make(map[string]float64, min(n, maxPreallocated))
 	for range n {
-		account := read(r, r.d.DecodeString)
-		total := read(r, r.d.DecodeFloat64)
+		account := readField(r, r.d.DecodeString)
+		total := readField(r, r.d.DecodeFloat64)
 		if r.err != nil {
 			return nil
 		}
@@ -201,27 +205,27 @@
 	return out
 }
 
-func (r *updateReader) events() (number uint64, out []InstanceEvent) {
+func (r *updateReader) events() (first uint64, out []InstanceEvent) {
 	n := r.length(r.d.DecodeArrayLen) - 1
-	number = read(r, r.d.DecodeUint64)
+	first = readField(r, r.d.DecodeUint64)
 	for i := 0; i < n && r.err == nil; i++ {
 		out = append(out, r.event())
 	}
-	return number, out
+	return first, out
 }
 
 func (r *updateReader) event() InstanceEvent {
-	code := read(r, r.d.PeekCode)
+	code := readField(r, r.d.PeekCode)
 	const firstArray, lastArray = 0x90, 0x9f
 	if code < firstArray || code > lastArray {
-		return InstanceEvent{CrashFingerprint: read(r, r.d.DecodeUint64)}
+		return InstanceEvent{CrashFingerprint: readField(r, r.d.DecodeUint64)}
 	}
 	if n := r.length(r.d.DecodeArrayLen); r.err == nil && n != promptFields {
 		r.err = errors.Wrapf(ErrFrameMalformed, "prompt with %d fields", n)
 	}
 	return InstanceEvent{Prompt: &PrefilledPrompt{
-		Target: read(r, r.d.DecodeString), Born: read(r, r.d.DecodeInt64), SharedPieces: r.numbers(), CachedTokens: read(r, r.d.DecodeInt),
-		CacheScope: read(r, r.d.DecodeString), SavedPieces: r.numbers(),
+		Target: readField(r, r.d.DecodeString), Born: readField(r, r.d.DecodeInt64), SharedPieces: r.numbers(), CachedTokens: readField(r, r.d.DecodeInt),
+		CacheScope: readField(r, r.d.DecodeString), SavedPieces: r.numbers(),
 	}}
 }
 
@@ -230,9 +234,9 @@
 	if n == 0 {
 		return nil
 	}
-	out := make([]uint64, 0, min(n, maxReserved))
+	out := make([]uint64, 0, min(n, maxPreallocated))
 	for i := 0; i < n && r.err == nil; i++ {
-		out = append(out, read(r, r.d.DecodeUint64))
+		out = append(out, readField(r, r.d.DecodeUint64))
 	}
 	return out
 }
--- a/internal/wire/update_test.go
+++ b/internal/wire/update_test.go
@@ -12,8 +12,8 @@
 	"github.com/mastictray/mastictray/internal/propertytest"
 )
 
-// sent is a frame as it comes out of a connection.
-func sent(t *testing.T, f Frame) Frame {
+// roundTrip encodes and decodes a frame.
+func roundTrip(t *testing.T, f Frame) Frame {
 	t.Helper()
 	raw, err := Append(nil, f)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return out
 }
 
-func TestUpdateKeepsAllFields(t *testing.T) {
+func TestUpdateRoundTripKeepsAllFields(t *testing.T) {
 	is := is.New(t)
 	full := InstanceUpdate{
 		Origin: 1 << 60, Seq: 300, AgeMillis: 12, Identity: &Identity{Instance: "a", Incarnation: "b", Address: "c", Domain: "d"},
@@ -45,11 +45,12 @@
 	f, err := NewFrame(1, KindExchange, Exchange{Updates: []InstanceUpdate{full, {Origin: 2, Seq: 1}}})
 	is.NoErr(err)
 	var out Exchange
-	is.NoErr(sent(t, f).DecodeBody(&out))
+	is.NoErr(roundTrip(t, f).DecodeBody(&out))
 	is.Equal(out.Updates, []InstanceUpdate{full, {Origin: 2, Seq: 1}})
 }
 
-// Guards against memory that is reserved for what a broken message announces.
+// Guards against panics and large allocations when a malformed message announces
+// lengths that it does not have.
 func FuzzUpdate(f *testing.F) {
 	good, err := NewFrame(1, KindExchange, Exchange{Updates: []InstanceUpdate{{Origin: 2, Seq: 1, Spent: map[string]float64{"a": 1}}}})
 	if err != nil {
@@ -65,8 +66,8 @@
 	})
 }
 
-// Guards against updates that are encoded and cannot be decoded: an instance whose
-// state has one counts as silent until the state changes.
+// Guards against updates that can be encoded but not decoded: the instance that
+// publishes one would count as silent until its state changes.
 func TestEveryUpdateIsReadAsItWasWritten(t *testing.T) {
 	word := rapid.StringN(0, 40, 300)
 	words := rapid.SliceOfN(word, 0, 40)
@@ -113,20 +114,20 @@
 			rt.Fatal(err)
 		}
 		var out Exchange
-		if err := sent(t, f).DecodeBody(&out); err != nil {
+		if err := roundTrip(t, f).DecodeBody(&out); err != nil {
 			rt.Fatal(err)
 		}
-		for _, read := range out.Updates {
-			if !sameUpdate(u, read) {
-				rt.Fatalf("read %+v, written %+v", read, u)
+		for _, decoded := range out.Updates {
+			if !sameUpdate(u, decoded) {
+				rt.Fatalf("decoded %+v, encoded %+v", decoded, u)
 			}
 		}
 	})
 }
 
-// sameUpdate compares updates; what is empty may be nil.
+// sameUpdate compares updates, treating nil and empty maps and slices as equal.
 func sameUpdate(a, b InstanceUpdate) bool {
-	again := func(u InstanceUpdate) string {
+	normalized := func(u InstanceUpdate) string {
 		if len(u.Spent) == 0 {
 			u.Spent = nil
 		}
@@ -148,7 +149,7 @@
 		}
 		return string(raw)
 	}
-	return again(a) == again(b)
+	return normalized(a) == normalized(b)
 }
 
 func TestMain(m *testing.M) { propertytest.Main(m, propertytest.DefaultChecks) }
