--- a/internal/storeindex/index.go
+++ b/internal/storeindex/index.go
@@ -1,12 +1,13 @@
-// Package storeindex keeps what stores of KV cache are known to hold.
+// Package storeindex tracks the contents of KV cache stores.
 //
-// Model servers evict cached pieces within seconds: the own part of each
-// prompt, which nobody asks for again, pushes out openings that are. A piece
-// that a server saved to a store is fetched from there in milliseconds instead
-// of being computed again. The index of a store follows its events; saves are
-// noted at once, since events come late.
+// Model servers evict cached pieces within seconds: the unique part of each
+// prompt, which is never requested again, displaces shared prefixes, which are.
+// A piece that a server saved to a store can be fetched from there in
+// milliseconds instead of being computed again. The index of a store follows
+// the store's events. Since events arrive late, saves are recorded as soon as
+// they are known.
 //
-// The package is pure.
+// The package does no I/O and does not read the clock.
 package storeindex
 
 import (
@@ -17,105 +18,107 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// Event tells that the store has taken in a piece or dropped it.
+// Event states that the store has added or evicted a piece.
 type Event struct {
 	Scope  string
 	Piece  prefix.Hash
 	Stored bool
 }
 
-// EventBatch is an answer of the store to the question what has changed.
+// EventBatch is the store's response to a poll for events.
 type EventBatch struct {
-	// BootEpoch changes when the store starts anew, without any piece.
+	// BootEpoch changes when the store restarts, which empties it.
 	BootEpoch int64
-	// Next is where to ask on.
+	// Next is the position from which to poll next.
 	Next int64
-	// Gap is set when events are missing before these.
+	// Gap is set if events before these were lost.
 	Gap    bool
 	Events []Event
 }
 
-// Index is the pieces that one store holds. It is not safe for concurrent use.
+// Index is the set of pieces in one store. It is not safe for concurrent use.
 type Index struct {
-	boot  int64
-	alive bool
-	// follows is set while this process reads the store's events itself.
-	follows bool
-	held    map[uint64]time.Duration // when the piece was last told of
+	bootEpoch int64
+	reachable bool
+	// following is set while this process reads the store's events itself.
+	following bool
+	storedAt  map[uint64]time.Duration // last save or event, by pieceKey
 }
 
 const (
-	// maxHeld bounds the pieces remembered: several times what a store of some
-	// million tokens holds.
-	maxHeld = 1 << 16
-	// unfollowedFor is how long a save counts where nobody tells of evictions:
-	// about the time in which a busy store replaces all that it holds.
-	unfollowedFor = 15 * time.Second
+	// maxPieces bounds the index: several times the pieces of a store of some
+	// million tokens.
+	maxPieces = 1 << 16
+	// unfollowedTTL is how long a piece counts as stored if this process does not
+	// read the store's events and so gets no evictions: about the time in which a
+	// busy store replaces its whole content.
+	unfollowedTTL = 15 * time.Second
 )
 
-// New makes an index of a store that has not answered yet.
-func New() *Index { return &Index{held: map[uint64]time.Duration{}} }
+// New returns the index of a store that has not responded yet.
+func New() *Index { return &Index{storedAt: map[uint64]time.Duration{}} }
 
-// Apply takes in news. After a restart or a gap only what is told from then on
-// counts: a piece counted on and not there costs a fetch in vain.
-func (x *Index) Apply(now time.Duration, n EventBatch) {
-	x.follows = true
-	x.MarkReachable(n.BootEpoch)
-	if n.Gap || len(x.held) > maxHeld {
-		clear(x.held)
+// Apply applies a batch of events. A restart or a gap clears the index first, since
+// each piece that is wrongly expected in the store costs a failed fetch.
+func (x *Index) Apply(now time.Duration, batch EventBatch) {
+	x.following = true
+	x.MarkReachable(batch.BootEpoch)
+	if batch.Gap || len(x.storedAt) > maxPieces {
+		clear(x.storedAt)
 	}
-	for _, e := range n.Events {
+	for _, e := range batch.Events {
 		if e.Stored {
-			x.held[key(e.Scope, e.Piece)] = now
+			x.storedAt[pieceKey(e.Scope, e.Piece)] = now
 		} else {
-			delete(x.held, key(e.Scope, e.Piece))
+			delete(x.storedAt, pieceKey(e.Scope, e.Piece))
 		}
 	}
 }
 
-// MarkReachable takes in that the store was seen to answer, by this instance or by a
-// peer, and which of its starts it was.
-func (x *Index) MarkReachable(boot int64) {
-	if boot != x.boot {
-		clear(x.held)
+// MarkReachable records that the store responded to this instance or to a peer. A new
+// boot epoch clears the index.
+func (x *Index) MarkReachable(bootEpoch int64) {
+	if bootEpoch != x.bootEpoch {
+		clear(x.storedAt)
 	}
-	x.boot, x.alive = boot, true
+	x.bootEpoch, x.reachable = bootEpoch, true
 }
 
-// MarkUnreachable takes in that the store does not answer: a fetch from it would cost
-// each request some hundred milliseconds.
-func (x *Index) MarkUnreachable() { x.alive = false }
+// MarkUnreachable records that the store does not respond. Nothing counts as stored
+// then: a fetch attempt would delay each request by some hundred milliseconds.
+func (x *Index) MarkUnreachable() { x.reachable = false }
 
-// Reachable says whether the store answers, and which of its starts it is.
-func (x *Index) Reachable() (boot int64, ok bool) { return x.boot, x.alive }
+// Reachable reports whether the store responds, and its boot epoch.
+func (x *Index) Reachable() (bootEpoch int64, ok bool) { return x.bootEpoch, x.reachable }
 
-// StopFollowing notes that this process no longer reads the store's events.
-func (x *Index) StopFollowing() { x.follows = false }
+// StopFollowing records that this process no longer reads the store's events.
+func (x *Index) StopFollowing() { x.following = false }
 
-// RecordSave notes that a model server saves these pieces.
+// RecordSave records that a model server is saving pieces to the store.
 func (x *Index) RecordSave(now time.Duration, scope string, pieces []prefix.Hash) {
-	if len(x.held) > maxHeld {
-		clear(x.held)
+	if len(x.storedAt) > maxPieces {
+		clear(x.storedAt)
 	}
 	for _, p := range pieces {
-		x.held[key(scope, p)] = now
+		x.storedAt[pieceKey(scope, p)] = now
 	}
 }
 
-// LeadingStored is the number of leading pieces that the store holds.
+// LeadingStored returns how many of the pieces, counted from the first, the store has
+// without a gap.
 func (x *Index) LeadingStored(now time.Duration, scope string, pieces []prefix.Hash) int {
-	if !x.alive {
+	if !x.reachable {
 		return 0
 	}
 	for i, p := range pieces {
-		at, ok := x.held[key(scope, p)]
-		if !ok || !x.follows && now-at > unfollowedFor {
+		at, ok := x.storedAt[pieceKey(scope, p)]
+		if !ok || !x.following && now-at > unfollowedTTL {
 			return i
 		}
 	}
 	return len(pieces)
 }
 
-func key(scope string, piece prefix.Hash) uint64 {
+func pieceKey(scope string, piece prefix.Hash) uint64 {
 	return uint64(prefix.Join(prefix.Hash(xxhash.Sum64String(scope)), piece))
 }
