--- a/internal/hubs/hubs.go
+++ b/internal/hubs/hubs.go
@@ -1,17 +1,19 @@
-// Package hubs chooses with which other instances an instance exchanges state.
+// Package hubs selects the peers with which an instance exchanges state.
 //
-// A small fleet is a full mesh: each instance calls each other one. In a larger
-// one, the messages of one instance would grow with the fleet, and so would the
-// age of what it knows. There, each failure domain has a few hubs: an instance
-// follows one hub of its domain, which passes its state on, and answers with
-// what it knows of all; the hubs of all domains call each other.
+// A small fleet is a full mesh: each instance calls every other one. In a larger
+// fleet the message load of an instance would grow with the fleet, and with it
+// the age of its information. There, each failure domain has a few hubs. Every
+// other instance follows one hub of its domain: the hub forwards the instance's
+// state and responds with the state of all others. The hubs of all domains call
+// each other.
 //
-// Every instance chooses by itself, by the same order over those that it takes
-// to be alive. Two that see different ones choose different hubs for a while.
-// Nothing depends on their agreement: any instance answers one that follows it,
-// and copies of state are replaced by newer ones only (package replica).
+// Each instance selects hubs independently, by the same ranking of the instances
+// that it considers reachable. Instances with different views select different
+// hubs for a while. Correctness does not depend on agreement: any instance
+// responds to one that follows it, and a copy of state is only replaced by a
+// newer one (package replica).
 //
-// The package is pure.
+// The package does no I/O and does not read the clock.
 package hubs
 
 import (
@@ -22,31 +24,31 @@
 )
 
 const (
-	// MaxMeshSize is the largest fleet in which each instance calls each other one.
+	// MaxMeshSize is the size of the largest fleet that is a full mesh.
 	MaxMeshSize = 20
-	// minHubs is the hubs of a failure domain, so that the loss of one leaves
-	// another that knows as much.
-	minHubs = 2
-	// followersPerHub bounds the instances that one hub answers.
+	// minHubsPerDomain leaves a failure domain that loses a hub another one with the
+	// same state.
+	minHubsPerDomain = 2
+	// followersPerHub is the maximum number of instances of a domain per hub.
 	followersPerHub = 24
-	// maxProbes bounds the calls to instances without an update that a hub makes
-	// at a time.
+	// maxProbes bounds the calls that a hub makes in one round to instances of its
+	// domain without a recent update.
 	maxProbes = 4
-	// maxTries bounds the hubs that an instance calls at a time while some do
-	// not answer.
-	maxTries = 8
+	// maxFollowCalls bounds the calls that a follower makes in one round while
+	// earlier ones are late.
+	maxFollowCalls = 8
 )
 
-// Instance is what the order of duties depends on.
+// Instance has the properties by which instances are ranked.
 type Instance struct {
 	Name   string
 	Domain string
-	// Capacity is the hubs' work that it can do beside its own.
+	// Capacity is its spare capacity for the work of a hub.
 	Capacity int
 }
 
-// Compare orders instances by which of them takes a duty first: those that bear
-// it best, then by name.
+// Compare ranks instances for the work of a hub, the first one being preferred: by
+// descending capacity, then by name.
 func Compare(a, b Instance) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Name, b.Name))
 }
@@ -54,73 +56,72 @@
 // Peer is another instance as this one sees it.
 type Peer struct {
 	Instance
-	// Reachable says that it may be called with a good chance of an answer: there is
-	// a recent update of it, or it was found in the store and not called yet.
+	// Reachable is set if a call is likely to succeed: there is a recent update of
+	// the peer, or it was found in the store and has not been called yet.
 	Reachable bool
-	// Fresh says that there is a recent update of it.
+	// Fresh is set if there is a recent update of the peer.
 	Fresh bool
-	// CallInFlight says that a call to it is under way; CallLate that this takes longer
-	// than usual.
+	// CallInFlight is set while a call to the peer is in flight, CallLate once that
+	// takes longer than usual.
 	CallInFlight, CallLate bool
 }
 
-// Call is a call to make now.
+// Call is a call to make in this round.
 type Call struct {
 	Name string
-	// Follow asks for all that the peer knows.
+	// Follow requests the state of all instances that the peer knows.
 	Follow bool
 }
 
-// Plan is what an instance is to do now.
+// Plan is an instance's role and its calls in one round.
 type Plan struct {
-	// Mesh is set where each instance calls each other one.
+	// Mesh is set if the fleet is a full mesh.
 	Mesh bool
-	// Hub says that this instance is a hub.
+	// Hub is set if this instance is a hub; in a mesh each one is.
 	Hub   bool
 	Calls []Call
 }
 
-// PlanCalls plans the calls of an instance in a fleet of that size, which may be
-// larger than what it knows of. turn counts its plans.
-func PlanCalls(self Instance, peers []Peer, fleet, turn int) Plan {
+// PlanCalls plans the calls of an instance in one round. fleetSize may be larger than
+// the number of known peers; round counts the calls to PlanCalls.
+func PlanCalls(self Instance, peers []Peer, fleetSize, round int) Plan {
 	peers = slices.SortedFunc(slices.Values(peers), func(a, b Peer) int { return Compare(a.Instance, b.Instance) })
-	if fleet <= MaxMeshSize {
-		return mesh(peers)
+	if fleetSize <= MaxMeshSize {
+		return meshPlan(peers)
 	}
 	byDomain := map[string][]Peer{}
 	for _, x := range peers {
 		byDomain[x.Domain] = append(byDomain[x.Domain], x)
 	}
-	own, n := alive(byDomain[self.Domain]), HubsPerDomain(1+len(byDomain[self.Domain]))
+	own, n := reachablePeers(byDomain[self.Domain]), HubsPerDomain(1+len(byDomain[self.Domain]))
 	var p Plan
-	if countBefore(self, own) >= n {
-		p.follow(self, own[:n], own)
+	if countRankedBefore(self, own) >= n {
+		p.followHub(self, own[:n], own)
 		return p
 	}
 	p.Hub = true
-	for _, x := range first(own, n-1) {
-		p.call(x, true)
+	for _, x := range firstN(own, n-1) {
+		p.addCall(x, true)
 	}
-	p.probe(byDomain[self.Domain], turn)
+	p.probeSilentPeers(byDomain[self.Domain], round)
 	delete(byDomain, self.Domain)
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-		p.reach(byDomain[domain], turn)
+		p.callDomainHubs(byDomain[domain], round)
 	}
 	return p
 }
 
-// mesh calls all peers.
-func mesh(peers []Peer) Plan {
+// meshPlan returns a plan that calls all peers.
+func meshPlan(peers []Peer) Plan {
 	p := Plan{Mesh: true, Hub: true}
 	for _, x := range peers {
-		p.call(x, false)
+		p.addCall(x, false)
 	}
 	return p
 }
 
-// countBefore counts the peers that come before an instance in the order of
-// duties.
-func countBefore(self Instance, peers []Peer) int {
+// countRankedBefore counts the peers that rank before an instance.
+func countRankedBefore(self Instance, peers []Peer) int {
 	n := 0
 	for _, x := range peers {
 		if Compare(x.Instance, self) < 0 {
@@ -130,81 +131,81 @@
 	return n
 }
 
-// HubsPerDomain is the number of hubs of a failure domain with so many instances.
+// HubsPerDomain returns the number of hubs of a failure domain.
 func HubsPerDomain(instances int) int {
-	return max(minHubs, (instances+followersPerHub-1)/followersPerHub)
+	return max(minHubsPerDomain, (instances+followersPerHub-1)/followersPerHub)
 }
 
-// call adds a call, unless one is under way.
-func (p *Plan) call(x Peer, follow bool) {
+// addCall adds a call unless one to the peer is in flight.
+func (p *Plan) addCall(x Peer, follow bool) {
 	if !x.CallInFlight {
 		p.Calls = append(p.Calls, Call{Name: x.Name, Follow: follow})
 	}
 }
 
-// follow calls one hub. Instances start at different hubs, so that each has its
-// part. While calls are late, twice as many instances are called with each of
-// them: many may be gone at once.
-func (p *Plan) follow(self Instance, hubs, own []Peer) {
-	late, calling := 0, false
+// followHub calls one hub. Followers start at different hubs to spread the load.
+// Each late call doubles the number of calls, since many instances may be lost at
+// once; the other instances of the domain are called when the hubs are exhausted.
+func (p *Plan) followHub(self Instance, hubs, own []Peer) {
+	late, waiting := 0, false
 	for _, x := range own {
 		if x.CallLate {
 			late++
 		}
-		calling = calling || x.CallInFlight && !x.CallLate
+		waiting = waiting || x.CallInFlight && !x.CallLate
 	}
-	if calling {
+	if waiting {
 		return
 	}
-	at := int(number(self.Name) % uint32(len(hubs)))
-	order := append(slices.Clone(hubs[at:]), hubs[:at]...)
-	order = append(order, own[len(hubs):]...)
-	want := min(1<<late, maxTries)
-	for _, x := range order {
-		if len(p.Calls) < want && !x.CallLate {
-			p.call(x, true)
+	start := int(hashName(self.Name) % uint32(len(hubs)))
+	candidates := append(slices.Clone(hubs[start:]), hubs[:start]...)
+	candidates = append(candidates, own[len(hubs):]...)
+	calls := min(1<<late, maxFollowCalls)
+	for _, x := range candidates {
+		if len(p.Calls) < calls && !x.CallLate {
+			p.addCall(x, true)
 		}
 	}
 }
 
-// probe asks some members of the own domain without an update for all that they
-// know. Either they have not found this instance, or this one takes others for
-// silent, as after a suspension, and is not the hub that it seems to be.
-func (p *Plan) probe(members []Peer, turn int) {
+// probeSilentPeers follows some instances of the own domain that have no recent update.
+// Either they have not found this instance yet, or this one has no recent updates of
+// anyone, as after a suspension, and only seems to be a hub.
+func (p *Plan) probeSilentPeers(members []Peer, round int) {
 	silent := slices.DeleteFunc(slices.Clone(members), func(x Peer) bool { return x.Fresh })
-	p.rotate(silent, maxProbes, true, turn)
+	p.callRotating(silent, maxProbes, true, round)
 }
 
-// reach calls the hubs of another domain. Where none is known to be alive, it was
-// cut off or lost: its first members are called, which are its hubs if they are
-// alive, and the others in turn.
-func (p *Plan) reach(members []Peer, turn int) {
+// callDomainHubs calls the hubs of another domain. If none of its instances counts as
+// reachable, the domain was partitioned or lost. Then it calls those that rank first,
+// which are the hubs if they are up, and some of the others in rotation.
+func (p *Plan) callDomainHubs(members []Peer, round int) {
 	n := HubsPerDomain(len(members))
-	hubs := first(alive(members), n)
+	hubs := firstN(reachablePeers(members), n)
 	if len(hubs) == 0 {
-		hubs = first(members, n)
-		p.rotate(members[len(hubs):], n, false, turn)
+		hubs = firstN(members, n)
+		p.callRotating(members[len(hubs):], n, false, round)
 	}
 	for _, x := range hubs {
-		p.call(x, false)
+		p.addCall(x, false)
 	}
 }
 
-// rotate calls some of the peers, others at each turn.
-func (p *Plan) rotate(peers []Peer, n int, follow bool, turn int) {
+// callRotating calls n of the peers, different ones in each round.
+func (p *Plan) callRotating(peers []Peer, n int, follow bool, round int) {
 	for i := range min(n, len(peers)) {
-		p.call(peers[(turn*n+i)%len(peers)], follow)
+		p.addCall(peers[(round*n+i)%len(peers)], follow)
 	}
 }
 
-// alive are the peers that will probably answer.
-func alive(peers []Peer) []Peer {
+// reachablePeers returns the peers that are likely to respond.
+func reachablePeers(peers []Peer) []Peer {
 	return slices.DeleteFunc(slices.Clone(peers), func(x Peer) bool { return !x.Reachable })
 }
 
-func first(peers []Peer, n int) []Peer { return peers[:min(n, len(peers))] }
+func firstN(peers []Peer, n int) []Peer { return peers[:min(n, len(peers))] }
 
-func number(name string) uint32 {
+func hashName(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum32()
