--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,54 +12,55 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// writeTimeout bounds one write. A peer that stops reading (frozen) would
+// writeTimeout bounds one write. A frozen peer, which does not read, would
 // otherwise block every sender that shares the connection.
 const writeTimeout = 2 * time.Second
 
-// maxServing bounds the calls of one peer that are served at once. More wait
-// in the connection, so a peer gone wild cannot pile up goroutines here.
-const maxServing = 256
+// maxConcurrentCalls bounds the frames of one connection that are handled at a time.
+// Beyond that the connection is not read, so a misbehaving peer cannot cause an
+// unbounded number of goroutines.
+const maxConcurrentCalls = 256
 
 // Errors of a call.
 var (
-	// ErrBroken: the connection ended before the answer came; the peer may
-	// have acted on the call.
+	// ErrBroken: the connection ended before the response arrived; the peer may
+	// have executed the call.
 	ErrBroken = errors.New("peer: connection broken")
-	// ErrRefused: the peer answered with an error.
+	// ErrRefused: the peer responded with an error.
 	ErrRefused = errors.New("peer: refused")
 )
 
-// conn is one authenticated connection, used in both directions.
+// conn is an authenticated connection, used for calls in both directions.
 type conn struct {
-	raw  net.Conn
-	r    *bufio.Reader
-	from wire.Identity
+	raw    net.Conn
+	r      *bufio.Reader
+	remote wire.Identity
 
 	writeMu sync.Mutex
 	buf     []byte
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]chan wire.Frame
+	pending map[uint64]chan wire.Frame
 	broken  bool
 
-	serving chan struct{}
-	done    chan struct{}
+	serveSlots chan struct{}
+	done       chan struct{}
 }
 
 func newConn(raw net.Conn, r *bufio.Reader, from wire.Identity) *conn {
 	return &conn{
-		raw:     raw,
-		r:       r,
-		from:    from,
-		waiting: make(map[uint64]chan wire.Frame),
-		serving: make(chan struct{}, maxServing),
-		done:    make(chan struct{}),
+		raw:        raw,
+		r:          r,
+		remote:     from,
+		pending:    make(map[uint64]chan wire.Frame),
+		serveSlots: make(chan struct{}, maxConcurrentCalls),
+		done:       make(chan struct{}),
 	}
 }
 
-// write sends one frame. Any error breaks the connection: a frame may have
-// been written in part, after which nothing on it can be read.
+// write sends one frame. A failed write closes the connection: the frame may have
+// been written in part, after which the peer cannot find the next frame.
 func (c *conn) write(f wire.Frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -74,50 +75,51 @@
 	}
 	if _, err := c.raw.Write(raw); err != nil {
 		c.raw.Close()
-		return errors.Wrapf(err, "write frame kind=%s peer=%s", f.Kind, c.from.Address)
+		return errors.Wrapf(err, "write frame kind=%s peer=%s", f.Kind, c.remote.Address)
 	}
 	return nil
 }
 
-// call sends a frame and waits for the answer with its ID. An answer that
-// comes after the caller gave up finds no waiter and is dropped, so it can
-// never be taken for the answer to a later call.
+// call sends a frame and waits for the response with its ID. IDs are not reused: a
+// response that arrives after the caller gave up is dropped and cannot be taken
+// for that to a later call.
 func (c *conn) call(ctx context.Context, f wire.Frame) (wire.Frame, error) {
 	wait := make(chan wire.Frame, 1)
 	c.mu.Lock()
 	if c.broken {
 		c.mu.Unlock()
-		return wire.Frame{}, errors.Wrapf(ErrBroken, "peer=%s", c.from.Address)
+		return wire.Frame{}, errors.Wrapf(ErrBroken, "peer=%s", c.remote.Address)
 	}
 	c.nextID++
 	f.ID = c.nextID
-	c.waiting[f.ID] = wait
+	c.pending[f.ID] = wait
 	c.mu.Unlock()
-	defer c.forget(f.ID)
+	defer c.removePending(f.ID)
 
 	if err := c.write(f); err != nil {
 		return wire.Frame{}, errors.Mark(err, ErrBroken)
 	}
 	select {
-	case ans := <-wait:
-		if ans.Err != "" {
-			return ans, errors.Wrapf(ErrRefused, "kind=%s peer=%s: %s", f.Kind, c.from.Address, ans.Err)
+	case resp := <-wait:
+		if resp.Err != "" {
+			return resp, errors.Wrapf(ErrRefused, "kind=%s peer=%s: %s", f.Kind, c.remote.Address, resp.Err)
 		}
-		return ans, nil
+		return resp, nil
 	case <-c.done:
-		return wire.Frame{}, errors.Wrapf(ErrBroken, "kind=%s peer=%s", f.Kind, c.from.Address)
+		return wire.Frame{}, errors.Wrapf(ErrBroken, "kind=%s peer=%s", f.Kind, c.remote.Address)
 	case <-ctx.Done():
-		return wire.Frame{}, errors.Wrapf(ctx.Err(), "kind=%s peer=%s", f.Kind, c.from.Address)
+		return wire.Frame{}, errors.Wrapf(ctx.Err(), "kind=%s peer=%s", f.Kind, c.remote.Address)
 	}
 }
 
-func (c *conn) forget(id uint64) {
+func (c *conn) removePending(id uint64) {
 	c.mu.Lock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 	c.mu.Unlock()
 }
 
-// run reads frames until the connection ends.
+// run reads frames until the connection ends. serve returns the response and whether
+// one is to be sent.
 func (c *conn) run(serve func(wire.Identity, wire.Frame) (wire.Frame, bool)) {
 	defer c.close()
 	for {
@@ -126,23 +128,23 @@
 			return
 		}
 		if f.IsResponse {
-			c.deliver(f)
+			c.deliverResponse(f)
 			continue
 		}
-		c.serving <- struct{}{}
+		c.serveSlots <- struct{}{}
 		go func() {
-			defer func() { <-c.serving }()
-			if ans, ok := serve(c.from, f); ok {
-				_ = c.write(ans)
+			defer func() { <-c.serveSlots }()
+			if resp, ok := serve(c.remote, f); ok {
+				_ = c.write(resp)
 			}
 		}()
 	}
 }
 
-func (c *conn) deliver(f wire.Frame) {
+func (c *conn) deliverResponse(f wire.Frame) {
 	c.mu.Lock()
-	wait := c.waiting[f.ID]
-	delete(c.waiting, f.ID)
+	wait := c.pending[f.ID]
+	delete(c.pending, f.ID)
 	c.mu.Unlock()
 	if wait != nil {
 		wait <- f
@@ -160,7 +162,7 @@
 	c.raw.Close()
 }
 
-func (c *conn) alive() bool {
+func (c *conn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.broken
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer carries wire frames between entry instances over TCP: one
-// connection to each peer address, opened when first needed and again after
-// it breaks, with calls and one-way messages multiplexed on it.
+// Package peer carries wire frames between instances over TCP. There is one
+// outgoing connection per peer address, dialled on first use and again after it
+// breaks. Calls and one-way messages of both sides are multiplexed on it.
 package peer
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -18,11 +18,11 @@
 	handshakeTimeout = 2 * time.Second
 )
 
-// ErrUntrusted: the other side does not know the shared secret.
-var ErrUntrusted = errors.New("peer: proof does not match")
+// ErrUntrusted: the remote side did not prove knowledge of the shared secret.
+var ErrUntrusted = errors.New("peer: proof of the shared secret does not match")
 
-// role separates the two directions of the proof, so that a stranger cannot
-// answer a challenge with the proof it was just sent.
+// role is covered by the MAC, so that a proof cannot be reflected: without it, an
+// attacker could respond to a challenge with the proof that it was just sent.
 type role byte
 
 const (
@@ -30,7 +30,7 @@
 	roleListener role = 'l'
 )
 
-func (r role) other() role {
+func (r role) opposite() role {
 	if r == roleDialer {
 		return roleListener
 	}
@@ -38,52 +38,52 @@
 }
 
 // handshake exchanges identities and proves knowledge of the shared secret in
-// both directions. It returns the other side's identity.
+// both directions. It returns the remote side's identity.
 func handshake(c net.Conn, r *bufio.Reader, self wire.Identity, secret []byte, as role) (wire.Identity, error) {
 	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return wire.Identity{}, errors.Wrap(err, "handshake: set deadline")
 	}
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
-		return wire.Identity{}, errors.Wrap(err, "handshake: nonce")
+		return wire.Identity{}, errors.Wrap(err, "handshake: generate nonce")
 	}
-	if err := writeBody(c, wire.KindHello, wire.Hello{From: self, Nonce: nonce}); err != nil {
-		return wire.Identity{}, errors.Wrapf(err, "handshake: hello peer=%s", c.RemoteAddr())
+	if err := writeMessage(c, wire.KindHello, wire.Hello{From: self, Nonce: nonce}); err != nil {
+		return wire.Identity{}, errors.Wrapf(err, "handshake: send hello peer=%s", c.RemoteAddr())
 	}
 	var hello wire.Hello
-	if err := readBody(r, wire.KindHello, &hello); err != nil {
-		return wire.Identity{}, errors.Wrapf(err, "handshake: hello peer=%s", c.RemoteAddr())
+	if err := readMessage(r, wire.KindHello, &hello); err != nil {
+		return wire.Identity{}, errors.Wrapf(err, "handshake: receive hello peer=%s", c.RemoteAddr())
 	}
-	own := proof(secret, as, self, nonce, hello.Nonce)
-	if err := writeBody(c, wire.KindProof, wire.Proof{MAC: own}); err != nil {
-		return wire.Identity{}, errors.Wrapf(err, "handshake: proof peer=%s", c.RemoteAddr())
+	own := proofMAC(secret, as, self, nonce, hello.Nonce)
+	if err := writeMessage(c, wire.KindProof, wire.Proof{MAC: own}); err != nil {
+		return wire.Identity{}, errors.Wrapf(err, "handshake: send proof peer=%s", c.RemoteAddr())
 	}
-	var theirs wire.Proof
-	if err := readBody(r, wire.KindProof, &theirs); err != nil {
-		return wire.Identity{}, errors.Wrapf(err, "handshake: proof peer=%s", c.RemoteAddr())
+	var remote wire.Proof
+	if err := readMessage(r, wire.KindProof, &remote); err != nil {
+		return wire.Identity{}, errors.Wrapf(err, "handshake: receive proof peer=%s", c.RemoteAddr())
 	}
-	want := proof(secret, as.other(), hello.From, hello.Nonce, nonce)
-	if !hmac.Equal(theirs.MAC, want) {
+	want := proofMAC(secret, as.opposite(), hello.From, hello.Nonce, nonce)
+	if !hmac.Equal(remote.MAC, want) {
 		return wire.Identity{}, errors.Wrapf(ErrUntrusted, "peer=%s", c.RemoteAddr())
 	}
 	return hello.From, errors.Wrap(c.SetDeadline(time.Time{}), "handshake: clear deadline")
 }
 
-// proof is the MAC that a side sends: over its role, its identity, its own
-// nonce and the other side's.
-func proof(secret []byte, as role, from wire.Identity, own, other []byte) []byte {
+// proofMAC returns the MAC that a side sends: over its role, its identity, its own
+// nonce and the remote side's.
+func proofMAC(secret []byte, as role, from wire.Identity, ownNonce, remoteNonce []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte{byte(as)})
 	for _, part := range []string{from.Instance, from.Incarnation, from.Address, from.Domain} {
 		m.Write([]byte(part))
 		m.Write([]byte{0})
 	}
-	m.Write(own)
-	m.Write(other)
+	m.Write(ownNonce)
+	m.Write(remoteNonce)
 	return m.Sum(nil)
 }
 
-func writeBody(c net.Conn, kind wire.Kind, body any) error {
+func writeMessage(c net.Conn, kind wire.Kind, body any) error {
 	f, err := wire.NewFrame(0, kind, body)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return err
 }
 
-func readBody(r *bufio.Reader, kind wire.Kind, body any) error {
+func readMessage(r *bufio.Reader, kind wire.Kind, body any) error {
 	f, err := wire.Read(r)
 	if err != nil {
 		return err
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -13,21 +13,21 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Handler answers one call or takes one one-way message. The returned body is
-// sent as the answer of a call. It runs in its own goroutine; ctx ends when
-// the node closes.
+// Handler handles a call or a one-way message. For a call, the returned body or
+// error is sent as the response. Each frame is handled in its own goroutine; ctx is
+// cancelled when the node closes.
 type Handler func(ctx context.Context, from wire.Identity, f wire.Frame) (any, error)
 
-// Options of a node.
+// Options configure a Node.
 type Options struct {
 	Self wire.Identity
-	// Secret is shared by all entry instances; at least 16 bytes.
+	// Secret is shared by all instances; at least 16 bytes.
 	Secret []byte
-	// TLS, when set, wraps every connection in both directions.
+	// TLS, if set, secures both inbound and outbound connections.
 	TLS *tls.Config
 }
 
-// Node is this process on the peer network.
+// Node is this process's endpoint of the peer network.
 type Node struct {
 	opts     Options
 	handlers map[wire.Kind]Handler
@@ -36,22 +36,22 @@
 	wg       sync.WaitGroup
 
 	mu       sync.Mutex
-	conns    map[string]*conn // dialled, by address
+	conns    map[string]*conn // outbound, by address
 	inbound  map[*conn]struct{}
-	dialing  map[string]*dial
+	dialing  map[string]*dialAttempt
 	listener net.Listener
 	closed   bool
 }
 
-// dial is one attempt to connect that several callers wait for.
-type dial struct {
+// dialAttempt is an attempt to connect, shared by concurrent callers.
+type dialAttempt struct {
 	done chan struct{}
 	c    *conn
 	err  error
 }
 
-// NewNode returns a node that is not listening yet. Register handlers before
-// Listen.
+// NewNode returns a node that is not listening yet. Handlers must be registered
+// before Serve and before the first call.
 func NewNode(opts Options) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Node{
@@ -61,17 +61,18 @@
 		cancel:   cancel,
 		conns:    make(map[string]*conn),
 		inbound:  make(map[*conn]struct{}),
-		dialing:  make(map[string]*dial),
+		dialing:  make(map[string]*dialAttempt),
 	}
 }
 
-// Handle registers the handler of a kind.
+// Handle registers the handler for a kind of message.
 func (n *Node) Handle(kind wire.Kind, h Handler) { n.handlers[kind] = h }
 
-// Self is this process's identity.
+// Self returns this process's identity.
 func (n *Node) Self() wire.Identity { return n.opts.Self }
 
-// Serve accepts peers on the listener until the node closes.
+// Serve accepts peer connections on a listener in the background until the node
+// closes.
 func (n *Node) Serve(l net.Listener) {
 	n.mu.Lock()
 	n.listener = l
@@ -105,7 +106,7 @@
 		return
 	}
 	c := newConn(raw, r, from)
-	if !n.track(c) {
+	if !n.trackInbound(c) {
 		raw.Close()
 		return
 	}
@@ -115,7 +116,7 @@
 	n.mu.Unlock()
 }
 
-func (n *Node) track(c *conn) bool {
+func (n *Node) trackInbound(c *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -126,53 +127,54 @@
 }
 
 func (n *Node) serve(from wire.Identity, f wire.Frame) (wire.Frame, bool) {
-	ans := wire.Frame{ID: f.ID, IsResponse: true, Kind: f.Kind}
+	resp := wire.Frame{ID: f.ID, IsResponse: true, Kind: f.Kind}
 	h, ok := n.handlers[f.Kind]
 	if !ok {
-		ans.Err = "unknown kind"
-		return ans, f.ID != 0
+		resp.Err = "unknown message kind"
+		return resp, f.ID != 0
 	}
 	body, err := h(n.ctx, from, f)
 	if f.ID == 0 {
-		return ans, false
+		return resp, false
 	}
 	if err != nil {
-		ans.Err = err.Error()
-		return ans, true
+		resp.Err = err.Error()
+		return resp, true
 	}
-	full, err := wire.NewFrame(f.ID, f.Kind, body)
+	withBody, err := wire.NewFrame(f.ID, f.Kind, body)
 	if err != nil {
-		ans.Err = err.Error()
-		return ans, true
+		resp.Err = err.Error()
+		return resp, true
 	}
-	full.IsResponse = true
-	return full, true
+	withBody.IsResponse = true
+	return withBody, true
 }
 
-// Call sends a message to the peer at addr and decodes its answer. Errors:
-// ErrBroken (the peer may have acted), ErrRefused, or the context's. The
-// answer's sender is returned, since another incarnation may answer at a
-// known address.
-func (n *Node) Call(ctx context.Context, addr string, kind wire.Kind, body, answer any) (wire.Identity, error) {
+// Call makes a call to the peer at addr and decodes the response unless that is nil.
+// It fails with ErrBroken (the peer may have executed the call), ErrRefused, the
+// context's error, or an error of dialling or of the codec. It returns the identity
+// of the responder, since a new incarnation may have taken over the address.
+func (n *Node) Call(ctx context.Context, addr string, kind wire.Kind, body, response any) (wire.Identity, error) {
 	c, err := n.connect(ctx, addr)
 	if err != nil {
 		return wire.Identity{}, err
 	}
 	f, err := wire.NewFrame(0, kind, body)
 	if err != nil {
-		return c.from, err
+		return c.remote, err
 	}
-	ans, err := c.call(ctx, f)
+	resp, err := c.call(ctx, f)
 	if err != nil {
-		return c.from, err
+		return c.remote, err
 	}
-	if answer == nil {
-		return c.from, nil
+	if response == nil {
+		return c.remote, nil
 	}
-	return c.from, ans.DecodeBody(answer)
+	return c.remote, resp.DecodeBody(response)
 }
 
-// Send sends a one-way message; nil says only that it was written.
+// Send sends a one-way message. A nil error means only that it was written to the
+// connection.
 func (n *Node) Send(ctx context.Context, addr string, kind wire.Kind, body any) error {
 	c, err := n.connect(ctx, addr)
 	if err != nil {
@@ -185,11 +187,11 @@
 	return c.write(f)
 }
 
-// connect returns the live connection to addr, or dials one. Callers that
-// come while a dial runs share it.
+// connect returns the open connection to addr or dials one. Concurrent callers share
+// one dial.
 func (n *Node) connect(ctx context.Context, addr string) (*conn, error) {
 	n.mu.Lock()
-	if c := n.conns[addr]; c != nil && c.alive() {
+	if c := n.conns[addr]; c != nil && c.isOpen() {
 		n.mu.Unlock()
 		return c, nil
 	}
@@ -197,27 +199,27 @@
 		n.mu.Unlock()
 		return nil, errors.Wrapf(ErrBroken, "node closed peer=%s", addr)
 	}
-	d := n.dialing[addr]
-	if d == nil {
-		d = &dial{done: make(chan struct{})}
-		n.dialing[addr] = d
+	attempt := n.dialing[addr]
+	if attempt == nil {
+		attempt = &dialAttempt{done: make(chan struct{})}
+		n.dialing[addr] = attempt
 		n.wg.Add(1)
 		go func() {
 			defer n.wg.Done()
-			n.dial(addr, d)
+			n.dial(addr, attempt)
 		}()
 	}
 	n.mu.Unlock()
 	select {
-	case <-d.done:
-		return d.c, d.err
+	case <-attempt.done:
+		return attempt.c, attempt.err
 	case <-ctx.Done():
 		return nil, errors.Wrapf(ctx.Err(), "dial peer=%s", addr)
 	}
 }
 
-func (n *Node) dial(addr string, d *dial) {
-	c, err := n.open(addr)
+func (n *Node) dial(addr string, attempt *dialAttempt) {
+	c, err := n.dialPeer(addr)
 	n.mu.Lock()
 	delete(n.dialing, addr)
 	if err == nil && n.closed {
@@ -233,11 +235,11 @@
 		}()
 	}
 	n.mu.Unlock()
-	d.c, d.err = c, err
-	close(d.done)
+	attempt.c, attempt.err = c, err
+	close(attempt.done)
 }
 
-func (n *Node) open(addr string) (*conn, error) {
+func (n *Node) dialPeer(addr string) (*conn, error) {
 	dialer := net.Dialer{Timeout: handshakeTimeout}
 	raw, err := dialer.DialContext(n.ctx, "tcp", addr)
 	if err != nil {
@@ -255,7 +257,7 @@
 	return newConn(raw, r, from), nil
 }
 
-// Close ends every connection and waits for the node's goroutines.
+// Close closes the listener and all connections and waits for the node's goroutines.
 func (n *Node) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -273,9 +275,8 @@
 	n.wg.Wait()
 }
 
-// Drop ends the connection to an address. A call that got no answer in time
-// may have gone into a connection that is silent for good while a new one
-// would work.
+// Drop closes the connection to an address. After a call that timed out, the
+// connection may be dead although a new one would work.
 func (n *Node) Drop(addr string) {
 	n.mu.Lock()
 	c := n.conns[addr]
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -26,7 +26,7 @@
 			return nil, err
 		}
 		if s == "refuse" {
-			return nil, errors.New("not today")
+			return nil, errors.New("refused by the handler")
 		}
 		return from.Instance + ":" + s, nil
 	})
@@ -35,7 +35,7 @@
 	return n, l.Addr().String()
 }
 
-func TestCallAnswersAndRefuses(t *testing.T) {
+func TestCallReturnsResponseOrRefusal(t *testing.T) {
 	is := is.New(t)
 	a, _ := startNode(t, "a", "0123456789abcdef")
 	_, addr := startNode(t, "b", "0123456789abcdef")
@@ -48,18 +48,18 @@
 	is.True(errors.Is(err, ErrRefused))
 }
 
-// A stranger without the shared secret dials the peer port. Without the proof
-// it could hand out rate tokens or claim results; it must get no call through.
-func TestStrangerIsRefused(t *testing.T) {
+// A process without the shared secret dials the peer port. If its calls were
+// served, it could grant rate tokens or store claim results.
+func TestPeerWithoutSecretIsRejected(t *testing.T) {
 	is := is.New(t)
-	stranger, _ := startNode(t, "x", "another secret..")
+	untrusted, _ := startNode(t, "x", "another secret..")
 	_, addr := startNode(t, "b", "0123456789abcdef")
-	_, err := stranger.Call(context.Background(), addr, kindEcho, "hi", nil)
+	_, err := untrusted.Call(context.Background(), addr, kindEcho, "hi", nil)
 	is.True(err != nil)
 }
 
-// A peer is restarted at the same address. The first call after that finds a
-// broken connection; the one behind it reaches the new process, not the old.
+// A peer restarts at the same address. Calls may fail on the broken connection, but
+// then reach the new process.
 func TestReconnectsAfterPeerRestart(t *testing.T) {
 	is := is.New(t)
 	a, _ := startNode(t, "a", "0123456789abcdef")
@@ -69,10 +69,10 @@
 	b.Close()
 	l, err := net.Listen("tcp", addr)
 	is.NoErr(err)
-	again := NewNode(Options{Self: wire.Identity{Instance: "b2"}, Secret: []byte("0123456789abcdef")})
-	again.Handle(kindEcho, func(context.Context, wire.Identity, wire.Frame) (any, error) { return "new", nil })
-	again.Serve(l)
-	defer again.Close()
+	restarted := NewNode(Options{Self: wire.Identity{Instance: "b2"}, Secret: []byte("0123456789abcdef")})
+	restarted.Handle(kindEcho, func(context.Context, wire.Identity, wire.Frame) (any, error) { return "new", nil })
+	restarted.Serve(l)
+	defer restarted.Close()
 	var got string
 	for range 10 {
 		if _, err = a.Call(context.Background(), addr, kindEcho, "hi", &got); err == nil {
