--- a/internal/configsync/delta.go
+++ b/internal/configsync/delta.go
@@ -14,34 +14,36 @@
 
 // Errors of Apply.
 var (
-	// ErrBaseMismatch: the encoding builds on another configuration.
-	ErrBaseMismatch = errors.New("configsync: builds on another configuration")
-	// ErrDigestMismatch: the result is not what the sender has.
+	// ErrBaseMismatch: the delta is from a configuration that is not here.
+	ErrBaseMismatch = errors.New("configsync: delta is from another configuration")
+	// ErrDigestMismatch: the result differs from the sender's configuration.
 	ErrDigestMismatch = errors.New("configsync: digest does not match")
-	// ErrTooLarge: the encoding expands to more than maxDeltaBytes.
-	ErrTooLarge = errors.New("configsync: too large")
+	// ErrTooLarge: the encoding decompresses to more than maxDeltaBytes.
+	ErrTooLarge = errors.New("configsync: delta too large")
 )
 
-// maxDeltaBytes bounds what an encoding may expand to.
+// maxDeltaBytes is the maximum size of a decompressed delta.
 const maxDeltaBytes = 64 << 20
 
-// delta is what a configuration differs by from its base.
+// delta is the difference between a configuration and its base. It is encoded under the
+// names of its fields.
 type delta struct {
 	Base, Target wire.ConfigRef
 	Limits       routing.Limits
-	Routes       []edit[routing.Route]
-	Services     []edit[routing.Service]
-	Accounts     []edit[routing.Account]
+	Routes       []segment[routing.Route]
+	Services     []segment[routing.Service]
+	Accounts     []segment[routing.Account]
 }
 
-// edit is a run of a list: items of the base, then new ones.
-type edit[T any] struct {
+// segment is a part of a list: a run of Count items of the base, then new items. It is
+// encoded under the names of its fields.
+type segment[T any] struct {
 	From, Count int
 	Items       []T
 }
 
-// encode writes what next differs by from base.
-func encode(base, next *Snapshot) ([]byte, error) {
+// encodeDelta encodes and compresses the difference between base and next.
+func encodeDelta(base, next *Snapshot) ([]byte, error) {
 	d := delta{
 		Base: base.Ref, Target: next.Ref, Limits: next.Config.Limits,
 		Routes:   diff(base.routes, next.routes, next.Config.Routes),
@@ -62,56 +64,57 @@
 	return out.Bytes(), nil
 }
 
-// diff lists the runs of next by the items' digests.
-func diff[T any](base, next []uint64, items []T) []edit[T] {
-	at := make(map[uint64]int, len(base))
+// diff returns the segments that make up a list. base and next are the digests of the
+// items of both lists, items those of the new one.
+func diff[T any](base, next []uint64, items []T) []segment[T] {
+	baseIndex := make(map[uint64]int, len(base))
 	for i, d := range base {
-		at[d] = i
+		baseIndex[d] = i
 	}
-	var out []edit[T]
+	var out []segment[T]
 	for i, d := range next {
-		from, known := at[d]
+		from, inBase := baseIndex[d]
 		last := len(out) - 1
 		switch {
-		case !known && last < 0:
-			out = append(out, edit[T]{Items: items[i : i+1]})
-		case !known:
-			e := &out[last]
-			e.Items = items[i-len(e.Items) : i+1]
+		case !inBase && last < 0:
+			out = append(out, segment[T]{Items: items[i : i+1]})
+		case !inBase:
+			s := &out[last]
+			s.Items = items[i-len(s.Items) : i+1]
 		case last >= 0 && len(out[last].Items) == 0 && out[last].From+out[last].Count == from:
 			out[last].Count++
 		default:
-			out = append(out, edit[T]{From: from, Count: 1})
+			out = append(out, segment[T]{From: from, Count: 1})
 		}
 	}
 	return out
 }
 
-// Apply builds a configuration from an encoding and the one that is here, which may
-// be nil.
-func Apply(have *Snapshot, raw []byte) (*Snapshot, error) {
-	d, err := decode(raw)
+// Apply decodes a configuration. current is the receiver's configuration, nil for
+// none; the encoding must be complete or a delta from it.
+func Apply(current *Snapshot, raw []byte) (*Snapshot, error) {
+	d, err := decodeDelta(raw)
 	if err != nil {
 		return nil, err
 	}
-	base := empty
-	if d.Base != empty.Ref {
-		base = have
+	base := emptySnapshot
+	if d.Base != emptySnapshot.Ref {
+		base = current
 	}
 	if base == nil || d.Base != base.Ref {
 		return nil, errors.Wrapf(ErrBaseMismatch, "version=%d", d.Base.Version)
 	}
 	s := &Snapshot{Config: &routing.Config{Version: d.Target.Version, Limits: d.Limits}}
-	if s.Config.Routes, s.routes, err = patch(base.Config.Routes, base.routes, d.Routes); err != nil {
+	if s.Config.Routes, s.routes, err = applySegments(base.Config.Routes, base.routes, d.Routes); err != nil {
 		return nil, err
 	}
-	if s.Config.Services, s.services, err = patch(base.Config.Services, base.services, d.Services); err != nil {
+	if s.Config.Services, s.services, err = applySegments(base.Config.Services, base.services, d.Services); err != nil {
 		return nil, err
 	}
-	if s.Config.Accounts, s.accounts, err = patch(base.Config.Accounts, base.accounts, d.Accounts); err != nil {
+	if s.Config.Accounts, s.accounts, err = applySegments(base.Config.Accounts, base.accounts, d.Accounts); err != nil {
 		return nil, err
 	}
-	if err := s.seal(); err != nil {
+	if err := s.computeRef(); err != nil {
 		return nil, err
 	}
 	if s.Ref != d.Target {
@@ -120,30 +123,30 @@
 	return s, nil
 }
 
-func decode(raw []byte) (*delta, error) {
+func decodeDelta(raw []byte) (*delta, error) {
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), maxDeltaBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "expand configuration")
+		return nil, errors.Wrap(err, "decompress configuration delta")
 	}
 	if len(content) > maxDeltaBytes {
 		return nil, ErrTooLarge
 	}
 	var d delta
-	return &d, errors.Wrap(msgpack.Unmarshal(content, &d), "decode configuration")
+	return &d, errors.Wrap(msgpack.Unmarshal(content, &d), "decode configuration delta")
 }
 
-// patch makes a list and its digests from runs.
-func patch[T any](base []T, known []uint64, edits []edit[T]) (items []T, sums []uint64, err error) {
-	for _, e := range edits {
-		if e.From < 0 || e.Count < 0 || e.From > len(base)-e.Count {
-			return nil, nil, errors.Wrapf(ErrBaseMismatch, "items %d to %d of %d", e.From, e.From+e.Count, len(base))
+// applySegments returns the list described by segments and the digests of its items.
+func applySegments[T any](base []T, baseDigests []uint64, segments []segment[T]) (items []T, sums []uint64, err error) {
+	for _, s := range segments {
+		if s.From < 0 || s.Count < 0 || s.From > len(base)-s.Count {
+			return nil, nil, errors.Wrapf(ErrBaseMismatch, "items %d to %d of %d", s.From, s.From+s.Count, len(base))
 		}
-		items = append(append(items, base[e.From:e.From+e.Count]...), e.Items...)
-		added, err := digests(e.Items)
+		items = append(append(items, base[s.From:s.From+s.Count]...), s.Items...)
+		added, err := digests(s.Items)
 		if err != nil {
 			return nil, nil, err
 		}
-		sums = append(append(sums, known[e.From:e.From+e.Count]...), added...)
+		sums = append(append(sums, baseDigests[s.From:s.From+s.Count]...), added...)
 	}
 	return items, sums, nil
 }
--- a/internal/configsync/delta_test.go
+++ b/internal/configsync/delta_test.go
@@ -16,7 +16,8 @@
 
 func TestMain(m *testing.M) { propertytest.Main(m, 200) }
 
-// testRoute is a route whose texts do not repeat those of others.
+// testRoute returns a route whose strings compress badly together with those of other
+// routes.
 func testRoute(i int) routing.Route {
 	return routing.Route{
 		Name: fmt.Sprintf("route-%05d-%x", i, i*i*2654435761), Host: fmt.Sprintf("host-%d.example", i%20), Prefix: fmt.Sprintf("/p%x/", i*i*40503),
@@ -46,7 +47,7 @@
 	return s
 }
 
-func TestConfigurationIsTheSameAfterItsTransfer(t *testing.T) {
+func TestDeltaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		base := testConfig(1, rapid.IntRange(0, 30).Draw(rt, "routes"))
 		next := *base
@@ -59,12 +60,12 @@
 			next.Accounts = next.Accounts[:1]
 		}
 		from, to := snapshotOf(t, base), snapshotOf(t, &next)
-		for name, have := range map[string]*Snapshot{"difference": from, "whole": nil} {
-			was := have
-			if was == nil {
-				was = empty
+		for name, have := range map[string]*Snapshot{"delta": from, "complete": nil} {
+			encodeBase := have
+			if encodeBase == nil {
+				encodeBase = emptySnapshot
 			}
-			raw, err := encode(was, to)
+			raw, err := encodeDelta(encodeBase, to)
 			if err != nil {
 				rt.Fatal(name, err)
 			}
@@ -79,7 +80,7 @@
 	})
 }
 
-// editRoutes removes, moves, changes, repeats or adds a route.
+// editRoutes removes, moves, changes, duplicates or adds a route.
 func editRoutes(rt *rapid.T, c *routing.Config) {
 	n := len(c.Routes)
 	at := rapid.IntRange(0, n).Draw(rt, "at")
@@ -99,12 +100,12 @@
 	}
 }
 
-// Guards against configurations that are put together from a base of the same
-// version with other content.
-func TestEncodingIsRefusedOnAnotherBase(t *testing.T) {
+// Guards against applying a delta to a base of the same version with different
+// content.
+func TestDeltaIsRejectedOnAnotherBase(t *testing.T) {
 	is := is.New(t)
 	base, next := snapshotOf(t, testConfig(1, 10)), snapshotOf(t, testConfig(2, 11))
-	raw, err := encode(base, next)
+	raw, err := encodeDelta(base, next)
 	is.NoErr(err)
 	_, err = Apply(nil, raw)
 	is.True(errors.Is(err, ErrBaseMismatch))
@@ -114,18 +115,18 @@
 	is.True(err != nil)
 	other := *base
 	other.routes = slices.Clone(base.routes)
-	other.routes[3]++ // its items are not what its reference says
+	other.routes[3]++ // its reference does not match its items
 	_, err = Apply(&other, raw)
 	is.True(errors.Is(err, ErrDigestMismatch))
 }
 
-// Guards against changes of one route that cost as much as the whole.
-func TestChangeCostsWhatChanged(t *testing.T) {
+// Guards against deltas whose size depends on that of the configuration.
+func TestDeltaSizeDependsOnChange(t *testing.T) {
 	is := is.New(t)
 	before := testConfig(1, 3000)
 	after := testConfig(2, 3001)
 	after.Routes[1500].Timeout++
-	raw, err := encode(snapshotOf(t, before), snapshotOf(t, after))
+	raw, err := encodeDelta(snapshotOf(t, before), snapshotOf(t, after))
 	is.NoErr(err)
 	is.True(len(raw) < 1000)
 }
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -1,13 +1,12 @@
-// Package configsync brings a new configuration from one instance to another in
-// bounded parts.
+// Package configsync transfers new configurations between instances in bounded parts.
 //
-// A configuration grows with its routes and accounts, the time of one call between
-// instances does not. So a receiver asks for one part after the other, keeps what it
-// has, and goes on with another sender where one is lost: the encoding of a version
-// is the same at all instances. It holds what differs from a version that the
-// receiver has, and a digest of the whole tells whether that worked. Both sides keep
-// transfers below a share of their link, so that the small messages beside them are
-// not late.
+// The size of a configuration grows with its routes and accounts, but the timeout of
+// a call between instances does not. A receiver therefore requests one part after
+// another. If a sender fails, the receiver keeps its parts and continues with another
+// sender: all instances encode a version identically. The encoding is a delta from a
+// version that the receiver has; a digest of the whole configuration verifies the
+// result. Both sides limit transfers to a share of their link, so that they do not
+// delay the small messages on it.
 //
-// The package is pure.
+// The package does no I/O and does not read the clock.
 package configsync
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -13,25 +13,25 @@
 
 const (
 	simDomains = 3
-	// simSmall and simLarge are what links carry in bytes a second, after other
-	// traffic has taken its part.
-	simSmall = 0.6 * 10e6 / 8
-	simLarge = 0.6 * 200e6 / 8
-	simShare = 0.5
-	simDelay = time.Millisecond
-	// simFollow and simHubs are the pauses between two exchanges of a follower with
-	// its hub, and of two hubs.
-	simFollow  = 200 * time.Millisecond
-	simHubs    = 125 * time.Millisecond
-	simMessage = 4_000
-	simTimeout = time.Second
+	// smallLink and largeLink are the rates of links in bytes per second that other
+	// traffic leaves.
+	smallLink     = 0.6 * 10e6 / 8
+	largeLink     = 0.6 * 200e6 / 8
+	transferShare = 0.5
+	linkDelay     = time.Millisecond
+	// followInterval and hubInterval are the intervals between exchanges of a follower
+	// with its hub and between two hubs.
+	followInterval = 200 * time.Millisecond
+	hubInterval    = 125 * time.Millisecond
+	exchangeBytes  = 4_000
+	callTimeout    = time.Second
 )
 
-// simEvent is something to happen.
+// simEvent is a scheduled event. Those of equal time run in the order of seq.
 type simEvent struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 type simQueue []simEvent
@@ -49,109 +49,112 @@
 	return last
 }
 
-// simNode is an instance with a link whose messages go one after another.
+// simNode is an instance with a link that carries one message at a time in each
+// direction.
 type simNode struct {
-	name     string
-	domain   int
-	hub      bool
-	link     float64
-	up, down time.Duration // when the link is free
-	lost     bool
-	sender   *Sender
-	receiver *Receiver
-	have     wire.ConfigRef
-	versions map[*simNode]int64 // what each other one is known to have
-	fetching bool
-	reached  time.Duration
+	name                         string
+	domain                       int
+	hub                          bool
+	link                         float64
+	uplinkFreeAt, downlinkFreeAt time.Duration
+	lost                         bool
+	sender                       *Sender
+	receiver                     *Receiver
+	have                         wire.ConfigRef
+	knownVersions                map[*simNode]int64 // latest known version of each other instance
+	fetching                     bool
+	installedAt                  time.Duration
 }
 
-// simFleet moves configurations through a fleet in simulated time.
+// simFleet simulates the distribution of configurations in a fleet.
 type simFleet struct {
-	t     *testing.T
-	now   time.Duration
-	queue simQueue
-	seq   int
-	nodes []*simNode
-	known map[int64]*Snapshot
-	// slowest is the longest that an exchange has taken since it was last reset.
-	slowest time.Duration
+	t         *testing.T
+	now       time.Duration
+	queue     simQueue
+	seq       int
+	nodes     []*simNode
+	snapshots map[int64]*Snapshot
+	// slowestExchange is the longest duration of an exchange since it was reset.
+	slowestExchange time.Duration
 }
 
 func newSimFleet(t *testing.T, n int) *simFleet {
-	f := &simFleet{t: t, known: map[int64]*Snapshot{}}
+	f := &simFleet{t: t, snapshots: map[int64]*Snapshot{}}
 	for i := range n {
 		x := &simNode{
-			name: fmt.Sprintf("n%03d", i), domain: i % simDomains, hub: i < 2*simDomains, link: simSmall, versions: map[*simNode]int64{},
+			name: fmt.Sprintf("n%03d", i), domain: i % simDomains, hub: i < 2*simDomains, link: smallLink, knownVersions: map[*simNode]int64{},
 		}
 		if x.hub {
-			x.link = simLarge
+			x.link = largeLink
 		}
 		f.restart(x)
 		f.nodes = append(f.nodes, x)
 	}
 	for i, x := range f.nodes {
-		pause := simFollow
+		interval := followInterval
 		if x.hub {
-			pause = simHubs
+			interval = hubInterval
 		}
-		f.after(pause*time.Duration(i)/time.Duration(n), func() { f.exchange(x, pause, i) })
+		f.after(interval*time.Duration(i)/time.Duration(n), func() { f.exchange(x, interval, i) })
 	}
 	return f
 }
 
-// restart makes a new process of an instance.
+// restart replaces an instance's process by a new one without a configuration.
 func (f *simFleet) restart(x *simNode) {
-	x.sender, x.receiver, x.have = NewSender(simShare*x.link), NewReceiver(x.name, x.link, simShare), wire.ConfigRef{}
-	clear(x.versions)
+	x.sender, x.receiver, x.have = NewSender(transferShare*x.link), NewReceiver(x.name, x.link, transferShare), wire.ConfigRef{}
+	clear(x.knownVersions)
 }
 
-func (f *simFleet) after(d time.Duration, do func()) {
+func (f *simFleet) after(d time.Duration, action func()) {
 	f.seq++
-	heap.Push(&f.queue, simEvent{at: f.now + d, seq: f.seq, do: do})
+	heap.Push(&f.queue, simEvent{at: f.now + d, seq: f.seq, action: action})
 }
 
 func (f *simFleet) run(d time.Duration) {
 	for end := f.now + d; len(f.queue) > 0 && f.queue[0].at <= end; {
 		e := heap.Pop(&f.queue).(simEvent)
 		f.now = e.at
-		e.do()
+		e.action()
 	}
 }
 
-// send has bytes go over both links; those of a lost instance go nowhere.
-func (f *simFleet) send(from, to *simNode, bytes int, arrived func()) {
-	out := max(f.now, from.up) + time.Duration(float64(bytes)/from.link*float64(time.Second))
-	from.up = out
-	in := max(out+simDelay, to.down) + time.Duration(float64(bytes)/to.link*float64(time.Second))
-	to.down = in
+// send transmits a message over both links. It does not arrive if either instance is
+// lost.
+func (f *simFleet) send(from, to *simNode, bytes int, onArrival func()) {
+	out := max(f.now, from.uplinkFreeAt) + time.Duration(float64(bytes)/from.link*float64(time.Second))
+	from.uplinkFreeAt = out
+	in := max(out+linkDelay, to.downlinkFreeAt) + time.Duration(float64(bytes)/to.link*float64(time.Second))
+	to.downlinkFreeAt = in
 	f.after(in-f.now, func() {
 		if !to.lost && !from.lost {
-			arrived()
+			onArrival()
 		}
 	})
 }
 
-// exchange makes an exchange of small messages, and the next one after a pause.
-func (f *simFleet) exchange(x *simNode, pause time.Duration, turn int) {
-	f.after(pause, func() { f.exchange(x, pause, turn+1) })
-	peer := f.partner(x, turn)
+// exchange makes an exchange of small messages and schedules the next one.
+func (f *simFleet) exchange(x *simNode, interval time.Duration, round int) {
+	f.after(interval, func() { f.exchange(x, interval, round+1) })
+	peer := f.selectPeer(x, round)
 	if x.lost || peer == x {
 		return
 	}
-	began := f.now
-	f.send(x, peer, simMessage, func() {
-		f.learn(peer, x)
-		f.send(peer, x, simMessage, func() {
-			f.slowest = max(f.slowest, f.now-began)
-			f.learn(x, peer)
+	startedAt := f.now
+	f.send(x, peer, exchangeBytes, func() {
+		f.mergeVersions(peer, x)
+		f.send(peer, x, exchangeBytes, func() {
+			f.slowestExchange = max(f.slowestExchange, f.now-startedAt)
+			f.mergeVersions(x, peer)
 		})
 	})
 }
 
-// partner is one of the hubs: of the own domain for a follower, any for a hub.
-func (f *simFleet) partner(x *simNode, turn int) *simNode {
+// selectPeer returns a hub to exchange with: of the own domain for a follower, of any
+// for a hub; x itself if there is none.
+func (f *simFleet) selectPeer(x *simNode, round int) *simNode {
 	for i := range 2 * simDomains {
-		p := f.nodes[(turn+i)%(2*simDomains)]
+		p := f.nodes[(round+i)%(2*simDomains)]
 		if p != x && !p.lost && (x.hub || p.domain == x.domain) {
 			return p
 		}
@@ -159,32 +162,33 @@
 	return x
 }
 
-// learn has an instance take in what another one has, and what that knows of others.
-func (f *simFleet) learn(x, from *simNode) {
-	x.versions[from] = max(x.versions[from], from.have.Version)
-	for other, v := range from.versions {
+// mergeVersions updates x's knowledge with the version of another instance and with
+// the versions that that one knows of others.
+func (f *simFleet) mergeVersions(x, from *simNode) {
+	x.knownVersions[from] = max(x.knownVersions[from], from.have.Version)
+	for other, v := range from.knownVersions {
 		if other != x {
-			x.versions[other] = max(x.versions[other], v)
+			x.knownVersions[other] = max(x.knownVersions[other], v)
 		}
 	}
-	f.fetch(x)
+	f.fetchPart(x)
 }
 
-// fetch makes the next call for a part, if one is to be made.
-func (f *simFleet) fetch(x *simNode) {
+// fetchPart calls for the next part if the receiver has a request.
+func (f *simFleet) fetchPart(x *simNode) {
 	if x.fetching || x.lost {
 		return
 	}
 	var sources []Source
 	for _, y := range f.nodes {
-		if v := x.versions[y]; v > x.have.Version {
+		if v := x.knownVersions[y]; v > x.have.Version {
 			sources = append(sources, Source{Name: y.name, Version: v, SameDomain: y.domain == x.domain})
 		}
 	}
 	name, call, wait := x.receiver.NextRequest(f.now, x.have, sources)
 	if name == "" {
 		if wait > 0 {
-			f.after(wait, func() { f.fetch(x) })
+			f.after(wait, func() { f.fetchPart(x) })
 		}
 		return
 	}
@@ -202,52 +206,51 @@
 	return nil
 }
 
-const simHead = 200 // bytes of a call without data
+const callOverheadBytes = 200 // size of a request, and of a response without data
 
 func (f *simFleet) call(x, source *simNode, c wire.ConfigPartRequest) {
 	answered := false
-	f.send(x, source, simHead, func() {
+	f.send(x, source, callOverheadBytes, func() {
 		part, err := source.sender.Part(f.now, c)
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.send(source, x, simHead+len(part.Data), func() {
+		f.send(source, x, callOverheadBytes+len(part.Data), func() {
 			if answered {
-				return // after its time
+				return // the call has timed out
 			}
 			answered, x.fetching = true, false
 			if _, done := x.receiver.HandlePart(f.now, part); done {
-				f.put(x, f.known[part.Target.Version])
+				f.install(x, f.snapshots[part.Target.Version])
 			}
-			f.fetch(x)
+			f.fetchPart(x)
 		})
 	})
-	f.after(simTimeout, func() {
+	f.after(callTimeout, func() {
 		if !answered {
 			answered, x.fetching = true, false
 			x.receiver.HandleFailure(f.now)
-			f.fetch(x)
+			f.fetchPart(x)
 		}
 	})
 }
 
-func (f *simFleet) put(x *simNode, s *Snapshot) {
+func (f *simFleet) install(x *simNode, s *Snapshot) {
 	x.sender.AddSnapshot(s)
-	x.have, x.reached = s.Ref, f.now
+	x.have, x.installedAt = s.Ref, f.now
 }
 
-// publish gives all instances the first of two configurations and one of the hubs the
-// second.
+// publish installs the first configuration at all instances and the second one at a hub.
 func (f *simFleet) publish(first, second *Snapshot) {
-	f.known[first.Ref.Version], f.known[second.Ref.Version] = first, second
+	f.snapshots[first.Ref.Version], f.snapshots[second.Ref.Version] = first, second
 	for _, x := range f.nodes {
-		f.put(x, first)
+		f.install(x, first)
 	}
-	f.put(f.nodes[0], second)
+	f.install(f.nodes[0], second)
 }
 
-// last is when the last instance got a version; false while one has not.
-func (f *simFleet) last(version int64) (time.Duration, bool) {
+// lastInstalled returns when the last instance got a version; false if one has not.
+func (f *simFleet) lastInstalled(version int64) (time.Duration, bool) {
 	last := time.Duration(0)
 	for _, x := range f.nodes {
 		if x.lost {
@@ -256,28 +259,28 @@
 		if x.have.Version < version {
 			return 0, false
 		}
-		last = max(last, x.reached)
+		last = max(last, x.installedAt)
 	}
 	return last, true
 }
 
-// Guards against configurations that never come to instances with small links, and
-// against exchanges that are late while one comes.
+// Guards against configurations that do not reach instances with small links in time,
+// and against transfers that delay exchanges.
 func TestConfigurationsReachAFleetOnSmallLinks(t *testing.T) {
-	made := map[int]*Snapshot{}
+	cached := map[int]*Snapshot{}
 	large := func(routes int) *Snapshot {
-		if made[routes] == nil {
-			made[routes] = snapshotOf(t, testConfig(2, routes))
+		if cached[routes] == nil {
+			cached[routes] = snapshotOf(t, testConfig(2, routes))
 		}
-		return made[routes]
+		return cached[routes]
 	}
 	for _, c := range []struct {
 		name          string
 		fleet, routes int
 		change        bool // only one route is new
-		// allowed is the time for knowing of it, and for the bytes.
+		// allowed covers both the announcement of the version and its transfer.
 		allowed time.Duration
-		trouble func(f *simFleet)
+		fault   func(f *simFleet)
 	}{
 		{name: "300 routes", fleet: 61, routes: 300, allowed: time.Second},
 		{name: "3,000 routes", fleet: 61, routes: 3000, allowed: 1500 * ms},
@@ -286,9 +289,9 @@
 		{name: "large fleet, 300 routes", fleet: 195, routes: 300, allowed: time.Second},
 		{name: "large fleet, 3,000 routes", fleet: 195, routes: 3000, allowed: 1500 * ms},
 		{name: "large fleet, 30,000 routes", fleet: 195, routes: 30000, allowed: 4 * time.Second},
-		{name: "sender lost", fleet: 61, routes: 3000, allowed: 3 * time.Second, trouble: func(f *simFleet) { f.nodes[0].lost = true }},
-		{name: "sender slow", fleet: 61, routes: 3000, allowed: 3 * time.Second, trouble: func(f *simFleet) { f.nodes[0].link /= 40 }},
-		{name: "sender restarted", fleet: 61, routes: 3000, allowed: 3 * time.Second, trouble: func(f *simFleet) { f.restart(f.nodes[3]) }},
+		{name: "sender lost", fleet: 61, routes: 3000, allowed: 3 * time.Second, fault: func(f *simFleet) { f.nodes[0].lost = true }},
+		{name: "sender slow", fleet: 61, routes: 3000, allowed: 3 * time.Second, fault: func(f *simFleet) { f.nodes[0].link /= 40 }},
+		{name: "sender restarted", fleet: 61, routes: 3000, allowed: 3 * time.Second, fault: func(f *simFleet) { f.restart(f.nodes[3]) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -298,21 +301,21 @@
 			}
 			f := newSimFleet(t, c.fleet)
 			f.run(2 * time.Second)
-			calm := f.slowest
-			f.slowest = 0
+			baseline := f.slowestExchange
+			f.slowestExchange = 0
 			f.publish(first, second)
-			began := f.now
-			if c.trouble != nil {
-				f.run(400 * ms) // the next hubs have it, most followers have a part
-				c.trouble(f)
+			published := f.now
+			if c.fault != nil {
+				f.run(400 * ms) // other hubs have it by now, most followers a part of it
+				c.fault(f)
 			}
 			f.run(10 * time.Second)
-			last, all := f.last(2)
+			last, all := f.lastInstalled(2)
 			is.True(all)
-			t.Logf("in force at the last after %v; slowest exchange %v, without a transfer %v", last-began, f.slowest, calm)
-			is.True(last-began <= c.allowed)
-			if c.trouble == nil {
-				is.True(f.slowest <= calm+3*partTime)
+			t.Logf("installed everywhere after %v; slowest exchange %v, without a transfer %v", last-published, f.slowestExchange, baseline)
+			is.True(last-published <= c.allowed)
+			if c.fault == nil {
+				is.True(f.slowestExchange <= baseline+3*partDuration)
 			}
 		})
 	}
--- a/internal/configsync/receiver.go
+++ b/internal/configsync/receiver.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// partTime is how long a part takes on the receiver's link: the wait that it
-	// adds to a small message behind it.
-	partTime = 20 * time.Millisecond
-	// minPart and maxPart bound a part in bytes: a call costs more than its bytes on
-	// a fast link.
-	minPart = 4 << 10
-	maxPart = 64 << 10
-	// avoidFor is how long a sender that failed is left for others.
-	avoidFor = 2 * time.Second
-	// activeFor is how long after its last part a transfer counts as making progress.
-	activeFor = 500 * time.Millisecond
-	// never is the time of what has not happened yet.
+	// partDuration is the transmission time of a part on the receiver's link, by which
+	// it delays a small message behind it.
+	partDuration = 20 * time.Millisecond
+	// minPartBytes and maxPartBytes bound the size of a part. On a fast link the
+	// overhead of a call exceeds the transmission time of a small part.
+	minPartBytes = 4 << 10
+	maxPartBytes = 64 << 10
+	// avoidDuration is how long a source is not used after a failure.
+	avoidDuration = 2 * time.Second
+	// activeWindow is how long a transfer counts as active after its last part.
+	activeWindow = 500 * time.Millisecond
+	// never is the time of an event that has not happened.
 	never = -time.Hour
 )
 
@@ -30,70 +30,74 @@
 type Source struct {
 	Name    string
 	Version int64
-	// SameDomain says that it is in the receiver's failure domain.
+	// SameDomain is set if it is in the receiver's failure domain.
 	SameDomain bool
 }
 
-// Receiver fetches the newest configuration that others have, one part at a time. It
-// is not safe for concurrent use.
+// Receiver fetches the newest configuration that other instances have, one part at a
+// time. It is not safe for concurrent use.
 type Receiver struct {
 	name string
-	// limit is the bytes of a part, rate the bytes a second that transfers may take.
-	limit int
-	rate  float64
+	// partBytes is the maximum size of a part, rate the bandwidth limit of transfers
+	// in bytes per second.
+	partBytes int
+	rate      float64
 
-	// transfer is the encoding under way; the zero value for none.
+	// transfer describes the encoding that is being received; zero for none. received
+	// are its bytes so far.
 	transfer wire.ConfigPart
-	got      []byte
-	// source is the sender of the last part, asked the one of the call under way.
-	source, asked string
-	avoided       map[string]time.Duration
-	notBefore     time.Duration
-	progressAt    time.Duration
-	// whole is set while the next transfer must not build on what is here.
-	whole bool
+	received []byte
+	// source sent the last part; pendingSource is that of the call in flight.
+	source, pendingSource string
+	avoidedUntil          map[string]time.Duration
+	nextRequestAt         time.Duration
+	lastPartAt            time.Duration
+	// fullOnly is set while a complete encoding is needed instead of a delta.
+	fullOnly bool
 }
 
-// NewReceiver makes the receiver of an instance whose link carries so many bytes a
-// second; transfers take a share of that.
-func NewReceiver(name string, link, share float64) *Receiver {
-	limit := int(min(max(link*partTime.Seconds(), minPart), maxPart))
-	return &Receiver{name: name, limit: limit, rate: link * share, avoided: map[string]time.Duration{}, progressAt: never}
+// NewReceiver returns the receiver of an instance. linkRate is the rate of the
+// instance's link in bytes per second, share the fraction of it for transfers.
+func NewReceiver(name string, linkRate, share float64) *Receiver {
+	partBytes := int(min(max(linkRate*partDuration.Seconds(), minPartBytes), maxPartBytes))
+	return &Receiver{name: name, partBytes: partBytes, rate: linkRate * share, avoidedUntil: map[string]time.Duration{}, lastPartAt: never}
 }
 
-// NextRequest chooses the next call, if one is to be made now; else it says when to look
-// again, 0 for when there is a new source.
-func (r *Receiver) NextRequest(now time.Duration, have wire.ConfigRef, sources []Source) (source string, c wire.ConfigPartRequest, wait time.Duration) {
+// NextRequest returns the next request and its source. If no request is due, source is
+// empty and wait the time until the next one; 0 if that needs a new source or the
+// result of the call in flight. have is the receiver's configuration.
+func (r *Receiver) NextRequest(now time.Duration, have wire.ConfigRef, sources []Source) (source string, request wire.ConfigPartRequest, wait time.Duration) {
 	if r.transfer.Target.Version <= have.Version || r.transfer.Base != (wire.ConfigRef{}) && r.transfer.Base != have {
-		r.reset()
+		r.resetTransfer()
 	}
-	if r.asked != "" {
-		return "", c, 0
+	if r.pendingSource != "" {
+		return "", request, 0
 	}
-	if now < r.notBefore {
-		return "", c, r.notBefore - now
+	if now < r.nextRequestAt {
+		return "", request, r.nextRequestAt - now
 	}
-	from, wait := r.choose(now, have, sources)
-	if from == "" {
-		return "", c, wait
+	chosen, wait := r.chooseSource(now, have, sources)
+	if chosen == "" {
+		return "", request, wait
 	}
-	r.asked = from
-	if r.whole {
-		have.Digest = 0 // nobody has that one
+	r.pendingSource = chosen
+	if r.fullOnly {
+		have.Digest = 0 // no sender has this base, so the encoding will be complete
 	}
-	return from, wire.ConfigPartRequest{Base: have, Target: r.transfer.Target.Version, Offset: len(r.got), Limit: r.limit}, 0
+	return chosen, wire.ConfigPartRequest{Base: have, Target: r.transfer.Target.Version, Offset: len(r.received), Limit: r.partBytes}, 0
 }
 
-// choose stays with the sender of the last part while it has what is fetched. Else
-// it takes one of those that have the newest, near ones first, and receivers begin
-// at different ones.
-func (r *Receiver) choose(now time.Duration, have wire.ConfigRef, sources []Source) (name string, wait time.Duration) {
+// chooseSource keeps the source of the last part while that has the version being
+// fetched. Otherwise it chooses among the sources of the newest version, preferring
+// those in the own failure domain; each receiver has its own order of equal ones.
+// Without a usable source it returns the time until one is no longer avoided.
+func (r *Receiver) chooseSource(now time.Duration, have wire.ConfigRef, sources []Source) (name string, wait time.Duration) {
 	var usable []Source
 	for _, s := range sources {
 		if s.Version <= have.Version {
 			continue
 		}
-		if until, ok := r.avoided[s.Name]; ok && now < until {
+		if until, ok := r.avoidedUntil[s.Name]; ok && now < until {
 			if wait == 0 || until-now < wait {
 				wait = until - now
 			}
@@ -108,79 +112,81 @@
 		return "", wait
 	}
 	best := slices.MinFunc(usable, func(a, b Source) int {
-		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(distance(a), distance(b)), cmp.Compare(r.order(a), r.order(b)))
+		return cmp.Or(cmp.Compare(b.Version, a.Version), cmp.Compare(domainDistance(a), domainDistance(b)), cmp.Compare(r.sourceOrder(a), r.sourceOrder(b)))
 	})
 	return best.Name, 0
 }
 
-func distance(s Source) int {
+func domainDistance(s Source) int {
 	if s.SameDomain {
 		return 0
 	}
 	return 1
 }
 
-// order is this receiver's own order of the sources.
-func (r *Receiver) order(s Source) uint64 { return xxhash.Sum64String(r.name + "/" + s.Name) }
+// sourceOrder returns a sort key that differs between receivers, to spread the load.
+func (r *Receiver) sourceOrder(s Source) uint64 { return xxhash.Sum64String(r.name + "/" + s.Name) }
 
-// HandlePart takes in an answer. Once the last part is there it gives the encoding.
+// HandlePart handles the response to a request. With the last part it returns the
+// encoding.
 func (r *Receiver) HandlePart(now time.Duration, p wire.ConfigPart) (raw []byte, done bool) {
-	from := r.asked
-	r.asked = ""
+	sender := r.pendingSource
+	r.pendingSource = ""
 	switch {
 	case p.RetryAfterMillis > 0:
-		// Another one may have the configuration and a free link.
-		r.avoided[from] = now + time.Duration(p.RetryAfterMillis)*time.Millisecond
+		// Another source may have the configuration and a free link.
+		r.avoidedUntil[sender] = now + time.Duration(p.RetryAfterMillis)*time.Millisecond
 		return nil, false
 	case p.Target.Version == 0 || len(p.Data) == 0:
-		r.avoid(now, from)
+		r.avoidSource(now, sender)
 		return nil, false
 	}
 	if p.EncodingHash != r.transfer.EncodingHash {
-		r.reset()
+		r.resetTransfer()
 		r.transfer = p
 	}
-	r.source = from
-	delete(r.avoided, from)
-	if p.Offset != len(r.got) {
-		return nil, false // of another encoding; the next call asks from the start
+	r.source = sender
+	delete(r.avoidedUntil, sender)
+	if p.Offset != len(r.received) {
+		return nil, false // part of another encoding; the next request starts at 0
 	}
-	r.got = append(r.got, p.Data...)
-	r.progressAt = now
-	r.notBefore = now + time.Duration(float64(len(p.Data))/r.rate*float64(time.Second))
-	if len(r.got) < r.transfer.EncodingSize {
+	r.received = append(r.received, p.Data...)
+	r.lastPartAt = now
+	r.nextRequestAt = now + time.Duration(float64(len(p.Data))/r.rate*float64(time.Second))
+	if len(r.received) < r.transfer.EncodingSize {
 		return nil, false
 	}
-	raw = r.got
-	r.reset()
-	r.whole = false
+	raw = r.received
+	r.resetTransfer()
+	r.fullOnly = false
 	return raw, true
 }
 
-// RejectEncoding takes in that the encoding whose last part came from a source could not be
-// applied. The next one is asked for whole, and of another one.
+// RejectEncoding records that an encoding whose last part came from source could not be
+// applied. The next request is for a complete encoding, from another source.
 func (r *Receiver) RejectEncoding(now time.Duration, source string) {
-	r.whole = true
-	r.avoid(now, source)
+	r.fullOnly = true
+	r.avoidSource(now, source)
 }
 
-// HandleFailure takes in a call without an answer. What has arrived is kept.
+// HandleFailure records that the call in flight failed. The parts received so far are
+// kept.
 func (r *Receiver) HandleFailure(now time.Duration) {
-	r.avoid(now, r.asked)
-	r.asked = ""
+	r.avoidSource(now, r.pendingSource)
+	r.pendingSource = ""
 }
 
-func (r *Receiver) avoid(now time.Duration, source string) {
-	r.avoided[source] = now + avoidFor
-	for name, until := range r.avoided {
+func (r *Receiver) avoidSource(now time.Duration, source string) {
+	r.avoidedUntil[source] = now + avoidDuration
+	for name, until := range r.avoidedUntil {
 		if until < now {
-			delete(r.avoided, name)
+			delete(r.avoidedUntil, name)
 		}
 	}
 }
 
-// reset drops the transfer under way.
-func (r *Receiver) reset() { r.transfer, r.got, r.source = wire.ConfigPart{}, nil, "" }
+// resetTransfer discards the current transfer.
+func (r *Receiver) resetTransfer() { r.transfer, r.received, r.source = wire.ConfigPart{}, nil, "" }
 
-// Active says that parts are coming in.
-func (r *Receiver) Active(now time.Duration) bool { return now-r.progressAt <= activeFor }
+// Active reports whether a part has arrived within activeWindow.
+func (r *Receiver) Active(now time.Duration) bool { return now-r.lastPartAt <= activeWindow }
--- a/internal/configsync/receiver_test.go
+++ b/internal/configsync/receiver_test.go
@@ -11,10 +11,10 @@
 
 const (
 	ms       = time.Millisecond
-	testLink = 1_250_000.0 // bytes a second
+	testLink = 1_250_000.0 // bytes per second
 )
 
-// transferTest is a receiver and what it may fetch from.
+// transferTest is a receiver with its sources.
 type transferTest struct {
 	*is.I
 	t       *testing.T
@@ -42,8 +42,8 @@
 	return x.have.Ref
 }
 
-// call waits for the next call and says whom it goes to.
-func (x *transferTest) call() (string, wire.ConfigPartRequest) {
+// nextCall advances the time to the next request and returns it with its source.
+func (x *transferTest) nextCall() (string, wire.ConfigPartRequest) {
 	x.t.Helper()
 	for range 1000 {
 		source, c, wait := x.r.NextRequest(x.now, x.ref(), x.sources)
@@ -56,7 +56,7 @@
 	return "", wire.ConfigPartRequest{}
 }
 
-// answer has a sender answer a call, 2 ms later.
+// answer lets a sender answer a request, 2 ms later.
 func (x *transferTest) answer(source string, c wire.ConfigPartRequest) (raw []byte, done bool) {
 	x.t.Helper()
 	x.now += 2 * ms
@@ -65,11 +65,11 @@
 	return x.r.HandlePart(x.now, part)
 }
 
-// finish makes calls until the configuration is there.
+// finish makes calls until the transfer is complete.
 func (x *transferTest) finish() *Snapshot {
 	x.t.Helper()
 	for range 1000 {
-		source, c := x.call()
+		source, c := x.nextCall()
 		if raw, done := x.answer(source, c); done {
 			s, err := Apply(x.have, raw)
 			x.NoErr(err)
@@ -80,87 +80,87 @@
 	return nil
 }
 
-func TestTransferStaysWithItsSource(t *testing.T) {
+func TestTransferKeepsItsSource(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
 	x.senders["a"].AddSnapshot(next)
 	x.senders["b"].AddSnapshot(next)
-	first, c := x.call()
+	first, c := x.nextCall()
 	x.answer(first, c)
 	for range 3 {
-		source, c := x.call()
+		source, c := x.nextCall()
 		x.Equal(source, first)
 		x.answer(source, c)
 	}
 	x.Equal(x.finish().Ref, next.Ref)
 }
 
-// Guards against transfers that begin anew when their sender is lost.
-func TestTransferGoesOnWithAnotherSource(t *testing.T) {
+// Guards against transfers that restart from the beginning when their source is lost.
+func TestTransferContinuesWithAnotherSource(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
 	x.senders["a"].AddSnapshot(next)
 	x.senders["b"].AddSnapshot(next)
-	first, c := x.call()
+	first, c := x.nextCall()
 	x.answer(first, c)
-	lost, _ := x.call()
+	lost, _ := x.nextCall()
 	x.Equal(lost, first)
 	x.r.HandleFailure(x.now)
-	other, c := x.call()
+	other, c := x.nextCall()
 	x.True(other != first)
-	x.Equal(c.Offset, x.r.limit)
+	x.Equal(c.Offset, x.r.partBytes)
 	x.answer(other, c)
 	x.True(x.r.Active(x.now))
 	x.Equal(x.finish().Ref, next.Ref)
 }
 
-// Guards against transfers that are given up for each newer version: with versions
-// that come faster than one is fetched none would ever be there.
-func TestTransferEndsBeforeTheNextBegins(t *testing.T) {
+// Guards against transfers that are abandoned for each newer version: if versions are
+// published faster than one is transferred, no transfer would ever complete.
+func TestTransferCompletesDespiteNewerVersion(t *testing.T) {
 	second := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2})
 	x.senders["a"].AddSnapshot(second)
-	source, c := x.call()
+	source, c := x.nextCall()
 	x.answer(source, c)
 	third := snapshotOf(t, testConfig(3, 5001))
 	x.senders["a"].AddSnapshot(third)
 	x.sources[0].Version = 3
 	x.have = x.finish()
 	x.Equal(x.have.Ref, second.Ref)
-	_, c = x.call()
+	_, c = x.nextCall()
 	x.Equal(c.Base, second.Ref)
 	x.answer("a", c)
 }
 
-func TestBusySourceIsLeftForAnother(t *testing.T) {
+func TestBusySourceIsReplaced(t *testing.T) {
 	next := snapshotOf(t, testConfig(2, 5000))
 	x := newTransferTest(t, nil, Source{Name: "a", Version: 2, SameDomain: true}, Source{Name: "b", Version: 2})
 	x.senders["a"] = NewSender(1000)
 	x.senders["a"].AddSnapshot(next)
 	x.senders["b"].AddSnapshot(next)
-	_, err := x.senders["a"].Part(x.now, wire.ConfigPartRequest{Limit: maxPart}) // uses the link for a minute
+	_, err := x.senders["a"].Part(x.now, wire.ConfigPartRequest{Limit: maxPartBytes}) // uses up the budget for a minute
 	x.NoErr(err)
-	source, c := x.call()
+	source, c := x.nextCall()
 	x.Equal(source, "a")
 	x.answer(source, c)
-	source, _ = x.call()
+	source, _ = x.nextCall()
 	x.Equal(source, "b")
 }
 
-// Guards against an instance that asks for the same difference for ever when what it
-// has is not what it was taken for.
-func TestRejectedDifferenceIsFollowedByTheWhole(t *testing.T) {
+// Guards against requesting the same delta forever when it cannot be applied, as the
+// receiver's configuration is not the base that it was taken for.
+func TestRejectedDeltaIsFollowedByCompleteEncoding(t *testing.T) {
 	base, next := snapshotOf(t, testConfig(1, 20)), snapshotOf(t, testConfig(2, 21))
 	x := newTransferTest(t, base, Source{Name: "a", Version: 2}, Source{Name: "b", Version: 2})
 	for _, s := range x.senders {
 		s.AddSnapshot(base)
 		s.AddSnapshot(next)
 	}
-	first, c := x.call()
+	first, c := x.nextCall()
 	_, done := x.answer(first, c)
 	x.True(done)
 	x.r.RejectEncoding(x.now, first)
-	source, c := x.call()
+	source, c := x.nextCall()
 	x.True(source != first)
 	part, err := x.senders[source].Part(x.now, c)
 	x.NoErr(err)
@@ -172,15 +172,15 @@
 	x.Equal(got.Ref, next.Ref)
 }
 
-func TestNothingIsFetchedWithoutANewerVersion(t *testing.T) {
+func TestNoRequestWithoutNewerVersion(t *testing.T) {
 	x := newTransferTest(t, snapshotOf(t, testConfig(2, 5)), Source{Name: "a", Version: 2}, Source{Name: "b", Version: 1})
 	source, _, wait := x.r.NextRequest(x.now, x.ref(), x.sources)
 	x.Equal(source, "")
 	x.Equal(wait, time.Duration(0))
 }
 
-// A sender keeps below its share of the link, whoever asks.
-func TestSenderKeepsBelowItsShare(t *testing.T) {
+// The rate limit of a sender holds over all its receivers.
+func TestSenderStaysWithinRate(t *testing.T) {
 	is := is.New(t)
 	s := NewSender(100_000)
 	s.AddSnapshot(snapshotOf(t, testConfig(2, 20000)))
--- a/internal/configsync/sender.go
+++ b/internal/configsync/sender.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	// MaxSnapshots is the versions that a receiver's version may be compared with,
-	// and that a transfer under way may go on with: more than come within the time
-	// of one transfer.
+	// MaxSnapshots is the number of latest versions that a Sender keeps as the base of
+	// a delta and as the target of a transfer in progress. It exceeds the number of
+	// versions published during one transfer.
 	MaxSnapshots = 4
-	// keptEncodings is the encodings that are kept for the next parts of them.
-	keptEncodings = 4
-	// burstTime is how long a sender's link may be used whole after a pause.
-	burstTime = 50 * time.Millisecond
+	// maxEncodings is the number of encodings that are cached for further parts.
+	maxEncodings = 4
+	// burstDuration bounds the unused rate that a Sender accumulates.
+	burstDuration = 50 * time.Millisecond
 )
 
-// Sender answers calls for parts of the configurations that an instance has. It is
-// not safe for concurrent use.
+// Sender answers requests for parts of an instance's configurations. It is not safe for
+// concurrent use.
 type Sender struct {
-	// rate is the bytes a second that transfers may take of the link.
+	// rate is the bandwidth limit of transfers in bytes per second.
 	rate float64
-	// budget is the bytes that may be sent now; below zero while the link is in use.
+	// budget is the number of bytes that may be sent as of budgetAt; negative after a
+	// part that exceeded it.
 	budget    float64
-	at        time.Duration
+	budgetAt  time.Duration
 	snapshots []*Snapshot // oldest first
-	encodings []encoding  // used last at the end
+	encodings []encoding  // least recently used first
 }
 
-// encoding is what a target differs by from a base.
+// encoding is an encoded delta from base to target.
 type encoding struct {
 	base, target wire.ConfigRef
 	hash         uint64
 	raw          []byte
 }
 
-// NewSender makes a sender that takes at most so many bytes a second of its link.
+// NewSender returns a sender that sends at most bytesPerSecond.
 func NewSender(bytesPerSecond float64) *Sender { return &Sender{rate: bytesPerSecond} }
 
-// AddSnapshot takes in a newer configuration.
+// AddSnapshot adds a newer configuration.
 func (s *Sender) AddSnapshot(next *Snapshot) {
 	s.snapshots = append(s.snapshots, next)
 	if len(s.snapshots) > MaxSnapshots {
@@ -49,7 +50,7 @@
 	}
 }
 
-// newest is the configuration that was put last; nil for none.
+// newest returns the configuration that was added last; nil for none.
 func (s *Sender) newest() *Snapshot {
 	if len(s.snapshots) == 0 {
 		return nil
@@ -57,8 +58,8 @@
 	return s.snapshots[len(s.snapshots)-1]
 }
 
-// find finds a configuration that is still kept; nil for none.
-func (s *Sender) find(ref wire.ConfigRef) *Snapshot {
+// findSnapshot returns the configuration with this reference; nil if it is not kept.
+func (s *Sender) findSnapshot(ref wire.ConfigRef) *Snapshot {
 	for _, x := range s.snapshots {
 		if x.Ref == ref {
 			return x
@@ -67,31 +68,31 @@
 	return nil
 }
 
-// Part answers a call.
+// Part answers a request.
 func (s *Sender) Part(now time.Duration, c wire.ConfigPartRequest) (wire.ConfigPart, error) {
-	target := s.target(c)
+	target := s.chooseTarget(c)
 	if target == nil {
 		return wire.ConfigPart{}, nil
 	}
-	if wait := s.busy(now); wait > 0 {
+	if wait := s.budgetWait(now); wait > 0 {
 		return wire.ConfigPart{Target: target.Ref, RetryAfterMillis: wait.Milliseconds() + 1}, nil
 	}
-	e, err := s.encoding(c.Base, target)
+	e, err := s.encodingFor(c.Base, target)
 	if err != nil {
 		return wire.ConfigPart{}, err
 	}
 	offset := c.Offset
 	if offset < 0 || offset > len(e.raw) {
-		offset = 0 // the caller has parts of another encoding
+		offset = 0 // the receiver has parts of another encoding
 	}
 	data := e.raw[offset:min(len(e.raw), offset+max(1, c.Limit))]
 	s.budget -= float64(len(data))
 	return wire.ConfigPart{Base: e.base, Target: e.target, EncodingHash: e.hash, EncodingSize: len(e.raw), Offset: offset, Data: data}, nil
 }
 
-// target is the configuration of a transfer under way, while it is kept and newer
-// than what the caller has, or else the newest.
-func (s *Sender) target(c wire.ConfigPartRequest) *Snapshot {
+// chooseTarget returns the version that is being transferred while that is kept and newer
+// than the receiver's, and otherwise the newest; nil if that is not newer either.
+func (s *Sender) chooseTarget(c wire.ConfigPartRequest) *Snapshot {
 	for _, x := range s.snapshots {
 		if x.Ref.Version == c.Target && c.Target > c.Base.Version {
 			return x
@@ -103,22 +104,22 @@
 	return nil
 }
 
-// busy is how long the link's share is used up by what was sent before.
-func (s *Sender) busy(now time.Duration) time.Duration {
-	s.budget = min(s.budget+s.rate*(now-s.at).Seconds(), s.rate*burstTime.Seconds())
-	s.at = now
+// budgetWait refills the budget and returns the time until it is positive again.
+func (s *Sender) budgetWait(now time.Duration) time.Duration {
+	s.budget = min(s.budget+s.rate*(now-s.budgetAt).Seconds(), s.rate*burstDuration.Seconds())
+	s.budgetAt = now
 	if s.budget > 0 {
 		return 0
 	}
 	return time.Duration(-s.budget / s.rate * float64(time.Second))
 }
 
-// encoding finds or makes what a target differs by from what the caller has. Where
-// that is not kept here, the encoding is whole.
-func (s *Sender) encoding(have wire.ConfigRef, target *Snapshot) (*encoding, error) {
-	base := s.find(have)
+// encodingFor returns the cached or a new encoding of target as a delta from the
+// receiver's configuration, or a complete one if that configuration is not kept.
+func (s *Sender) encodingFor(baseRef wire.ConfigRef, target *Snapshot) (*encoding, error) {
+	base := s.findSnapshot(baseRef)
 	if base == nil {
-		base = empty
+		base = emptySnapshot
 	}
 	for i, e := range s.encodings {
 		if e.base == base.Ref && e.target == target.Ref {
@@ -126,11 +127,11 @@
 			return &s.encodings[len(s.encodings)-1], nil
 		}
 	}
-	raw, err := encode(base, target)
+	raw, err := encodeDelta(base, target)
 	if err != nil {
 		return nil, err
 	}
-	if len(s.encodings) >= keptEncodings {
+	if len(s.encodings) >= maxEncodings {
 		s.encodings = s.encodings[1:]
 	}
 	s.encodings = append(s.encodings, encoding{base: base.Ref, target: target.Ref, hash: xxhash.Sum64(raw), raw: raw})
--- a/internal/configsync/snapshot.go
+++ b/internal/configsync/snapshot.go
@@ -21,10 +21,10 @@
 	accounts []uint64
 }
 
-// empty is what an instance without a configuration has.
-var empty = &Snapshot{Config: &routing.Config{}}
+// emptySnapshot is the base of a complete encoding.
+var emptySnapshot = &Snapshot{Config: &routing.Config{}}
 
-// NewSnapshot takes the digests of a configuration, which must not change
+// NewSnapshot computes the digests of a configuration, which must not be modified
 // afterwards.
 func NewSnapshot(c *routing.Config) (*Snapshot, error) {
 	s := &Snapshot{Config: c}
@@ -38,18 +38,19 @@
 	if s.accounts, err = digests(c.Accounts); err != nil {
 		return nil, err
 	}
-	return s, s.seal()
+	return s, s.computeRef()
 }
 
-// seal sets the reference by what the snapshot holds.
-func (s *Snapshot) seal() error {
+// computeRef sets Ref from the content of the snapshot.
+func (s *Snapshot) computeRef() error {
 	limits, err := digest(s.Config.Limits)
 	if err != nil {
 		return err
 	}
 	h := xxhash.New()
 	for _, list := range [][]uint64{{uint64(s.Config.Version), limits}, s.routes, s.services, s.accounts} {
-		// The lengths keep an item from counting as one of another list.
+		// The lengths separate the lists: moving an item between two of them must
+		// change the digest.
 		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(list))))
 		for _, d := range list {
 			_, _ = h.Write(binary.BigEndian.AppendUint64(nil, d))
@@ -72,5 +73,5 @@
 
 func digest(item any) (uint64, error) {
 	raw, err := msgpack.Marshal(item)
-	return xxhash.Sum64(raw), errors.Wrap(err, "digest of a configuration's item")
+	return xxhash.Sum64(raw), errors.Wrap(err, "encode configuration item for its digest")
 }
