--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -6,51 +6,52 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Config bounds a View. Zero fields take their defaults.
+// Config configures a View. Zero fields take their defaults.
 type Config struct {
 	// Self is this process.
 	Self wire.Identity
-	// StartMillis is the wall clock at the start, in Unix milliseconds. It
-	// orders the processes under one instance name; a clock that went back
-	// is made up for by what peers remember.
+	// StartMillis is the wall clock at the start of the process, in Unix
+	// milliseconds. It orders the processes under one instance name. If the clock
+	// was set back, the process corrects its generation by what peers remember.
 	StartMillis int64
-	// Seeds are peer addresses from the settings.
+	// Seeds are configured peer addresses.
 	Seeds []string
-	// BeatEvery is the time between pings.
-	BeatEvery time.Duration
-	// Watched is how many ring successors are pinged at each beat, and
-	// Random how many others.
-	Watched int
-	Random  int
-	// Fanout is how many peers each new fact is pushed to.
+	// PingInterval is the time between rounds of pings.
+	PingInterval time.Duration
+	// MonitoredSuccessors is the number of ring successors that are monitored and
+	// pinged in each round, RandomPings the number of random members pinged.
+	MonitoredSuccessors int
+	RandomPings         int
+	// Fanout is the number of peers to which a new record is pushed.
 	Fanout int
-	// SilentAfter is how long a watched peer may leave pings unanswered.
-	SilentAfter time.Duration
-	// ForgetAfter drops members that were silent for so long.
+	// SilenceTimeout is how long a monitored peer may leave pings unanswered before
+	// it counts as silent.
+	SilenceTimeout time.Duration
+	// ForgetAfter is how long silent members and targets that are gone are kept.
 	ForgetAfter time.Duration
-	// ListEvery is the least time between two reads of the list; a long
-	// list is read less often, to stay within ListBytesPerSecond. Other
-	// instances read it in between, and their facts arrive as news.
-	ListEvery          time.Duration
+	// MinListInterval is the minimum mean interval between reads of the list. A long
+	// list is read less often, to stay within ListBytesPerSecond; in between, records
+	// arrive from other instances that read it.
+	MinListInterval    time.Duration
 	ListBytesPerSecond float64
-	// ThawGap is the time between two ticks from which on the process counts
-	// as having been paused.
-	ThawGap time.Duration
-	// ThawWait bounds the wait for news after a pause.
-	ThawWait time.Duration
+	// PauseGap is the gap between ticks above which the process counts as having been
+	// paused.
+	PauseGap time.Duration
+	// RefreshTimeout bounds the wait for new information after a pause.
+	RefreshTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	setDefault(&c.BeatEvery, 300*time.Millisecond)
-	setDefault(&c.Watched, 2)
-	setDefault(&c.Random, 1)
+	setDefault(&c.PingInterval, 300*time.Millisecond)
+	setDefault(&c.MonitoredSuccessors, 2)
+	setDefault(&c.RandomPings, 1)
 	setDefault(&c.Fanout, 4)
-	setDefault(&c.SilentAfter, 1500*time.Millisecond)
+	setDefault(&c.SilenceTimeout, 1500*time.Millisecond)
 	setDefault(&c.ForgetAfter, 10*time.Minute)
-	setDefault(&c.ListEvery, 500*time.Millisecond)
+	setDefault(&c.MinListInterval, 500*time.Millisecond)
 	setDefault(&c.ListBytesPerSecond, 12<<10)
-	setDefault(&c.ThawGap, time.Second)
-	setDefault(&c.ThawWait, time.Second)
+	setDefault(&c.PauseGap, time.Second)
+	setDefault(&c.RefreshTimeout, time.Second)
 	return c
 }
 
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -12,12 +12,12 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// largeFleets adds the sizes that take longer to the cost test.
+// largeFleets adds fleet sizes that take longer to the cost test.
 var largeFleets = flag.Bool("membership.large", false, "measure fleets of 512, 1024 and 2400 instances as well")
 
-// The cost of membership for each instance does not grow with the fleet, at
-// rest or with an instance restarting and a target leaving every second. One
-// instance reads the list; the others hear of the leaving target from peers.
+// The cost of membership per instance must not grow with the fleet, neither without
+// changes nor with one restarting instance and one leaving target per second. Only
+// one instance can read the list; the others learn of the leaving target from peers.
 func TestCostPerInstanceIsConstant(t *testing.T) {
 	sizes := []int{16, 64, 128, 256}
 	if *largeFleets {
@@ -28,59 +28,59 @@
 		f := newFleet(n, 4*n, 1)
 		f.run(6 * time.Second)
 		for _, o := range f.nodes[1:] {
-			o.listDown = true
+			o.listUnavailable = true
 		}
-		f.size = true
+		f.countBytes = true
 		f.run(3 * time.Second)
-		rest := float64(f.bytes) / float64(n) / 3
+		idle := float64(f.bytes) / float64(n) / 3
 		f.bytes, f.count = 0, 0
 		for i := range 5 {
 			f.start(2+i, 2000+int64(i))
-			f.leaving(fmt.Sprint("t", i))
+			f.markLeaving(fmt.Sprint("t", i))
 			f.run(time.Second)
 		}
 		busy := float64(f.bytes) / float64(n) / 5
 		messages := float64(f.count) / float64(n) / 5
-		spread := f.spread()
+		spread := f.measureSpread()
 		if spread > time.Second {
-			t.Fatalf("%d instances: news took %v", n, spread)
+			t.Fatalf("%d instances: a change took %v to reach all", n, spread)
 		}
 		t.Logf("instances=%d targets=%d bytes/s=%.0f with_changes=%.0f messages/s=%.1f spread=%v",
-			n, 4*n, rest, busy, messages, spread)
+			n, 4*n, idle, busy, messages, spread)
 		if first == 0 {
-			first = rest
+			first = idle
 		}
-		if rest > 1.5*first || busy > 1.5*first {
-			t.Fatalf("%d instances: %.0f bytes/s at rest, %.0f with changes, %.0f at 16", n, rest, busy, first)
+		if idle > 1.5*first || busy > 1.5*first {
+			t.Fatalf("%d instances: %.0f bytes/s idle, %.0f with changes; 16 instances: %.0f idle", n, idle, busy, first)
 		}
 	}
 }
 
-// spread is the time from the only reader knowing of a leaving target to all
-// instances knowing.
-func (f *fleet) spread() time.Duration {
-	f.leaving("t9")
+// measureSpread returns the time from when the only reader of the list knows of a leaving
+// target until all instances know.
+func (f *fleet) measureSpread() time.Duration {
+	f.markLeaving("t9")
 	for !f.nodes[0].v.Draining("t9") {
-		f.run(step)
+		f.run(tickInterval)
 	}
 	from := f.now
 	for _, o := range f.nodes {
 		for !o.v.Draining("t9") && f.now-from < time.Minute {
-			f.run(step)
+			f.run(tickInterval)
 		}
 	}
 	return f.now - from
 }
 
-// BenchmarkInstanceSecond is the processor time of one instance for one
-// second, with the test's own network.
+// BenchmarkInstanceSecond measures the CPU time of one instance for one simulated
+// second, including the simulated network.
 func BenchmarkInstanceSecond(b *testing.B) {
 	for _, n := range []int{16, 64, 256, 1024} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			f := newFleet(n, 4*n, 1)
 			f.run(6 * time.Second)
 			for _, o := range f.nodes {
-				o.listDown = true
+				o.listUnavailable = true
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -91,31 +91,31 @@
 	}
 }
 
-// BenchmarkViewMemory is the memory of one view of the fleet.
+// BenchmarkViewMemory measures the memory of one view of a fleet.
 func BenchmarkViewMemory(b *testing.B) {
 	for _, n := range []int{300, 600, 1200, 2400} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			for range b.N {
-				before := heap()
-				v := filled(n, 4*n)
-				b.ReportMetric(float64(heap()-before)/1024, "KiB/view")
+				before := heapBytes()
+				v := newPopulatedView(n, 4*n)
+				b.ReportMetric(float64(heapBytes()-before)/1024, "KiB/view")
 				runtime.KeepAlive(v)
 			}
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-func filled(members, targets int) *View {
+func newPopulatedView(members, targets int) *View {
 	v := New(Config{Self: wire.Identity{Instance: "self"}}, rand.New(rand.NewPCG(1, 1)))
 	for i := range members {
-		v.learn(0, wire.MemberRecord{Generation: 1, Identity: wire.Identity{
+		v.mergeMember(0, wire.MemberRecord{Generation: 1, Identity: wire.Identity{
 			Instance: fmt.Sprint("entry-", i), Incarnation: fmt.Sprintf("%032d", i),
 			Address: fmt.Sprintf("10.0.%d.%d:7000", i/256, i%256), Domain: "domain-a",
 		}})
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -14,8 +14,8 @@
 func TestMain(m *testing.M) { propertytest.Main(m, 100) }
 
 const (
-	step    = 50 * time.Millisecond
-	listLag = 500 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	listLag      = 500 * time.Millisecond
 )
 
 type node struct {
@@ -23,9 +23,9 @@
 	id     wire.Identity
 	up     bool
 	frozen bool
-	// listDown cuts it from the platform.
-	listDown bool
-	// group is its side of a partition.
+	// listUnavailable makes reads of the platform's list fail.
+	listUnavailable bool
+	// group is its side of a network partition.
 	group int
 }
 
@@ -34,25 +34,25 @@
 	Message
 }
 
-// fleet steps a number of views through virtual time.
+// fleet simulates views that exchange messages.
 type fleet struct {
-	rng   *rand.Rand
-	now   time.Duration
-	nodes []*node
-	at    map[string]int
-	mail  []packet
-	// states are the platform's lists over time, one for each step.
-	states []platform.InstanceList
-	list   platform.InstanceList
-	loss   float64
-	bytes  int64
-	count  int64
-	size   bool
-	starts int
+	rng            *rand.Rand
+	now            time.Duration
+	nodes          []*node
+	indexByAddress map[string]int
+	inFlight       []packet
+	// listHistory has the platform's lists of the last ticks, oldest first.
+	listHistory []platform.InstanceList
+	list        platform.InstanceList
+	loss        float64
+	bytes       int64
+	count       int64
+	countBytes  bool
+	starts      int
 }
 
 func newFleet(n, targets int, seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), at: map[string]int{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), indexByAddress: map[string]int{}}
 	for i := range targets {
 		f.list.Instances = append(f.list.Instances, platform.Instance{
 			ID: fmt.Sprint("t", i), Role: platform.RoleTarget, State: platform.StateLive,
@@ -63,7 +63,7 @@
 		f.list.Instances = append(f.list.Instances, platform.Instance{
 			ID: fmt.Sprint("e", i), Address: addr, Role: platform.RoleEntry, State: platform.StateLive,
 		})
-		f.at[addr] = i
+		f.indexByAddress[addr] = i
 		f.nodes = append(f.nodes, &node{})
 	}
 	for i := range n {
@@ -80,67 +80,67 @@
 	n.v, n.up = New(cfg, rand.New(rand.NewPCG(uint64(f.starts), 2))), true
 }
 
-// snapshot is the platform's list now, as a value of its own.
-func (f *fleet) snapshot() platform.InstanceList {
+// currentList returns a copy of the platform's current list.
+func (f *fleet) currentList() platform.InstanceList {
 	l := platform.InstanceList{AsOf: time.UnixMilli(f.now.Milliseconds() + 1)}
 	l.Instances = append(l.Instances, f.list.Instances...)
 	return l
 }
 
 func (f *fleet) run(d time.Duration) {
-	for end := f.now + d; f.now < end; f.now += step {
-		f.states = append(f.states, f.snapshot())
-		if lag := int(listLag / step); len(f.states) > lag+1 {
-			f.states = f.states[1:]
+	for end := f.now + d; f.now < end; f.now += tickInterval {
+		f.listHistory = append(f.listHistory, f.currentList())
+		if lag := int(listLag / tickInterval); len(f.listHistory) > lag+1 {
+			f.listHistory = f.listHistory[1:]
 		}
-		mail := f.mail
-		f.mail = nil
-		for _, p := range mail {
+		packets := f.inFlight
+		f.inFlight = nil
+		for _, p := range packets {
 			f.deliver(p)
 		}
 		for i, n := range f.nodes {
 			if n.up && !n.frozen {
 				n.v.Tick(f.now)
-				f.collect(i)
+				f.collectReady(i)
 			}
 		}
 	}
 }
 
 func (f *fleet) deliver(p packet) {
-	to, from := f.nodes[f.at[p.To]], f.nodes[p.from]
+	to, from := f.nodes[f.indexByAddress[p.To]], f.nodes[p.from]
 	if !to.up || to.frozen || to.group != from.group || f.rng.Float64() < f.loss {
 		return
 	}
 	to.v.Receive(f.now, p.Kind, p.Body)
-	f.collect(f.at[p.To])
+	f.collectReady(f.indexByAddress[p.To])
 }
 
-func (f *fleet) collect(i int) {
+func (f *fleet) collectReady(i int) {
 	n := f.nodes[i]
 	out := n.v.Ready()
 	for _, m := range out.Messages {
-		if f.size {
+		if f.countBytes {
 			frame, _ := wire.NewFrame(0, m.Kind, m.Body)
 			raw, _ := wire.Append(nil, frame)
 			f.bytes += int64(len(raw))
 			f.count++
 		}
-		f.mail = append(f.mail, packet{from: i, Message: m})
+		f.inFlight = append(f.inFlight, packet{from: i, Message: m})
 	}
 	if !out.ReadList {
 		return
 	}
-	if n.listDown {
+	if n.listUnavailable {
 		n.v.HandleListError(f.now)
 	} else {
-		l := f.states[0]
+		l := f.listHistory[0]
 		n.v.HandleList(f.now, f.now, l, 100*len(l.Instances))
 	}
-	f.collect(i)
+	f.collectReady(i)
 }
 
-func (f *fleet) leaving(target string) {
+func (f *fleet) markLeaving(target string) {
 	for i := range f.list.Instances {
 		if f.list.Instances[i].ID == target {
 			f.list.Instances[i].State = platform.StateLeaving
@@ -148,9 +148,9 @@
 	}
 }
 
-// agree reports the first instance that does not hold the fleet to be just
-// the instances that run in its group.
-func (f *fleet) agree() error {
+// checkAgreement returns an error for the first running instance whose members are not
+// exactly the running instances of its group.
+func (f *fleet) checkAgreement() error {
 	for i, n := range f.nodes {
 		if !n.up || n.frozen {
 			continue
@@ -166,8 +166,8 @@
 			return fmt.Errorf("instance %d sees %d members, want %d", i, len(got), want)
 		}
 		for _, m := range got {
-			if o := f.nodes[f.at[m.Identity.Address]]; o.id != m.Identity {
-				return fmt.Errorf("instance %d sees %v, running is %v", i, m.Identity, o.id)
+			if o := f.nodes[f.indexByAddress[m.Identity.Address]]; o.id != m.Identity {
+				return fmt.Errorf("instance %d sees %v, the running process is %v", i, m.Identity, o.id)
 			}
 		}
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -8,23 +8,23 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// member is what is known of one entry instance.
+// member is the local state of an entry instance.
 type member struct {
-	fact wire.MemberRecord
-	// place is its position on the ring.
-	place uint64
-	// changed is when the fact last changed here.
+	record wire.MemberRecord
+	// ringPosition is a hash of the instance name.
+	ringPosition uint64
+	// changed is when the record last changed at this instance.
 	changed time.Duration
-	// asked is when the first unanswered ping went out; 0 for none.
-	asked time.Duration
+	// unansweredSince is when the first unanswered ping was sent; 0 for none.
+	unansweredSince time.Duration
 }
 
-func ringPlace(instance string) uint64 { return xxhash.Sum64String(instance) }
+func hashRingPosition(instance string) uint64 { return xxhash.Sum64String(instance) }
 
-// newer says whether fact a replaces fact b about the same instance name. The
-// process itself raises its version to refute that it is silent; only a later
-// process under the name has a higher order.
-func newer(a, b wire.MemberRecord) bool {
+// supersedes reports whether record a replaces record b of the same instance name. A
+// process raises its version to refute that it is silent; a higher generation belongs
+// to a later process under the name.
+func supersedes(a, b wire.MemberRecord) bool {
 	switch {
 	case a.Generation != b.Generation:
 		return a.Generation > b.Generation
@@ -36,19 +36,19 @@
 	return a.State > b.State
 }
 
-// digest is the member's part of its bucket's digest. One that is silent counts
-// like one that was forgotten.
+// digest returns the member's contribution to the digest of its bucket. A silent member
+// contributes the same as a forgotten one.
 func (m *member) digest() uint32 {
-	if m.fact.State == wire.MemberSilent {
+	if m.record.State == wire.MemberSilent {
 		return 0
 	}
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(m.fact.Identity.Instance)
-	_, _ = d.WriteString("\x00" + m.fact.Identity.Incarnation)
+	_, _ = d.WriteString(m.record.Identity.Instance)
+	_, _ = d.WriteString("\x00" + m.record.Identity.Incarnation)
 	_, _ = d.Write([]byte{
-		byte(m.fact.State), byte(m.fact.Version), byte(m.fact.Version >> 8),
-		byte(m.fact.Generation), byte(m.fact.Generation >> 8), byte(m.fact.Generation >> 16),
+		byte(m.record.State), byte(m.record.Version), byte(m.record.Version >> 8),
+		byte(m.record.Generation), byte(m.record.Generation >> 8), byte(m.record.Generation >> 16),
 	})
 	return uint32(d.Sum64())
 }
--- a/internal/membership/target.go
+++ b/internal/membership/target.go
@@ -9,85 +9,86 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// maxPast bounds the earlier incarnations remembered of a target.
-const maxPast = 4
+// maxPastIncarnations is the number of earlier incarnations kept per target.
+const maxPastIncarnations = 4
 
-// target is what is known of one target.
+// target is the local state of a target.
 type target struct {
-	fact wire.TargetRecord
-	// changed is when the fact last changed here.
+	record wire.TargetRecord
+	// changed is when the record last changed at this instance.
 	changed time.Duration
 }
 
-// setDraining takes the list's word as of a time. Lists lag and peers read
-// different ages of it: an older word never replaces a newer one.
-func (t *target) setDraining(draining, gone bool, asOf int64) bool {
-	if asOf <= t.fact.AsOfMillis {
+// applyListed applies the target's state in the platform's list as of a time. The list
+// lags, and peers read states of different age: an older one never replaces a newer.
+func (t *target) applyListed(draining, gone bool, asOf int64) bool {
+	if asOf <= t.record.AsOfMillis {
 		return false
 	}
-	t.fact.AsOfMillis = asOf
-	if draining == t.fact.Draining && gone == t.fact.Gone {
+	t.record.AsOfMillis = asOf
+	if draining == t.record.Draining && gone == t.record.Gone {
 		return false
 	}
-	t.fact.Draining, t.fact.Gone = draining, gone
+	t.record.Draining, t.record.Gone = draining, gone
 	return true
 }
 
-// observe takes an incarnation that this instance has seen itself. A late
-// answer of an earlier one changes nothing: it would bring back trust in a
-// cache that is gone.
+// observe applies an incarnation that this instance has observed itself. A late
+// response of an earlier incarnation has no effect: otherwise requests would rely on
+// a cache that is gone.
 func (t *target) observe(incarnation string) bool {
-	if incarnation == "" || incarnation == t.fact.Incarnation || slices.Contains(t.fact.PastIncarnations, incarnation) {
+	if incarnation == "" || incarnation == t.record.Incarnation || slices.Contains(t.record.PastIncarnations, incarnation) {
 		return false
 	}
-	t.retire()
-	t.fact.Incarnation = incarnation
-	t.fact.Epoch++
+	t.retireIncarnation()
+	t.record.Incarnation = incarnation
+	t.record.Epoch++
 	return true
 }
 
-func (t *target) retire() {
-	if t.fact.Incarnation == "" {
+// retireIncarnation moves the current incarnation to the past ones.
+func (t *target) retireIncarnation() {
+	if t.record.Incarnation == "" {
 		return
 	}
-	past := append(slices.Clone(t.fact.PastIncarnations), t.fact.Incarnation)
-	t.fact.PastIncarnations = past[max(0, len(past)-maxPast):]
+	past := append(slices.Clone(t.record.PastIncarnations), t.record.Incarnation)
+	t.record.PastIncarnations = past[max(0, len(past)-maxPastIncarnations):]
 }
 
-// learn takes a peer's word on the incarnation. With equal epochs both have
-// seen a different one and neither knows the order: each goes on with its own
-// until it sees the target again.
-func (t *target) learn(f wire.TargetRecord) bool {
-	if f.Epoch <= t.fact.Epoch || slices.Contains(t.fact.PastIncarnations, f.Incarnation) {
+// mergeIncarnation merges the incarnation in a peer's record. If the epochs are equal,
+// the order of two different incarnations is unknown: each side keeps its own until it
+// observes the target again.
+func (t *target) mergeIncarnation(rec wire.TargetRecord) bool {
+	if rec.Epoch <= t.record.Epoch || slices.Contains(t.record.PastIncarnations, rec.Incarnation) {
 		return false
 	}
-	if f.Incarnation != t.fact.Incarnation {
-		t.retire()
+	if rec.Incarnation != t.record.Incarnation {
+		t.retireIncarnation()
 	}
-	for _, p := range f.PastIncarnations[:min(len(f.PastIncarnations), maxPast)] {
-		if !slices.Contains(t.fact.PastIncarnations, p) && p != f.Incarnation {
-			t.fact.PastIncarnations = append(t.fact.PastIncarnations, p)
+	for _, p := range rec.PastIncarnations[:min(len(rec.PastIncarnations), maxPastIncarnations)] {
+		if !slices.Contains(t.record.PastIncarnations, p) && p != rec.Incarnation {
+			t.record.PastIncarnations = append(t.record.PastIncarnations, p)
 		}
 	}
-	t.fact.PastIncarnations = t.fact.PastIncarnations[max(0, len(t.fact.PastIncarnations)-maxPast):]
-	t.fact.Incarnation, t.fact.Epoch = f.Incarnation, f.Epoch
+	t.record.PastIncarnations = t.record.PastIncarnations[max(0, len(t.record.PastIncarnations)-maxPastIncarnations):]
+	t.record.Incarnation, t.record.Epoch = rec.Incarnation, rec.Epoch
 	return true
 }
 
-// digest is the target's part of its bucket's digest. One that is gone counts
-// like one that was forgotten.
+// digest returns the target's contribution to the digest of its bucket. A target that
+// is gone contributes the same as a forgotten one.
 func (t *target) digest() uint32 {
-	if t.fact.Gone {
+	if t.record.Gone {
 		return 0
 	}
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(t.fact.Target)
-	_, _ = d.WriteString("\x00" + t.fact.Incarnation)
+	_, _ = d.WriteString(t.record.Target)
+	_, _ = d.WriteString("\x00" + t.record.Incarnation)
 	draining := byte(0)
-	if t.fact.Draining {
+	if t.record.Draining {
 		draining = 1
 	}
-	_, _ = d.Write([]byte{draining, byte(t.fact.Epoch), byte(t.fact.Epoch >> 8)})
+	_, _ = d.Write([]byte{draining, byte(t.record.Epoch), byte(t.record.Epoch >> 8)})
 	return uint32(d.Sum64())
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,14 +10,14 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Message is for a peer, by its address.
+// Message is a message to the peer at an address.
 type Message struct {
 	To   string
 	Kind wire.Kind
 	Body any
 }
 
-// Change tells what the view has learned.
+// Change is a change of one record of the view.
 type Change struct {
 	// Member is set for a change of an entry instance.
 	Member *wire.MemberRecord
@@ -25,49 +25,50 @@
 	Target *wire.TargetRecord
 }
 
-// Ready is the work that a View hands out.
+// Ready is the pending work of a View: messages to send, changes to apply and
+// whether to read the list.
 type Ready struct {
 	Messages []Message
 	Changes  []Change
-	// ReadList asks for a read of the platform's list; its outcome goes to
-	// List or ListFailed.
+	// ReadList requests a read of the platform's list, whose result is to be passed to
+	// HandleList or HandleListError.
 	ReadList bool
 }
 
-// View is one instance's view. It is not safe for concurrent use.
+// View is an instance's view of members and targets. It is not safe for concurrent use.
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
 	self    wire.MemberRecord
 	members map[string]*member
-	// ring has the members that are live or leaving, quiet the silent ones,
-	// both by place.
-	ring  []*member
-	quiet []*member
-	// watched are the ring successors pinged at the last beat.
-	watched []*member
-	targets map[string]*target
-	buckets [wire.DigestBuckets]bucket
-	// seeds are addresses to ping until a member answers from there.
+	// ring has the members that are live or leaving, silent the silent ones, both
+	// ordered by ring position.
+	ring   []*member
+	silent []*member
+	// monitored are the ring successors pinged in the last round.
+	monitored []*member
+	targets   map[string]*target
+	buckets   [wire.DigestBuckets]bucket
+	// seeds are addresses that are pinged until there is a member at them.
 	seeds   map[string]bool
 	digests [wire.DigestBuckets]uint32
-	thaw    thaw
+	pause   pauseDetector
 
-	seq      uint64
-	pings    map[uint64]ping
-	nextBeat time.Duration
-	nextList time.Duration
-	reading  bool
-	// contact is when the first pong came.
-	contact  time.Duration
-	met      bool
-	replaced bool
-	news     wire.MemberUpdates
-	out      Ready
+	seq             uint64
+	pings           map[uint64]ping
+	nextPing        time.Duration
+	nextListRead    time.Duration
+	listReadPending bool
+	// firstPongAt is when the first pong arrived, contacted whether one has.
+	firstPongAt time.Duration
+	contacted   bool
+	replaced    bool
+	unpushed    wire.MemberUpdates
+	out         Ready
 }
 
-// bucket has the facts whose names share a hash, to find those that a peer
-// lacks without going through all.
+// bucket has the records whose names share a hash, so that the records that a peer
+// lacks are found without iterating over all.
 type bucket struct {
 	members []*member
 	targets []*target
@@ -78,96 +79,97 @@
 	sent time.Duration
 }
 
-// settleFor is how long after its first contact with a peer a process may
-// raise its order above that of an earlier process under its name. Later, a
-// higher one means that it has been replaced.
-const settleFor = 10 * time.Second
+// reclaimWindow is how long after its first contact with a peer a process may raise
+// its generation above that of an earlier process under its name. After that, a
+// higher generation means that this process has been replaced.
+const reclaimWindow = 10 * time.Second
 
-// New makes a view that knows its seeds only.
+// New returns a view that has only this instance and its seeds.
 func New(cfg Config, rng *rand.Rand) *View {
 	cfg = cfg.withDefaults()
 	v := &View{
 		cfg: cfg, rng: rng, members: map[string]*member{}, targets: map[string]*target{},
 		seeds: map[string]bool{}, pings: map[uint64]ping{},
-		thaw: thaw{gap: cfg.ThawGap, wait: cfg.ThawWait},
-		self: wire.MemberRecord{Identity: cfg.Self, Generation: uint64(max(cfg.StartMillis, 1))},
+		pause: pauseDetector{gap: cfg.PauseGap, refreshTimeout: cfg.RefreshTimeout},
+		self:  wire.MemberRecord{Identity: cfg.Self, Generation: uint64(max(cfg.StartMillis, 1))},
 	}
 	for _, a := range cfg.Seeds {
-		v.seed(a)
+		v.addSeed(a)
 	}
-	v.put(0, v.self)
+	v.storeMember(0, v.self)
 	return v
 }
 
-func (v *View) seed(address string) {
+func (v *View) addSeed(address string) {
 	if address != "" && address != v.cfg.Self.Address {
 		v.seeds[address] = true
 	}
 }
 
-// Ready returns the pending work and clears it. Call it after every event.
+// Ready returns the pending work and clears it. It must be called after every event.
 func (v *View) Ready() Ready {
-	v.push()
+	v.pushUpdates()
 	out := v.out
 	v.out = Ready{}
 	return out
 }
 
-// put stores a newer fact about a member and keeps ring and digests in step.
-func (v *View) put(now time.Duration, f wire.MemberRecord) {
-	name := f.Identity.Instance
+// storeMember stores a newer record of a member and updates the ring and the digests.
+func (v *View) storeMember(now time.Duration, rec wire.MemberRecord) {
+	name := rec.Identity.Instance
 	m := v.members[name]
 	b := bucketOf(name)
 	if m == nil {
-		m = &member{place: ringPlace(name)}
+		m = &member{ringPosition: hashRingPosition(name)}
 		v.members[name] = m
 		v.buckets[b].members = append(v.buckets[b].members, m)
 	} else {
 		v.digests[b] ^= m.digest()
 	}
-	m.fact, m.changed, m.asked = f, now, 0
+	m.record, m.changed, m.unansweredSince = rec, now, 0
 	v.digests[b] ^= m.digest()
-	delete(v.seeds, f.Identity.Address)
-	v.rering(m)
-	v.news.Members = append(v.news.Members, f)
-	v.out.Changes = append(v.out.Changes, Change{Member: &f})
+	delete(v.seeds, rec.Identity.Address)
+	v.updateRing(m)
+	v.unpushed.Members = append(v.unpushed.Members, rec)
+	v.out.Changes = append(v.out.Changes, Change{Member: &rec})
 }
 
-// rering puts the member where its state says it belongs.
-func (v *View) rering(m *member) {
-	if m.fact.State == wire.MemberSilent {
-		v.ring, v.quiet = without(v.ring, m), with(v.quiet, m)
+// updateRing moves the member to the list that corresponds to its state.
+func (v *View) updateRing(m *member) {
+	if m.record.State == wire.MemberSilent {
+		v.ring, v.silent = removeMember(v.ring, m), insertMember(v.silent, m)
 		return
 	}
-	v.ring, v.quiet = with(v.ring, m), without(v.quiet, m)
+	v.ring, v.silent = insertMember(v.ring, m), removeMember(v.silent, m)
 }
 
-func with(list []*member, m *member) []*member {
-	at, found := slices.BinarySearchFunc(list, m, byPlace)
+func insertMember(list []*member, m *member) []*member {
+	at, found := slices.BinarySearchFunc(list, m, byRingPosition)
 	if found {
 		return list
 	}
 	return slices.Insert(list, at, m)
 }
 
-func without(list []*member, m *member) []*member {
-	at, found := slices.BinarySearchFunc(list, m, byPlace)
+func removeMember(list []*member, m *member) []*member {
+	at, found := slices.BinarySearchFunc(list, m, byRingPosition)
 	if !found {
 		return list
 	}
 	return slices.Delete(list, at, at+1)
 }
 
-func byPlace(a, b *member) int {
-	return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.fact.Identity.Instance, b.fact.Identity.Instance))
+func byRingPosition(a, b *member) int {
+	return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.record.Identity.Instance, b.record.Identity.Instance))
 }
 
-// change applies an update to a target and spreads it.
-func (v *View) change(now time.Duration, name string, update func(*target) bool) {
+// updateTarget applies an update to a target, adding it if necessary. If update reports
+// a change, the record is pushed to peers.
+func (v *View) updateTarget(now time.Duration, name string, update func(*target) bool) {
 	b := bucketOf(name)
 	t := v.targets[name]
 	if t == nil {
-		t = &target{fact: wire.TargetRecord{Target: name}}
+		t = &target{record: wire.TargetRecord{Target: name}}
 		v.targets[name] = t
 		v.buckets[b].targets = append(v.buckets[b].targets, t)
 		v.digests[b] ^= t.digest()
@@ -178,43 +180,44 @@
 	}
 	v.digests[b] ^= before ^ t.digest()
 	t.changed = now
-	f := t.fact
-	v.news.Targets = append(v.news.Targets, f)
-	v.out.Changes = append(v.out.Changes, Change{Target: &f})
+	rec := t.record
+	v.unpushed.Targets = append(v.unpushed.Targets, rec)
+	v.out.Changes = append(v.out.Changes, Change{Target: &rec})
 }
 
-// HandleList takes the platform's list; asked is when the read began and bytes its
-// size.
-func (v *View) HandleList(now, asked time.Duration, l platform.InstanceList, bytes int) {
-	v.reading = false
-	v.thaw.news(asked)
-	v.nextList = now + v.listPeriod(bytes)
+// HandleList applies the platform's list. requestedAt is when the read began, bytes the
+// size of the list.
+func (v *View) HandleList(now, requestedAt time.Duration, l platform.InstanceList, bytes int) {
+	v.listReadPending = false
+	v.pause.refreshed(requestedAt)
+	v.nextListRead = now + v.listReadDelay(bytes)
 	asOf := l.AsOf.UnixMilli()
 	listed := map[string]bool{}
 	for _, in := range l.Instances {
 		listed[in.ID] = true
 		switch in.Role {
 		case platform.RoleTarget:
-			v.change(now, in.ID, func(t *target) bool {
-				return t.setDraining(in.State == platform.StateLeaving, false, asOf)
+			v.updateTarget(now, in.ID, func(t *target) bool {
+				return t.applyListed(in.State == platform.StateLeaving, false, asOf)
 			})
 		case platform.RoleEntry:
 			if v.members[in.ID] == nil {
-				v.seed(in.Address)
+				v.addSeed(in.Address)
 			}
 		}
 	}
-	// A target that was listed and is not any more has left.
+	// A target that is no longer listed has left.
 	v.forgetTargets(now)
 	for _, name := range v.unlisted(listed) {
-		v.change(now, name, func(t *target) bool { return t.setDraining(true, true, asOf) })
+		v.updateTarget(now, name, func(t *target) bool { return t.applyListed(true, true, asOf) })
 	}
 }
 
+// unlisted returns the targets that were listed earlier and are not any more.
 func (v *View) unlisted(listed map[string]bool) []string {
 	var out []string
 	for name, t := range v.targets {
-		if !listed[name] && !t.fact.Gone && t.fact.AsOfMillis > 0 {
+		if !listed[name] && !t.record.Gone && t.record.AsOfMillis > 0 {
 			out = append(out, name)
 		}
 	}
@@ -222,10 +225,10 @@
 	return out
 }
 
-// forgetTargets drops those that have been gone for long.
+// forgetTargets drops targets that have been gone for ForgetAfter.
 func (v *View) forgetTargets(now time.Duration) {
 	for name, t := range v.targets {
-		if t.fact.Gone && now-t.changed > v.cfg.ForgetAfter {
+		if t.record.Gone && now-t.changed > v.cfg.ForgetAfter {
 			delete(v.targets, name)
 			b := &v.buckets[bucketOf(name)]
 			b.targets = slices.DeleteFunc(b.targets, func(o *target) bool { return o == t })
@@ -233,50 +236,50 @@
 	}
 }
 
-// listPeriod spreads the reads of the instances by chance.
-func (v *View) listPeriod(bytes int) time.Duration {
-	p := max(v.cfg.ListEvery, time.Duration(float64(bytes)/v.cfg.ListBytesPerSecond*float64(time.Second)))
-	return p/2 + time.Duration(v.rng.Int64N(int64(p)))
+// listReadDelay returns the randomised time until the next read of the list.
+func (v *View) listReadDelay(bytes int) time.Duration {
+	mean := max(v.cfg.MinListInterval, time.Duration(float64(bytes)/v.cfg.ListBytesPerSecond*float64(time.Second)))
+	return mean/2 + time.Duration(v.rng.Int64N(int64(mean)))
 }
 
-// HandleListError tells that the list could not be read.
+// HandleListError records that the list could not be read.
 func (v *View) HandleListError(now time.Duration) {
-	v.reading = false
-	v.nextList = now + v.listPeriod(0)
+	v.listReadPending = false
+	v.nextListRead = now + v.listReadDelay(0)
 }
 
-// ObserveIncarnation takes the incarnation that a target named in an answer.
+// ObserveIncarnation records the incarnation that a target stated in a response.
 func (v *View) ObserveIncarnation(now time.Duration, name, incarnation string) {
-	v.change(now, name, func(t *target) bool { return t.observe(incarnation) })
+	v.updateTarget(now, name, func(t *target) bool { return t.observe(incarnation) })
 }
 
-// Leave tells the peers that this instance drains.
+// Leave announces to peers that this instance is draining.
 func (v *View) Leave(now time.Duration) {
 	v.self.Version++
 	v.self.State = wire.MemberLeaving
-	v.put(now, v.self)
+	v.storeMember(now, v.self)
 }
 
-// Draining says that a target gets no new work.
+// Draining reports whether a target is to get no new requests.
 func (v *View) Draining(name string) bool {
 	t := v.targets[name]
-	return t != nil && t.fact.Draining
+	return t != nil && t.record.Draining
 }
 
-// Incarnation is a target's present one, empty when none was seen.
+// Incarnation returns a target's current incarnation; empty if none was observed.
 func (v *View) Incarnation(name string) string {
 	if t := v.targets[name]; t != nil {
-		return t.fact.Incarnation
+		return t.record.Incarnation
 	}
 	return ""
 }
 
-// Members are the entry instances that are heard, by instance name, this one
-// included.
+// Members returns the entry instances that are not silent, this one included, ordered
+// by instance name.
 func (v *View) Members() []wire.MemberRecord {
 	out := make([]wire.MemberRecord, 0, len(v.ring))
 	for _, m := range v.ring {
-		out = append(out, m.fact)
+		out = append(out, m.record)
 	}
 	slices.SortFunc(out, func(a, b wire.MemberRecord) int {
 		return cmp.Compare(a.Identity.Instance, b.Identity.Instance)
@@ -284,10 +287,10 @@
 	return out
 }
 
-// Freshness says whether requests may be served by this view now. Call Tick
-// first: a pause is noticed there.
-func (v *View) Freshness(now time.Duration) Freshness { return v.thaw.freshness(now) }
+// Freshness reports whether requests may be served by this view now. Tick must be called
+// first, since it detects pauses.
+func (v *View) Freshness(now time.Duration) Freshness { return v.pause.freshness(now) }
 
-// Replaced says that a later process under this instance's name is known:
-// this one has to drain.
+// Replaced reports whether a later process under this instance's name is known. If so,
+// this process has to drain.
 func (v *View) Replaced() bool { return v.replaced }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,9 +12,9 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// A target is shown as leaving. Some instances are cut from the platform and
-// one message in ten is lost. Within 3 s of the lagging list showing it, every
-// instance gives it no new work: the cut-off ones hear it from their peers.
+// A target becomes leaving while some instances cannot read the platform's list and
+// one message in ten is lost. Within 3 s of its appearance in the lagging list, every
+// instance must treat it as draining; those without the list learn it from peers.
 func TestLeavingTargetGetsNoWorkWithin3s(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(rt, "instances")
@@ -22,9 +22,9 @@
 		f.run(5 * time.Second)
 		f.loss = 0.1
 		for i := 1; i < n; i++ {
-			f.nodes[i].listDown = rapid.IntRange(0, 3).Draw(rt, "list down") > 0
+			f.nodes[i].listUnavailable = rapid.IntRange(0, 3).Draw(rt, "list down") > 0
 		}
-		f.leaving("t3")
+		f.markLeaving("t3")
 		f.run(listLag + 3*time.Second)
 		for i, o := range f.nodes {
 			if !o.v.Draining("t3") || o.v.Draining("t4") {
@@ -34,9 +34,9 @@
 	})
 }
 
-// Instances are killed, restarted with clocks that went back, frozen and
-// thawed, and cut apart. Once that ends, all agree on who runs, and nobody
-// takes an earlier process for its successor.
+// Instances are killed, restarted with clocks that were set back, frozen and resumed,
+// and partitioned. After that, all must agree on the running instances, and none may
+// take an earlier process for the current one.
 func TestFleetAgreesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 16).Draw(rt, "instances")
@@ -64,44 +64,44 @@
 			o.frozen, o.group = false, 0
 		}
 		f.run(20 * time.Second)
-		if err := f.agree(); err != nil {
+		if err := f.checkAgreement(); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-// The process is paused while a target leaves. Requests that come right after
-// the pause wait until an answer asked for after it has come; only when nobody
-// answers within a second does the instance serve what it knows, as stale.
+// The process is paused while a target leaves. Requests right after the pause must
+// wait for a response to a request made after it. Only if there is none within a
+// second does the instance serve by its old view, as stale.
 func TestThawedInstanceRefreshesFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5, 1)
 	f.run(3 * time.Second)
 	o := f.nodes[2]
 	o.frozen = true
-	f.leaving("t1")
+	f.markLeaving("t1")
 	f.run(5 * time.Second)
 	o.v.Tick(f.now)
 	is.Equal(o.v.Freshness(f.now), Waiting)
 	is.True(!o.v.Draining("t1"))
-	is.Equal(len(o.v.Members()), 3) // the pause is not the peers' silence
+	is.Equal(len(o.v.Members()), 3) // peers are not marked silent for the pause
 	o.frozen = false
-	f.run(10 * step)
+	f.run(10 * tickInterval)
 	is.Equal(o.v.Freshness(f.now), Fresh)
 	is.True(o.v.Draining("t1"))
 
 	o.frozen = true
 	f.run(5 * time.Second)
-	o.frozen, o.group, o.listDown = false, 1, true
-	f.run(step)
+	o.frozen, o.group, o.listUnavailable = false, 1, true
+	f.run(tickInterval)
 	is.Equal(o.v.Freshness(f.now), Waiting)
 	f.run(time.Second)
 	is.Equal(o.v.Freshness(f.now), Stale)
 }
 
-// An answer to a question from before the pause comes in after it. It says
-// nothing about the time of the pause and must not end the wait.
-func TestLateAnswerDoesNotEndTheWait(t *testing.T) {
+// The response to a request made before the pause arrives after it. It has no
+// information about the time of the pause and must not end the wait.
+func TestResponseFromBeforePauseDoesNotEndWait(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
 	v.Tick(0)
@@ -112,9 +112,9 @@
 	is.Equal(v.Freshness(10*time.Second), Fresh)
 }
 
-// An answer of a target's earlier incarnation arrives late, at this instance
-// or at a peer that has not seen the new one. Neither brings it back: requests
-// would count on a cache that is gone.
+// A response of a target's earlier incarnation arrives late, at this instance or at a
+// peer that has not observed the new one. Neither may restore the earlier incarnation:
+// requests would rely on a cache that is gone.
 func TestEarlierIncarnationNeverComesBack(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
@@ -130,37 +130,37 @@
 	is.Equal(v.Incarnation("t"), "i3")
 }
 
-// A peer reads an older list than this instance has. It does not make a
-// leaving target live again, nor a returned one leave.
+// A peer reads an older list than this instance. That must neither make a leaving
+// target live again nor a returned one leaving.
 func TestOlderListChangesNothing(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
-	list := func(ms int64, state platform.InstanceState) {
+	handleList := func(ms int64, state platform.InstanceState) {
 		v.HandleList(0, 0, platform.InstanceList{
 			AsOf:      time.UnixMilli(ms),
 			Instances: []platform.Instance{{ID: "t", Role: platform.RoleTarget, State: state}},
 		}, 0)
 	}
-	list(10, platform.StateLeaving)
-	list(5, platform.StateLive)
+	handleList(10, platform.StateLeaving)
+	handleList(5, platform.StateLive)
 	is.True(v.Draining("t"))
-	list(20, platform.StateLive)
+	handleList(20, platform.StateLive)
 	v.Receive(0, wire.KindMemberUpdates, wire.MemberUpdates{Targets: []wire.TargetRecord{{Target: "t", Draining: true, AsOfMillis: 15}}})
 	is.True(!v.Draining("t"))
 	v.HandleList(0, 0, platform.InstanceList{AsOf: time.UnixMilli(30)}, 0)
-	is.True(v.Draining("t")) // not listed any more
+	is.True(v.Draining("t")) // no longer listed
 }
 
-// The platform replaces a paused instance under the same name. When it thaws
-// it learns that it was replaced; it does not fight for the name.
+// The platform replaces a paused instance by a new process under the same name. When
+// the paused process resumes, it must learn that it was replaced and not claim the name.
 func TestReplacedInstanceKnows(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 1, 1)
 	f.run(20 * time.Second)
 	old := f.nodes[2].v
-	f.start(2, 1) // its clock went back
+	f.start(2, 1) // its clock was set back
 	f.run(5 * time.Second)
-	is.NoErr(f.agree())
+	is.NoErr(f.checkAgreement())
 	old.Tick(f.now)
 	for _, m := range f.nodes[0].v.Members() {
 		old.Receive(f.now, wire.KindMemberUpdates, wire.MemberUpdates{Members: []wire.MemberRecord{m}})
@@ -169,20 +169,18 @@
 	is.True(!f.nodes[2].v.Replaced())
 }
 
-// The process is paused with a ping under way. The time of the pause does not
-// count as the peer's silence: herds of thawed instances would otherwise call
-// each other dead.
-func TestPauseIsNotThePeersSilence(t *testing.T) {
+// The process is paused with a ping in flight. The pause must not count as the peer's
+// silence: otherwise many instances that resume together would mark each other silent.
+func TestPauseDoesNotMarkPeersSilent(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
-	v.learn(0, wire.MemberRecord{Identity: wire.Identity{Instance: "b", Address: "b"}, Generation: 1})
+	v.mergeMember(0, wire.MemberRecord{Identity: wire.Identity{Instance: "b", Address: "b"}, Generation: 1})
 	v.Tick(time.Second)
 	v.Tick(10 * time.Second)
 	is.Equal(len(v.Members()), 2)
 }
 
-// Whatever a peer sends, the view takes it in without failing and still knows
-// itself.
+// Whatever a peer sends, the view must not panic and must keep itself as a member.
 func FuzzReceive(f *testing.F) {
 	for kind, body := range map[wire.Kind]any{
 		wire.KindMemberPing:    wire.MemberPing{From: wire.MemberRecord{Identity: wire.Identity{Instance: "b"}}, Digests: make([]uint32, wire.DigestBuckets)},
@@ -201,7 +199,7 @@
 		v.Tick(time.Second)
 		v.Ready()
 		if m := v.Members(); len(m) == 0 {
-			t.Fatal("lost itself")
+			t.Fatal("own instance is no longer a member")
 		}
 	})
 }
