--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -55,7 +55,7 @@
 	cfg := membership.Config{Self: node.Self(), StartMillis: c.wallMillis(), Seeds: m.seeds}
 	m.view = membership.New(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	node.Handle(wire.KindHeartbeat, m.handleBeat)
-	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberNews} {
+	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberUpdates} {
 		node.Handle(kind, m.receive)
 	}
 	return m
@@ -158,9 +158,9 @@
 	list, err := m.list.Instances(ctx)
 	m.mu.Lock()
 	if err != nil {
-		m.view.ListFailed(m.clock.now())
+		m.view.HandleListError(m.clock.now())
 	} else {
-		m.view.List(m.clock.now(), asked, list, listBytes(list))
+		m.view.HandleList(m.clock.now(), asked, list, listBytes(list))
 	}
 	m.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -193,7 +193,7 @@
 func (m *members) observed(target, incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Observed(m.clock.now(), target, incarnation)
+	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
 // leave tells the peers that this instance drains.
@@ -249,7 +249,7 @@
 
 func (m *members) handleBeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var hb wire.Heartbeat
-	if err := f.Into(&hb); err != nil {
+	if err := f.DecodeBody(&hb); err != nil {
 		return nil, err
 	}
 	m.take(hb)
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -41,13 +41,13 @@
 	for i, o := range s.origins {
 		target := fmt.Sprintf("t%02d", (i+s.turn)%benchTargets)
 		for n := i; n < benchPrompts; n += benchFleet {
-			o.AddEvent(wire.InstanceEvent{Prompt: &wire.SentPrompt{Target: target, Born: 1, Chain: []uint64{1, 2, uint64(s.turn % 50)}, Tokens: 1000}})
+			o.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.turn % 50)}, CachedTokens: 1000}})
 		}
-		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {Unanswered: 3000, Held: 9000}}},
+		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
 			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.turn)})
-		s.table.Merge(now, o.Since(now, 0, replica.Followers, 0)[:1], false)
+		s.table.Merge(now, o.UpdatesSince(now, 0, replica.ScopeFollowers, 0)[:1], false)
 	}
-	return s.table.Since(now, since, replica.All, 0)
+	return s.table.UpdatesSince(now, since, replica.ScopeAll, 0)
 }
 
 func newBenchGateway() *probed {
@@ -71,15 +71,15 @@
 	for range b.N {
 		b.StopTimer()
 		updates := s.next(p.clock.Now(), since)
-		since = s.table.Place().Version
-		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeAnswer{Updates: updates})
+		since = s.table.Cursor().Version
+		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates})
 		if err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(f.Body)), "bytes")
 		b.StartTimer()
-		var answer wire.ExchangeAnswer
-		if err := f.Into(&answer); err != nil {
+		var answer wire.ExchangeResponse
+		if err := f.DecodeBody(&answer); err != nil {
 			b.Fatal(err)
 		}
 		p.peers.takeUpdates(p.clock.Now(), "hub", answer.Updates, false)
@@ -96,10 +96,10 @@
 		b.StopTimer()
 		s.next(time.Second, since)
 		b.StartTimer()
-		updates := s.table.Since(time.Second, since, replica.All, 0)
-		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeAnswer{Updates: updates}); err != nil {
+		updates := s.table.UpdatesSince(time.Second, since, replica.ScopeAll, 0)
+		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates}); err != nil {
 			b.Fatal(err)
 		}
-		since = s.table.Place().Version
+		since = s.table.Cursor().Version
 	}
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -287,5 +287,5 @@
 type PromiseRequest struct {
 	ID     uint64
 	Member Member
-	Body   wire.LeasePromiseAsk
+	Body   wire.LeasePromiseRequest
 }
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -11,9 +11,9 @@
 // for a while. It leaves out a lease for which an own acquire may still take
 // effect, or for which the log shows another holder or token: there the
 // requester's lease has ended.
-func (h *Holder) HandlePromiseRequest(now time.Duration, req wire.LeasePromiseAsk) wire.LeasePromiseAnswer {
-	answer := wire.LeasePromiseAnswer{By: h.settings.Self.ID, Address: h.settings.Self.Address}
-	duration := min(time.Duration(req.ForMillis)*time.Millisecond, h.settings.PromiseTime)
+func (h *Holder) HandlePromiseRequest(now time.Duration, req wire.LeasePromiseRequest) wire.LeasePromiseResponse {
+	answer := wire.LeasePromiseResponse{Promiser: h.settings.Self.ID, Address: h.settings.Self.Address}
+	duration := min(time.Duration(req.DurationMillis)*time.Millisecond, h.settings.PromiseTime)
 	for _, l := range req.Leases {
 		r := Resource(l.Resource)
 		s, known := h.table.State(r)
@@ -33,10 +33,10 @@
 // before its request was sent. The answer of a newer incarnation at the
 // member's address counts for the member too: an address belongs to one process
 // at a time, so the member itself is dead.
-func (h *Holder) HandlePromiseAnswer(id uint64, a wire.LeasePromiseAnswer) {
+func (h *Holder) HandlePromiseAnswer(id uint64, a wire.LeasePromiseResponse) {
 	p, ok := h.pendingRequests[id]
 	delete(h.pendingRequests, id)
-	if !ok || (a.By != p.member.ID && a.Address != p.member.Address) {
+	if !ok || (a.Promiser != p.member.ID && a.Address != p.member.Address) {
 		return
 	}
 	for _, l := range a.Leases {
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -50,7 +50,7 @@
 type promiseCall struct {
 	member  int // index of the requester
 	request PromiseRequest
-	answer  *wire.LeasePromiseAnswer
+	answer  *wire.LeasePromiseResponse
 }
 
 const unit = time.Second
--- a/internal/lease/tick.go
+++ b/internal/lease/tick.go
@@ -168,14 +168,14 @@
 	if now-h.requestsSentAt < h.settings.RenewInterval {
 		return nil
 	}
-	byMember := map[Member][]wire.LeaseName{}
+	byMember := map[Member][]wire.LeaseRef{}
 	for _, r := range h.settings.Wanted {
 		l := h.held[r]
 		if l == nil || r.Domain() == "" || now-l.confirmedSentAt < 2*h.settings.RenewInterval {
 			continue
 		}
 		for _, m := range h.takeoverCandidates(r) {
-			byMember[m] = append(byMember[m], wire.LeaseName{Resource: string(r), Token: int64(l.token)})
+			byMember[m] = append(byMember[m], wire.LeaseRef{Resource: string(r), Token: int64(l.token)})
 		}
 	}
 	if len(byMember) == 0 {
@@ -185,12 +185,12 @@
 	return h.newPromiseRequests(now, byMember)
 }
 
-func (h *Holder) newPromiseRequests(now time.Duration, byMember map[Member][]wire.LeaseName) []PromiseRequest {
+func (h *Holder) newPromiseRequests(now time.Duration, byMember map[Member][]wire.LeaseRef) []PromiseRequest {
 	var requests []PromiseRequest
 	for m, leases := range byMember {
-		requests = append(requests, PromiseRequest{Member: m, Body: wire.LeasePromiseAsk{
+		requests = append(requests, PromiseRequest{Member: m, Body: wire.LeasePromiseRequest{
 			Holder: h.settings.Self.ID, Member: m.ID,
-			ForMillis: h.settings.PromiseTime.Milliseconds(), Leases: leases,
+			DurationMillis: h.settings.PromiseTime.Milliseconds(), Leases: leases,
 		}})
 	}
 	slices.SortFunc(requests, func(a, b PromiseRequest) int { return compareIDs(a.Member.ID, b.Member.ID) })
--- a/internal/poison/home.go
+++ b/internal/poison/home.go
@@ -58,7 +58,7 @@
 	return best
 }
 
-func (h *home) enqueue(now time.Duration, from string, b wire.PoisonAsk) {
+func (h *home) enqueue(now time.Duration, from string, b wire.PoisonPermitRequest) {
 	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok || len(h.queue) >= maxQueuedAsks {
 		return
@@ -73,7 +73,7 @@
 }
 
 // renewPermit extends a permit, including one that another home granted.
-func (h *home) renewPermit(now time.Duration, from string, b wire.PoisonHold) {
+func (h *home) renewPermit(now time.Duration, from string, b wire.PoisonPermitRenewal) {
 	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok {
 		return
@@ -85,7 +85,7 @@
 }
 
 // endPermit ends a permit, or removes the ask of a request that no longer waits.
-func (h *home) endPermit(from string, b wire.PoisonDone) {
+func (h *home) endPermit(from string, b wire.PoisonPermitRelease) {
 	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok {
 		return
@@ -148,7 +148,7 @@
 	queue := h.queue
 	h.queue = nil
 	for _, a := range queue {
-		g := wire.PoisonGrant{Request: a.request, Fingerprint: a.fp[:]}
+		g := wire.PoisonPermitResponse{Request: a.request, Fingerprint: a.fp[:]}
 		switch {
 		case r.ledger.quarantined(now, a.fp):
 			g.Quarantined = true
@@ -163,7 +163,7 @@
 			}
 			h.permits[a.fp] = &permit{holder: a.from, target: g.Target, expiresAt: now + h.cfg.PermitTTL}
 		}
-		r.send(now, a.from, wire.KindPoisonGrant, g)
+		r.send(now, a.from, wire.KindPoisonPermitResponse, g)
 	}
 }
 
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -51,13 +51,13 @@
 			delete(n.unacked, from)
 		}
 		r.releaseHeld(now)
-	case wire.PoisonGrant:
+	case wire.PoisonPermitResponse:
 		r.handleGrant(now, from, b)
-	case wire.PoisonAsk:
+	case wire.PoisonPermitRequest:
 		r.home.enqueue(now, from, b)
-	case wire.PoisonHold:
+	case wire.PoisonPermitRenewal:
 		r.home.renewPermit(now, from, b)
-	case wire.PoisonDone:
+	case wire.PoisonPermitRelease:
 		if b.Crash != nil {
 			r.merge(now, wire.PoisonNotice{Crashes: []wire.PoisonCrash{*b.Crash}})
 		}
@@ -68,7 +68,7 @@
 
 // merge adds what a peer reports to the ledger.
 func (r *Registry) merge(now time.Duration, b wire.PoisonNotice) {
-	for _, c := range b.Clears {
+	for _, c := range b.Exonerations {
 		if fp, ok := parseFingerprint(c.Fingerprint); ok {
 			r.ledger.clearCrash(now, fp, CrashID{Target: c.Target, Incarnation: c.Incarnation})
 		}
@@ -120,12 +120,12 @@
 	r.send(now, to, wire.KindPoisonNotice, body)
 }
 
-func (r *Registry) handleGrant(now time.Duration, from string, b wire.PoisonGrant) {
+func (r *Registry) handleGrant(now time.Duration, from string, b wire.PoisonPermitResponse) {
 	q := r.requests[b.Request]
 	if q == nil || q.home != from || q.hasPermit {
 		if b.Target != "" && (q == nil || q.target != b.Target) {
 			// The request has ended: return the permit.
-			r.send(now, from, wire.KindPoisonDone, wire.PoisonDone{Request: b.Request, Fingerprint: b.Fingerprint, Target: b.Target})
+			r.send(now, from, wire.KindPoisonPermitRelease, wire.PoisonPermitRelease{Request: b.Request, Fingerprint: b.Fingerprint, Target: b.Target})
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 	})
 	for fp, s := range r.ledger.suspects {
 		for _, id := range s.cleared {
-			b.Clears = append(b.Clears, wire.PoisonClear{Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation})
+			b.Exonerations = append(b.Exonerations, wire.PoisonExoneration{Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation})
 		}
 		if s.quarantinedUntil > now {
 			age := r.cfg.QuarantineTTL - (s.quarantinedUntil - now)
@@ -203,21 +203,21 @@
 		return decodeBody[wire.PoisonNotice](f)
 	case wire.KindPoisonAck:
 		return decodeBody[wire.PoisonAck](f)
-	case wire.KindPoisonAsk:
-		return decodeBody[wire.PoisonAsk](f)
-	case wire.KindPoisonGrant:
-		return decodeBody[wire.PoisonGrant](f)
-	case wire.KindPoisonHold:
-		return decodeBody[wire.PoisonHold](f)
-	case wire.KindPoisonDone:
-		return decodeBody[wire.PoisonDone](f)
+	case wire.KindPoisonPermitRequest:
+		return decodeBody[wire.PoisonPermitRequest](f)
+	case wire.KindPoisonPermitResponse:
+		return decodeBody[wire.PoisonPermitResponse](f)
+	case wire.KindPoisonPermitRenewal:
+		return decodeBody[wire.PoisonPermitRenewal](f)
+	case wire.KindPoisonPermitRelease:
+		return decodeBody[wire.PoisonPermitRelease](f)
 	}
 	return nil, errors.Newf("poison: unknown message kind=%s", f.Kind)
 }
 
 func decodeBody[T any](f wire.Frame) (any, error) {
 	var b T
-	if err := f.Into(&b); err != nil {
+	if err := f.DecodeBody(&b); err != nil {
 		return nil, errors.Wrap(err, "decode poison message")
 	}
 	return b, nil
--- a/internal/poison/registry.go
+++ b/internal/poison/registry.go
@@ -162,8 +162,8 @@
 
 func (r *Registry) requestPermit(now time.Duration, q *request) {
 	q.home = homeOf(q.pool, r.cfg.Self, r.peers)
-	body := wire.PoisonAsk{Request: q.id, Fingerprint: q.fp[:], Targets: q.targets}
-	r.send(now, q.home, wire.KindPoisonAsk, body)
+	body := wire.PoisonPermitRequest{Request: q.id, Fingerprint: q.fp[:], Targets: q.targets}
+	r.send(now, q.home, wire.KindPoisonPermitRequest, body)
 }
 
 // Started records that an admitted request is about to be sent to a target. Call
@@ -202,11 +202,11 @@
 	var body wire.PoisonNotice
 	for _, id := range r.ledger.openCrashes(fp) {
 		r.ledger.clearCrash(now, fp, id)
-		body.Clears = append(body.Clears, wire.PoisonClear{
+		body.Exonerations = append(body.Exonerations, wire.PoisonExoneration{
 			Fingerprint: fp[:], Target: id.Target, Incarnation: id.Incarnation,
 		})
 	}
-	if len(body.Clears) > 0 {
+	if len(body.Exonerations) > 0 {
 		r.stats.Cleared++
 		r.broadcast(now, body)
 	}
@@ -217,11 +217,11 @@
 	if q.home == "" {
 		return
 	}
-	body := wire.PoisonDone{Request: q.id, Fingerprint: q.fp[:], Target: q.target, Crash: c}
+	body := wire.PoisonPermitRelease{Request: q.id, Fingerprint: q.fp[:], Target: q.target, Crash: c}
 	if !q.hasPermit {
 		body.Target = ""
 	}
-	r.send(now, q.home, wire.KindPoisonDone, body)
+	r.send(now, q.home, wire.KindPoisonPermitRelease, body)
 	q.home, q.hasPermit = "", false
 }
 
@@ -272,7 +272,7 @@
 		switch {
 		case q.hasPermit:
 			q.home = homeOf(q.pool, r.cfg.Self, r.peers)
-			r.send(now, q.home, wire.KindPoisonHold, wire.PoisonHold{Fingerprint: q.fp[:], Target: q.target})
+			r.send(now, q.home, wire.KindPoisonPermitRenewal, wire.PoisonPermitRenewal{Fingerprint: q.fp[:], Target: q.target})
 		case q.home != "":
 			r.requestPermit(now, q)
 		}
--- a/internal/rate/askplan.go
+++ b/internal/rate/askplan.go
@@ -164,7 +164,7 @@
 			p.accounts = append(p.accounts, item.Account)
 		}
 		l.pending[l.lastAskID] = p
-		body := wire.RateAsk{From: l.settings.Self, Items: batch.items[peer]}
+		body := wire.RateRequest{From: l.settings.Self, Items: batch.items[peer]}
 		asks = append(asks, Ask{ID: l.lastAskID, Peer: peer, Body: body})
 	}
 	return asks
--- a/internal/rate/exchange.go
+++ b/internal/rate/exchange.go
@@ -41,7 +41,7 @@
 type Ask struct {
 	ID   uint64
 	Peer string
-	Body wire.RateAsk
+	Body wire.RateRequest
 }
 
 // Return is a one-way message to send to a peer.
@@ -81,9 +81,9 @@
 }
 
 // HandleAsk grants what it can of an ask and debits the granted tokens here.
-func (l *Limiter) HandleAsk(now time.Duration, ask wire.RateAsk) wire.RateGrant {
+func (l *Limiter) HandleAsk(now time.Duration, ask wire.RateRequest) wire.RateGrant {
 	l.advanceShare(now)
-	g := wire.RateGrant{From: l.settings.Self, At: int64(now)}
+	g := wire.RateGrant{From: l.settings.Self, DebitedAtNanos: int64(now)}
 	for i, item := range ask.Items {
 		a := l.accounts[item.Account]
 		if a == nil || i >= wire.MaxRateItems {
@@ -97,7 +97,7 @@
 		}
 		item.Tokens = a.bucket.balance
 		left := l.lendable(a, now, ask.From, item) // still available to this asker
-		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Left: left})
+		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Remaining: left})
 	}
 	return g
 }
@@ -141,10 +141,10 @@
 			continue
 		}
 		h := a.peerHints[peer]
-		h.tokens, h.at = item.Left, now
+		h.tokens, h.at = item.Remaining, now
 		a.peerHints[peer] = h
 		if item.Tokens > 0 {
-			l.acceptCredit(a, now, credit{peer: peer, incarnation: g.From, grantedAt: g.At, until: until, tokens: item.Tokens})
+			l.acceptCredit(a, now, credit{peer: peer, incarnation: g.From, grantedAt: g.DebitedAtNanos, until: until, tokens: item.Tokens})
 		}
 	}
 }
@@ -184,11 +184,11 @@
 	}
 	for _, item := range r.Items {
 		a := l.accounts[item.Account]
-		if a == nil || time.Duration(item.At) > now {
+		if a == nil || time.Duration(item.DebitedAtNanos) > now {
 			continue
 		}
 		l.advance(a, now)
-		at := time.Duration(item.At)
+		at := time.Duration(item.DebitedAtNanos)
 		if item.Spent > 0 {
 			a.bucket.reduceLoan(at, item.Spent)
 		}
@@ -204,7 +204,7 @@
 // queueUnspent queues the return of unspent tokens of a credit.
 func (l *Limiter) queueUnspent(a *account, c credit, tokens float64) {
 	if tokens > 0 {
-		l.queueReturn(c, wire.RateReturnItem{Account: a.name, At: c.grantedAt, Unspent: tokens})
+		l.queueReturn(c, wire.RateReturnItem{Account: a.name, DebitedAtNanos: c.grantedAt, Unspent: tokens})
 	}
 }
 
--- a/internal/wire/membership.go
+++ b/internal/wire/membership.go
@@ -1,69 +1,69 @@
 package wire
 
-// Kinds of message about membership. None of them is a call.
+// Message kinds of the membership protocol. All are one-way messages.
 const (
-	// KindMemberPing asks a peer to answer with a KindMemberPong.
+	// KindMemberPing requests a KindMemberPong.
 	KindMemberPing Kind = "member.ping"
-	// KindMemberPong answers a ping.
+	// KindMemberPong acknowledges a ping.
 	KindMemberPong Kind = "member.pong"
-	// KindMemberNews pushes facts that are new to the sender.
-	KindMemberNews Kind = "member.news"
+	// KindMemberUpdates pushes records that are new to the sender.
+	KindMemberUpdates Kind = "member.news"
 )
 
-// MemberBuckets is the number of digests in a ping: facts fall into buckets
-// by the hash of their name, and only buckets that differ are exchanged.
-const MemberBuckets = 32
+// DigestBuckets is the number of digests in a ping. Records are assigned to
+// buckets by the hash of their name, and only buckets whose digests differ are
+// exchanged.
+const DigestBuckets = 32
 
-// MemberState is what is known of an entry instance.
+// MemberState is the state of an entry instance.
 type MemberState uint8
 
-// The states of a member. At equal versions the higher one wins.
+// Member states. Between records of equal version the higher state wins.
 const (
 	MemberLive MemberState = iota
 	MemberLeaving
-	// MemberSilent: a peer that watches it hears nothing.
+	// MemberSilent: the peer that monitors it gets no response.
 	MemberSilent
 )
 
-// MemberFact is one entry instance. A higher Order is a later process under
-// the same name; Version is raised by the process itself.
-type MemberFact struct {
-	Identity Identity    `msgpack:"i"`
-	Order    uint64      `msgpack:"o"`
-	Version  uint64      `msgpack:"v"`
-	State    MemberState `msgpack:"s"`
+// MemberRecord describes an entry instance. A later process under the same name
+// has a higher Generation; Version is raised by the process itself.
+type MemberRecord struct {
+	Identity   Identity    `msgpack:"i"`
+	Generation uint64      `msgpack:"o"`
+	Version    uint64      `msgpack:"v"`
+	State      MemberState `msgpack:"s"`
 }
 
-// TargetFact is one target. Draining, and Gone for one that the list does not
-// name any more, are as of AsOfMillis of the platform's
-// list; Epoch counts the incarnations seen, and Past names the latest ones.
-type TargetFact struct {
-	Target      string   `msgpack:"t"`
-	Draining    bool     `msgpack:"d,omitempty"`
-	Gone        bool     `msgpack:"g,omitempty"`
-	AsOfMillis  int64    `msgpack:"a"`
-	Incarnation string   `msgpack:"i,omitempty"`
-	Epoch       uint64   `msgpack:"e,omitempty"`
-	Past        []string `msgpack:"p,omitempty"`
+// TargetRecord describes a target. Draining and Gone (no longer listed) are as
+// of AsOfMillis, the time of the platform's list. Epoch counts the observed
+// incarnations; PastIncarnations holds the most recent earlier ones.
+type TargetRecord struct {
+	Target           string   `msgpack:"t"`
+	Draining         bool     `msgpack:"d,omitempty"`
+	Gone             bool     `msgpack:"g,omitempty"`
+	AsOfMillis       int64    `msgpack:"a"`
+	Incarnation      string   `msgpack:"i,omitempty"`
+	Epoch            uint64   `msgpack:"e,omitempty"`
+	PastIncarnations []string `msgpack:"p,omitempty"`
 }
 
-// MemberBeat is the body of a ping and of a pong.
-type MemberBeat struct {
-	// Seq is the ping's number, repeated in the pong.
-	Seq  uint64     `msgpack:"q"`
-	From MemberFact `msgpack:"f"`
-	// Facts is how many facts the sender has.
-	Facts int `msgpack:"n"`
-	// Digests has MemberBuckets entries.
+// MemberPing is the body of a ping and of a pong.
+type MemberPing struct {
+	// Seq is the sequence number of the ping, repeated in the pong.
+	Seq  uint64       `msgpack:"q"`
+	From MemberRecord `msgpack:"f"`
+	// RecordCount is the number of records that the sender has.
+	RecordCount int `msgpack:"n"`
+	// Digests has DigestBuckets entries.
 	Digests []uint32 `msgpack:"g"`
 }
 
-// MemberNews carries facts. Taking them in again, or in another order,
-// changes nothing.
-type MemberNews struct {
-	Members []MemberFact `msgpack:"m,omitempty"`
-	Targets []TargetFact `msgpack:"t,omitempty"`
-	// Exchange is set on facts sent because digests differ; they are not
-	// pushed on.
-	Exchange bool `msgpack:"x,omitempty"`
+// MemberUpdates carries records. Merging them is idempotent and commutative.
+type MemberUpdates struct {
+	Members []MemberRecord `msgpack:"m,omitempty"`
+	Targets []TargetRecord `msgpack:"t,omitempty"`
+	// AntiEntropy is set on records that are sent because digests differ; the
+	// receiver does not push them further.
+	AntiEntropy bool `msgpack:"x,omitempty"`
 }
