--- a/cmd/mastictray-gateway/main.go
+++ b/cmd/mastictray-gateway/main.go
@@ -42,7 +42,7 @@
 }
 
 func run(s *Settings) error {
-	if err := logline.ToWriter(os.Stdout); err != nil {
+	if err := logline.SetOutput(os.Stdout); err != nil {
 		return err
 	}
 	defer klog.Flush()
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -40,8 +40,8 @@
 	By string `msgpack:"w" json:"by"`
 	// Op is the operation id that the writer chose.
 	Op string `msgpack:"o" json:"op"`
-	// What is the kind of record, such as "config.change".
-	What     string    `msgpack:"k" json:"what"`
+	// Kind is the kind of record, such as "config.change".
+	Kind     string    `msgpack:"k" json:"what"`
 	Subjects []Subject `msgpack:"j,omitempty" json:"subjects,omitempty"`
 	Outcome  Outcome   `msgpack:"r" json:"outcome"`
 	Reason   string    `msgpack:"y,omitempty" json:"reason,omitempty"`
--- a/internal/certs/pair.go
+++ b/internal/certs/pair.go
@@ -13,10 +13,10 @@
 // checkEvery bounds how often the files are looked at.
 const checkEvery = time.Second
 
-// Pair is a certificate and key on disk, read again when either file changes.
+// KeyPair is a certificate and key on disk, read again when either file changes.
 // A pair that cannot be read leaves the last good one in use: a half-written
 // file must not take the listener down.
-type Pair struct {
+type KeyPair struct {
 	certFile, keyFile string
 	now               func() time.Time
 
@@ -26,9 +26,9 @@
 	checked time.Time
 }
 
-// NewPair reads the files once and fails if they are no valid pair.
-func NewPair(certFile, keyFile string, now func() time.Time) (*Pair, error) {
-	p := &Pair{certFile: certFile, keyFile: keyFile, now: now}
+// NewKeyPair reads the files once and fails if they are no valid pair.
+func NewKeyPair(certFile, keyFile string, now func() time.Time) (*KeyPair, error) {
+	p := &KeyPair{certFile: certFile, keyFile: keyFile, now: now}
 	if err := p.load(); err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 }
 
 // Certificate is the present certificate.
-func (p *Pair) Certificate() *tls.Certificate {
+func (p *KeyPair) Certificate() *tls.Certificate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := p.now(); now.Sub(p.checked) >= checkEvery {
@@ -47,7 +47,7 @@
 }
 
 // load reads the files if they changed. Callers hold mu, or are NewPair.
-func (p *Pair) load() error {
+func (p *KeyPair) load() error {
 	stamp, err := stampsOf(p.certFile, p.keyFile)
 	if err != nil {
 		return err
@@ -74,19 +74,19 @@
 	return stamp, nil
 }
 
-// Server is the configuration of a listener for callers.
-func Server(p *Pair) *tls.Config {
+// ServerConfig is the configuration of a listener for callers.
+func ServerConfig(p *KeyPair) *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Certificate(), nil },
 	}
 }
 
-// Mutual is the configuration of connections between peers, in both
+// MutualConfig is the configuration of connections between peers, in both
 // directions: each side's certificate must come from the authority. Host names
 // are not compared, since peers talk by IP address and addresses are reused;
 // the shared secret still has to be proved on top.
-func Mutual(p *Pair, caFile string) (*tls.Config, error) {
+func MutualConfig(p *KeyPair, caFile string) (*tls.Config, error) {
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority")
--- a/internal/certs/pair_test.go
+++ b/internal/certs/pair_test.go
@@ -67,7 +67,7 @@
 	ca := newAuthority(t, filepath.Join(dir, "ca.pem"))
 	now := time.Unix(1000, 0)
 	cert, key := ca.issue(t, dir, "node", 2, now)
-	p, err := NewPair(cert, key, func() time.Time { return now })
+	p, err := NewKeyPair(cert, key, func() time.Time { return now })
 	is.NoErr(err)
 	first := p.Certificate().Certificate[0]
 
@@ -106,9 +106,9 @@
 	t.Helper()
 	is := is.New(t)
 	cert, key := a.issue(t, dir, name, 5, time.Now())
-	p, err := NewPair(cert, key, time.Now)
+	p, err := NewKeyPair(cert, key, time.Now)
 	is.NoErr(err)
-	c, err := Mutual(p, filepath.Join(dir, "ours.pem"))
+	c, err := MutualConfig(p, filepath.Join(dir, "ours.pem"))
 	is.NoErr(err)
 	return c
 }
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -27,7 +27,7 @@
 // entryLine is one entry as a line: when, where, who, what, outcome, on what.
 func entryLine(e audit.Entry) string {
 	when := time.UnixMilli(e.AtMillis).UTC().Format(time.RFC3339)
-	parts := []string{when, fmt.Sprintf("%s@%d", e.Stream, e.Offset), e.By, e.What, string(e.Outcome)}
+	parts := []string{when, fmt.Sprintf("%s@%d", e.Stream, e.Offset), e.By, e.Kind, string(e.Outcome)}
 	for _, s := range e.Subjects {
 		before := s.Before
 		if before == "" {
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -81,8 +81,8 @@
 // makePlan compares the files with the state, and checks the result.
 func makePlan(s *config.State, set fileSet, prune bool) plan {
 	p := plan{Revision: s.Revision, Files: []planned{}, Problems: config.Problems{}}
-	present := s.Present()
-	after := s.Present()
+	present := s.CurrentFiles()
+	after := s.CurrentFiles()
 	for _, name := range sortedNames(set.contents) {
 		contents := set.contents[name]
 		old, had := present[name]
@@ -101,7 +101,7 @@
 			continue
 		}
 		if !prune {
-			p.Files = append(p.Files, planned{Name: name, Action: "keep", Base: s.Base(name)})
+			p.Files = append(p.Files, planned{Name: name, Action: "keep", Base: s.FileRevision(name)})
 			continue
 		}
 		delete(after, name)
@@ -113,7 +113,7 @@
 }
 
 func (p *plan) add(s *config.State, action string, change config.FileChange, old []byte) {
-	change.Base = s.Base(change.Name)
+	change.Base = s.FileRevision(change.Name)
 	p.changes = append(p.changes, change)
 	p.Files = append(p.Files, planned{
 		Name: change.Name, Action: action, Base: change.Base, Lines: diffLines(old, change.Contents),
--- a/internal/cli/stream.go
+++ b/internal/cli/stream.go
@@ -53,13 +53,13 @@
 func (e *Env) step(f *config.Follower, wait time.Duration) (bool, error) {
 	batch, err := e.read(platform.StreamConfig, platform.Offset(f.Next()), wait)
 	if errors.Is(err, platform.ErrTrimmed) {
-		f.Trimmed(int64(batch.Start))
+		f.SkipTo(int64(batch.Start))
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	if _, err := f.Read(batch.Records); err != nil {
+	if _, err := f.Apply(batch.Records); err != nil {
 		return false, err
 	}
 	return f.Next() >= int64(batch.Next), nil
@@ -74,7 +74,7 @@
 			return nil, errors.Wrapf(err, "read configuration peer=%s", e.cmd.Log)
 		}
 	}
-	if f.State() == nil || f.Searching() {
+	if f.State() == nil || f.AwaitingState() {
 		return nil, errNoSnapshot
 	}
 	return f, nil
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -37,12 +37,12 @@
 	fmt.Fprintln(w, "from\tsampled\ttargets\tqueued\texpected\tfirst\tp90\tleft waiting/sent\tfailed\tordered/loaded\tload\tmoved\trefused\tevents")
 	for _, r := range rows {
 		events := append([]string{}, r.Versions...)
-		for _, token := range r.Lease {
+		for _, token := range r.LeaseTokens {
 			events = append(events, "lease="+token)
 		}
 		fmt.Fprintf(w, "%v\t%d\t%d\t%s\t%s\t%s\t%s\t%d/%d\t%d\t%d/%d\t%s\t%d\t%s\t%s\n", r.From, r.Sampled, r.Targets,
-			millis(r.Queued), millis(r.Expected), millis(r.First), millis(r.Worst), r.LeftWaiting, r.Left, r.Failed,
-			r.Orders, r.Loaded, millis(r.Load), r.Moved, counts(r.Refused), strings.Join(events, " "))
+			millis(r.Queued), millis(r.Expected), millis(r.FirstToken), millis(r.FirstTokenP90), r.LeftBeforeSend, r.LeftAfterSend, r.FailedAttempts,
+			r.Orders, r.Loaded, millis(r.LoadTime), r.StreamsMoved, counts(r.Refused), strings.Join(events, " "))
 	}
 	// The writer's errors are those of standard output.
 	_ = w.Flush()
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -54,7 +54,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				n, err := Fold(s, record)
+				n, err := Apply(s, record)
 				if err != nil || n.Revision != 1 {
 					b.Fatal(err, n.Audit)
 				}
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -21,10 +21,10 @@
 	maxOpBytes     = 128
 )
 
-// Fold gives the state after the record at offset s.Next. A record that does
+// Apply gives the state after the record at offset s.Next. A record that does
 // not decode is skipped, the same way on every instance. The only error is
 // ErrNewerRules; the state is then unchanged.
-func Fold(s *State, data []byte) (*State, error) {
+func Apply(s *State, data []byte) (*State, error) {
 	n := s.next()
 	e, err := logrec.Decode(data)
 	if err != nil {
@@ -66,7 +66,7 @@
 
 func newDraft(offset int64, e logrec.Envelope) *entryDraft {
 	return &entryDraft{audit.Entry{
-		Stream: platform.StreamConfig, Offset: offset, AtMillis: e.AtMillis, By: e.By, What: string(e.Kind),
+		Stream: platform.StreamConfig, Offset: offset, AtMillis: e.AtMillis, By: e.By, Kind: string(e.Kind),
 	}}
 }
 
@@ -124,7 +124,7 @@
 	seen := map[string]bool{}
 	reason := ""
 	for _, f := range c.Files {
-		present := s.Base(f.Name)
+		present := s.FileRevision(f.Name)
 		d.Subjects = append(d.Subjects, subject(f, present, d.Offset))
 		switch {
 		case reason != "":
@@ -198,8 +198,8 @@
 	}
 	key := Key{ID: k.ID, Account: k.Account, SHA256: k.SHA256}
 	n.Revision = d.Offset
-	n.Created = maps.Clone(n.Created)
-	n.Created[k.SHA256] = key
+	n.CreatedKeys = maps.Clone(n.CreatedKeys)
+	n.CreatedKeys[k.SHA256] = key
 	n.intent = n.withIntentKey(key)
 	n.accept(d)
 }
@@ -243,16 +243,16 @@
 		d.Subjects[0] = audit.Subject{Name: key.ID, Before: key.Account, After: "withdrawn"}
 	}
 	n.Revision = d.Offset
-	n.Withdrawn = maps.Clone(n.Withdrawn)
-	n.Withdrawn[k.SHA256] = w
-	n.Created = maps.Clone(n.Created)
-	delete(n.Created, k.SHA256)
+	n.WithdrawnKeys = maps.Clone(n.WithdrawnKeys)
+	n.WithdrawnKeys[k.SHA256] = w
+	n.CreatedKeys = maps.Clone(n.CreatedKeys)
+	delete(n.CreatedKeys, k.SHA256)
 	n.intent = n.withIntentKey(w.key())
 	n.accept(d)
 }
 
 func foldSnapshot(n *State, _ *entryDraft, p SnapshotPart) {
-	if p.Part == p.Parts-1 && p.Through > n.SnapshotThrough && p.Through < n.Next {
-		n.SnapshotThrough = p.Through
+	if p.Part == p.Parts-1 && p.Next > n.SnapshotNext && p.Next < n.Next {
+		n.SnapshotNext = p.Next
 	}
 }
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -27,16 +27,16 @@
 // Next is the offset to read from.
 func (f *Follower) Next() int64 { return f.pos }
 
-// Searching says that the records read so far wait for a snapshot or a
+// AwaitingState says that the records read so far wait for a snapshot or a
 // peer's state. The state, if any, is in force meanwhile.
-func (f *Follower) Searching() bool { return !f.joined() }
+func (f *Follower) AwaitingState() bool { return !f.joined() }
 
 // joined says that state covers everything before the run that was read.
 func (f *Follower) joined() bool { return f.state != nil && f.state.Next >= f.from }
 
-// Trimmed restarts the search at the oldest retained offset: what lies
+// SkipTo restarts the search at the oldest retained offset: what lies
 // between is lost. A state that is known stays in force.
-func (f *Follower) Trimmed(start int64) {
+func (f *Follower) SkipTo(start int64) {
 	if start <= f.pos {
 		return
 	}
@@ -44,12 +44,12 @@
 	f.assembler.reset()
 }
 
-// Read takes the answer to a read from Next on; an empty list says that there
+// Apply takes the answer to a read from Next on; an empty list says that there
 // were no records yet. It reports whether the state changed. Records that
 // were read before are skipped, and a gap starts the search anew: folding on
 // across it would part this instance from the others. The error is
 // ErrNewerRules; reading again will not help.
-func (f *Follower) Read(records []platform.Record) (bool, error) {
+func (f *Follower) Apply(records []platform.Record) (bool, error) {
 	before := f.state
 	if f.state == nil && f.from == 0 {
 		f.state = EmptyState()
@@ -58,7 +58,7 @@
 		if int64(r.Offset) < f.pos {
 			continue
 		}
-		f.Trimmed(int64(r.Offset))
+		f.SkipTo(int64(r.Offset))
 		if err := f.take(r.Data); err != nil {
 			return f.state != before, err
 		}
@@ -68,7 +68,7 @@
 
 func (f *Follower) take(record []byte) error {
 	if f.joined() {
-		s, err := Fold(f.state, record)
+		s, err := Apply(f.state, record)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 // known, and reports whether it was. A state of a lower revision is never
 // adopted: configuration would revert for as long as the log is out of reach.
 func (f *Follower) Adopt(s *State) (bool, error) {
-	if f.state != nil && !s.Newer(f.state) {
+	if f.state != nil && !s.NewerThan(f.state) {
 		return false, nil
 	}
 	f.state = s
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -31,13 +31,13 @@
 // read lets f read at most limit records, as an instance does.
 func (l *fakeLog) read(f *Follower, limit int) error {
 	if f.Next() < l.start {
-		f.Trimmed(l.start)
+		f.SkipTo(l.start)
 	}
 	var batch []platform.Record
 	for o := f.Next(); o < int64(len(l.records)) && len(batch) < limit; o++ {
 		batch = append(batch, platform.Record{Offset: platform.Offset(o), Data: l.records[o]})
 	}
-	_, err := f.Read(batch)
+	_, err := f.Apply(batch)
 	return err
 }
 
@@ -184,7 +184,7 @@
 	f := NewFollower()
 	is.NoErr(l.read(f, 10))
 	is.True(f.State() == nil)
-	is.True(f.Searching())
+	is.True(f.AwaitingState())
 	_, err := f.Adopt(base)
 	is.NoErr(err)
 	is.Equal(mustEncode(t, f.State()), mustEncode(t, want))
@@ -241,7 +241,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := &State{Revision: 0, Next: c.next, SnapshotThrough: c.through}
+			s := &State{Revision: 0, Next: c.next, SnapshotNext: c.through}
 			is.Equal(SnapshotDue(s, p, c.since, c.start), c.want)
 		})
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -12,11 +12,11 @@
 	f.Add(seed)
 	seed, _ = logrec.Encode(KindKeyWithdraw, "o", 0, KeyWithdraw{Op: "1", ID: "k", SHA256: goodHash})
 	f.Add(seed)
-	seed, _ = logrec.Encode(KindSnapshot, "o", 0, SnapshotPart{Through: 0, Parts: 1, Data: []byte{0x80}})
+	seed, _ = logrec.Encode(KindSnapshot, "o", 0, SnapshotPart{Next: 0, Parts: 1, Data: []byte{0x80}})
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		a, errA := Fold(EmptyState(), data)
-		b, errB := Fold(EmptyState(), data)
+		a, errA := Apply(EmptyState(), data)
+		b, errB := Apply(EmptyState(), data)
 		if (errA == nil) != (errB == nil) || !bytes.Equal(mustEncode(t, a), mustEncode(t, b)) {
 			t.Fatal("two folds of one record differ")
 		}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -14,29 +14,29 @@
 
 // Defaults of keys that a section may leave out.
 const (
-	DefaultWeight          = 1
-	DefaultKeyCutoff       = 10 * time.Minute
-	DefaultPieceBytes      = 16384
-	DefaultBytesPerToken   = 4
-	DefaultMaxOutputTokens = 512
-	DefaultPrefillRate     = 8000
-	DefaultMaxConcurrent   = 32
-	DefaultMaxLoads        = 1
-	DefaultPriority        = 5
-	DefaultDeadline        = 30 * time.Second
-	DefaultCostTokens      = 1
-	maxPieceBytes          = 1 << 20
-	maxOutputTokens        = 1 << 20
-	maxConcurrentRequests  = 1 << 16
-	maxTargets             = 1 << 16
-	highestPriority        = 9
-	noChildSections        = "\x00"
-	fileNameExpected       = "a file name such as reports/accounts.ini"
-	hashExpected           = "64 hex digits in lower case (mastictray keys create prints them)"
-	sectionKindsExpected   = `a section of account, key, model, pool, target or route`
-	maxFileNameLength      = 200
-	pathExpected           = "a path that starts with '/', without '?', '#' or spaces"
-	deadlineLowest         = time.Millisecond
+	DefaultWeight                 = 1
+	DefaultKeyCutoff              = 10 * time.Minute
+	DefaultPieceBytes             = 16384
+	DefaultBytesPerToken          = 4
+	DefaultMaxOutputTokens        = 512
+	DefaultPrefillTokensPerSecond = 8000
+	DefaultMaxConcurrent          = 32
+	DefaultMaxLoads               = 1
+	DefaultPriority               = 5
+	DefaultDeadline               = 30 * time.Second
+	DefaultCostTokens             = 1
+	maxPieceBytes                 = 1 << 20
+	maxOutputTokens               = 1 << 20
+	maxConcurrentRequests         = 1 << 16
+	maxTargets                    = 1 << 16
+	highestPriority               = 9
+	noChildSections               = "\x00"
+	fileNameExpected              = "a file name such as reports/accounts.ini"
+	hashExpected                  = "64 hex digits in lower case (mastictray keys create prints them)"
+	sectionKindsExpected          = `a section of account, key, model, pool, target or route`
+	maxFileNameLength             = 200
+	pathExpected                  = "a path that starts with '/', without '?', '#' or spaces"
+	deadlineLowest                = time.Millisecond
 	// keyCutoffLowest is above the time between two reads of the log, or
 	// keys would be refused with every link up.
 	keyCutoffLowest          = 15 * time.Second
@@ -187,7 +187,7 @@
 	}
 	if p.Kind == KindEngine {
 		p.Model = s.name("model")
-		p.PrefillTokensPerSecond = s.positive("prefill-tokens-per-second", DefaultPrefillRate)
+		p.PrefillTokensPerSecond = s.positive("prefill-tokens-per-second", DefaultPrefillTokensPerSecond)
 		p.ServingFloor = s.count("serving-floor", 0, 0, maxTargets)
 		p.MaxLoads = s.count("max-loads", DefaultMaxLoads, 1, maxTargets)
 	}
--- a/internal/config/property_test.go
+++ b/internal/config/property_test.go
@@ -32,7 +32,7 @@
 
 func (w *world) write(t *rapid.T, kind logrec.Kind, by string, body any) {
 	o := w.log.append(kind, by, body)
-	s, err := Fold(w.newest(), w.log.records[o])
+	s, err := Apply(w.newest(), w.log.records[o])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +44,9 @@
 	seen := w.reference[rapid.IntRange(0, len(w.reference)-1).Draw(t, "seen")]
 	file := rapid.SampledFrom([]string{"a.ini", "b.ini"}).Draw(t, "file")
 	rate := rapid.IntRange(0, 5).Draw(t, "rate")
-	body := change(fmt.Sprint(w.ops), file, seen.Base(file), accountFile(file[:1], rate))
+	body := change(fmt.Sprint(w.ops), file, seen.FileRevision(file), accountFile(file[:1], rate))
 	if rapid.IntRange(0, 4).Draw(t, "delete") == 0 {
-		body.Files[0] = FileChange{Name: file, Base: seen.Base(file), Delete: true}
+		body.Files[0] = FileChange{Name: file, Base: seen.FileRevision(file), Delete: true}
 	}
 	// A lost answer makes the tool or the network append it twice.
 	for range rapid.IntRange(1, 2).Draw(t, "times") {
@@ -111,7 +111,7 @@
 	if err := step(); err != nil {
 		t.Fatal(err)
 	}
-	if before != nil && before.Newer(f.State()) {
+	if before != nil && before.NewerThan(f.State()) {
 		t.Fatalf("went back from %d/%d to %d/%d", before.Revision, before.Next, f.State().Revision, f.State().Next)
 	}
 }
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -64,10 +64,10 @@
 // SnapshotPart is the body of KindSnapshot.
 type SnapshotPart struct {
 	Rules int `msgpack:"v"`
-	// Through is the state's Next: the snapshot stands for all records
+	// Next is the state's Next: the snapshot stands for all records
 	// before this offset.
-	Through int64  `msgpack:"t"`
-	Part    int    `msgpack:"p"`
-	Parts   int    `msgpack:"q"`
-	Data    []byte `msgpack:"d"`
+	Next  int64  `msgpack:"t"`
+	Part  int    `msgpack:"p"`
+	Parts int    `msgpack:"q"`
+	Data  []byte `msgpack:"d"`
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -53,15 +53,15 @@
 func (s *State) Encode() ([]byte, error) {
 	b := stateBody{
 		Rules: RulesVersion, Revision: s.Revision, Next: s.Next,
-		SnapshotThrough: s.SnapshotThrough, Audit: s.Audit,
+		SnapshotThrough: s.SnapshotNext, Audit: s.Audit,
 	}
 	for name, f := range s.Files {
 		b.Files = append(b.Files, fileBody{name, f.Contents, f.Revision, f.By, f.Deleted})
 	}
-	for _, k := range s.Created {
+	for _, k := range s.CreatedKeys {
 		b.Created = append(b.Created, keyBody{ID: k.ID, Account: k.Account, SHA256: k.SHA256})
 	}
-	for _, w := range s.Withdrawn {
+	for _, w := range s.WithdrawnKeys {
 		b.Withdrawn = append(b.Withdrawn, keyBody(w))
 	}
 	sort.Slice(b.Files, func(i, j int) bool { return b.Files[i].Name < b.Files[j].Name })
@@ -85,12 +85,12 @@
 		return nil, errors.Wrapf(ErrMalformedState, "revision %d next %d", b.Revision, b.Next)
 	}
 	s := EmptyState()
-	s.Revision, s.Next, s.SnapshotThrough, s.Audit = b.Revision, b.Next, b.SnapshotThrough, b.Audit
+	s.Revision, s.Next, s.SnapshotNext, s.Audit = b.Revision, b.Next, b.SnapshotThrough, b.Audit
 	for _, k := range b.Created {
-		s.Created[k.SHA256] = Key{ID: k.ID, Account: k.Account, SHA256: k.SHA256}
+		s.CreatedKeys[k.SHA256] = Key{ID: k.ID, Account: k.Account, SHA256: k.SHA256}
 	}
 	for _, w := range b.Withdrawn {
-		s.Withdrawn[w.SHA256] = Withdrawal(w)
+		s.WithdrawnKeys[w.SHA256] = Withdrawal(w)
 	}
 	return s, s.decodeFiles(b.Files)
 }
@@ -130,7 +130,7 @@
 	for i := range parts {
 		end := min((i+1)*snapshotPartBytes, len(data))
 		body := SnapshotPart{
-			Rules: RulesVersion, Through: s.Next, Part: i, Parts: parts,
+			Rules: RulesVersion, Next: s.Next, Part: i, Parts: parts,
 			Data: data[i*snapshotPartBytes : end],
 		}
 		record, err := logrec.Encode(KindSnapshot, by, atMillis, body)
@@ -165,10 +165,10 @@
 	}
 	// A log that starts behind the snapshot can no longer be folded from
 	// it: a restarted fleet would find no configuration there.
-	if logStart > s.SnapshotThrough {
+	if logStart > s.SnapshotNext {
 		return true
 	}
-	return s.Next-s.SnapshotThrough >= p.EveryRecords || sinceLast >= p.Every
+	return s.Next-s.SnapshotNext >= p.EveryRecords || sinceLast >= p.Every
 }
 
 // assembler joins the parts of a snapshot, which stand at consecutive
@@ -195,9 +195,9 @@
 	}
 	if p.Part == 0 {
 		a.reset()
-		a.through = p.Through
+		a.through = p.Next
 	}
-	if p.Part != a.parts || p.Through != a.through {
+	if p.Part != a.parts || p.Next != a.through {
 		a.reset()
 		return nil
 	}
@@ -208,7 +208,7 @@
 	}
 	s, err := DecodeState(a.data)
 	a.reset()
-	if err != nil || s.Next != p.Through {
+	if err != nil || s.Next != p.Next {
 		return nil
 	}
 	return s
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -45,12 +45,12 @@
 	Revision int64
 	// Next is the offset of the first record that is not in the state.
 	Next int64
-	// SnapshotThrough is the Next of the newest snapshot in the log.
-	SnapshotThrough int64
-	Files           map[string]File
-	// Created keys and withdrawn keys, by hash.
-	Created   map[string]Key
-	Withdrawn map[string]Withdrawal
+	// SnapshotNext is the Next of the newest snapshot in the log.
+	SnapshotNext int64
+	Files        map[string]File
+	// CreatedKeys keys and withdrawn keys, by hash.
+	CreatedKeys   map[string]Key
+	WithdrawnKeys map[string]Withdrawal
 	// Audit is the newest part of the trail, oldest first.
 	Audit []audit.Entry
 
@@ -61,17 +61,17 @@
 // EmptyState is the fold of no record.
 func EmptyState() *State {
 	return &State{
-		Revision: NoRevision, Files: map[string]File{}, Created: map[string]Key{},
-		Withdrawn: map[string]Withdrawal{}, intent: newIntent(), fragments: map[string]*fragment{},
+		Revision: NoRevision, Files: map[string]File{}, CreatedKeys: map[string]Key{},
+		WithdrawnKeys: map[string]Withdrawal{}, intent: newIntent(), fragments: map[string]*fragment{},
 	}
 }
 
 // Intent is the configuration in force. Callers must not change it.
 func (s *State) Intent() *Intent { return s.intent }
 
-// Newer says that s holds more of the log than o. An instance only ever goes
+// NewerThan says that s holds more of the log than o. An instance only ever goes
 // from a state to a newer one.
-func (s *State) Newer(o *State) bool {
+func (s *State) NewerThan(o *State) bool {
 	if s.Revision != o.Revision {
 		return s.Revision > o.Revision
 	}
@@ -89,16 +89,16 @@
 	return audit.Entry{}, false
 }
 
-// Base is the revision that a change of the file has to be based on.
-func (s *State) Base(file string) int64 {
+// FileRevision is the revision that a change of the file has to be based on.
+func (s *State) FileRevision(file string) int64 {
 	if f, ok := s.Files[file]; ok {
 		return f.Revision
 	}
 	return NoRevision
 }
 
-// Present gives the contents of the files that are not deleted.
-func (s *State) Present() map[string][]byte {
+// CurrentFiles gives the contents of the files that are not deleted.
+func (s *State) CurrentFiles() map[string][]byte {
 	out := map[string][]byte{}
 	for name, f := range s.Files {
 		if !f.Deleted {
@@ -118,16 +118,16 @@
 
 // rebuild derives the intent from the fragments and the key records.
 func (s *State) rebuild() Problems {
-	created := make([]Key, 0, len(s.Created))
-	for _, k := range s.Created {
+	created := make([]Key, 0, len(s.CreatedKeys))
+	for _, k := range s.CreatedKeys {
 		created = append(created, k)
 	}
 	sort.Slice(created, func(i, j int) bool { return created[i].ID < created[j].ID })
 	intent, ps := merge(s.fragments, created)
 	if len(ps) > 0 {
-		return locateAll(ps, s.Present())
+		return locateAll(ps, s.CurrentFiles())
 	}
-	for hash, w := range s.Withdrawn {
+	for hash, w := range s.WithdrawnKeys {
 		intent.Keys[hash] = w.key()
 	}
 	intent.Revision = s.Revision
--- a/internal/entry/configdriver.go
+++ b/internal/entry/configdriver.go
@@ -139,7 +139,7 @@
 	defer d.mu.Unlock()
 	d.contacts.Log(asked)
 	d.logStart = int64(b.Start)
-	_, err := d.follower.Read(b.Records)
+	_, err := d.follower.Apply(b.Records)
 	d.publish()
 	d.thaw.confirmed(asked)
 	return err
@@ -149,7 +149,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	logline.Info("config_trimmed", "start", start)
-	d.follower.Trimmed(int64(start))
+	d.follower.SkipTo(int64(start))
 }
 
 // publish puts the follower's state into force. Callers hold mu.
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -66,10 +66,10 @@
 // one that was there at the start counts as very old.
 func (s *snapshotter) snapshotAge(state *config.State) time.Duration {
 	now := s.clock.now()
-	if s.seen >= 0 && state.SnapshotThrough != s.seen {
+	if s.seen >= 0 && state.SnapshotNext != s.seen {
 		s.since = now
 	}
-	s.seen = state.SnapshotThrough
+	s.seen = state.SnapshotNext
 	if s.since == 0 {
 		return math.MaxInt64
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 
 // New builds the process from checked settings. Nothing listens yet.
 func New(s *settings.Settings) (*Entry, error) {
-	secret, err := s.Secret()
+	secret, err := s.PeerSecret()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entry/rolloutdriver_test.go
+++ b/internal/entry/rolloutdriver_test.go
@@ -96,7 +96,7 @@
 	}
 	issued := 0
 	for _, entry := range b.driver.orders() {
-		if entry.What == string(rollout.KindIssued) {
+		if entry.Kind == string(rollout.KindIssued) {
 			issued++
 			is.Equal(entry.Subjects[0].Before, "v1")
 			is.Equal(entry.Subjects[0].After, "v2")
--- a/internal/entry/security.go
+++ b/internal/entry/security.go
@@ -22,18 +22,18 @@
 	}
 	sec := security{admin: tokens}
 	if s.CallerTLSCert != "" {
-		pair, err := certs.NewPair(s.CallerTLSCert, s.CallerTLSKey, time.Now)
+		pair, err := certs.NewKeyPair(s.CallerTLSCert, s.CallerTLSKey, time.Now)
 		if err != nil {
 			return sec, err
 		}
-		sec.callers = certs.Server(pair)
+		sec.callers = certs.ServerConfig(pair)
 	}
 	if s.PeerTLSCert != "" {
-		pair, err := certs.NewPair(s.PeerTLSCert, s.PeerTLSKey, time.Now)
+		pair, err := certs.NewKeyPair(s.PeerTLSCert, s.PeerTLSKey, time.Now)
 		if err != nil {
 			return sec, err
 		}
-		if sec.peers, err = certs.Mutual(pair, s.PeerTLSCA); err != nil {
+		if sec.peers, err = certs.MutualConfig(pair, s.PeerTLSCA); err != nil {
 			return sec, err
 		}
 	}
--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -185,7 +185,7 @@
 	switch {
 	case s == nil, s.Incarnation != a.Incarnation && a.Revision > s.Revision:
 		p.known[a.Instance] = newState(now, a)
-		logline.Sampled("peer_found", "peer", a.Instance, "address", a.Address, "incarnation", a.Incarnation)
+		logline.InfoSampled("peer_found", "peer", a.Instance, "address", a.Address, "incarnation", a.Incarnation)
 	case s.Incarnation == a.Incarnation && a.Revision != s.Revision:
 		s.Announced, s.announcedAt = a, now
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -181,7 +181,7 @@
 			Instance: id.Instance, Incarnation: id.Incarnation, Address: id.Address, Domain: id.Domain,
 		}})
 		p.known[id.Instance] = s
-		logline.Sampled("peer_met", "peer", id.Instance, "address", id.Address, "incarnation", id.Incarnation, "via", via)
+		logline.InfoSampled("peer_met", "peer", id.Instance, "address", id.Address, "incarnation", id.Incarnation, "via", via)
 	}
 	s.updatedAt, s.via, s.state, s.Capacity = c.At, via, c.State, c.State.Capacity
 	p.noteConfig(s, c.State.ConfigVersion)
--- a/internal/gateway/finish.go
+++ b/internal/gateway/finish.go
@@ -55,7 +55,7 @@
 func (g *Gateway) logAnswered(c *call, s *relay) {
 	total := g.clock.Now() - c.began
 	g.metrics.answered(c, s, total)
-	logline.Sampled("answered", "request", c.ID, "route", c.route.Name, "account", accountName(c), "target", c.tried,
+	logline.InfoSampled("answered", "request", c.ID, "route", c.route.Name, "account", accountName(c), "target", c.tried,
 		"weights", c.choice.weights, "status", s.status, "attempts", c.sent, "events", s.events, "queued", c.placedAt-c.began, "first", s.firstAt, "after", total,
 		"expected", c.choice.expected, "cached_pieces", c.choice.cached, "uncached", c.choice.uncached, "targets", c.choice.targets)
 }
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -135,7 +135,7 @@
 		return
 	}
 	r := e.Registration
-	logline.Sampled("target_registered", "target", e.ID, "address", r.Address, "domain", r.Domain, "state", string(r.State),
+	logline.InfoSampled("target_registered", "target", e.ID, "address", r.Address, "domain", r.Domain, "state", string(r.State),
 		"born", r.Born, "seq", r.Seq, "versions", r.Versions)
 }
 
--- a/internal/logline/output.go
+++ b/internal/logline/output.go
@@ -57,8 +57,8 @@
 	written atomic.Int64
 }
 
-// ToWriter sends all lines to w, bounded in rate and never blocking.
-func ToWriter(w io.Writer) error {
+// SetOutput sends all lines to w, bounded in rate and never blocking.
+func SetOutput(w io.Writer) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for name, value := range map[string]string{"logtostderr": "false", "one_output": "true", "stderrthreshold": "FATAL"} {
@@ -103,9 +103,9 @@
 
 var samples atomic.Int64
 
-// Sampled writes one in sampleEvery of events that are frequent and alike,
+// InfoSampled writes one in sampleEvery of events that are frequent and alike,
 // such as requests that were served; counters have them all.
-func Sampled(event string, keyvals ...any) {
+func InfoSampled(event string, keyvals ...any) {
 	if samples.Add(1)%sampleEvery == 0 {
 		klog.InfoSDepth(1, event, append(keyvals, "sampled", sampleEvery)...)
 	}
--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -11,7 +11,7 @@
 // ledger found it void.
 func Entry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
-		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.By, What: string(e.Kind),
+		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.By, Kind: string(e.Kind),
 	}
 	switch e.Kind {
 	case KindPool:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MinSecretBytes is the shortest shared peer secret that is taken.
-const MinSecretBytes = 16
+// MinPeerSecretBytes is the shortest shared peer secret that is taken.
+const MinPeerSecretBytes = 16
 
 // Settings of an entry process. Every field can be set in the INI file (key
 // as the flag, section by the flag's prefix), by environment or by flag.
@@ -97,14 +97,14 @@
 	return err
 }
 
-// Secret reads the shared peer secret.
-func (s *Settings) Secret() ([]byte, error) {
+// PeerSecret reads the shared peer secret.
+func (s *Settings) PeerSecret() ([]byte, error) {
 	raw, err := os.ReadFile(s.PeerSecretFile)
 	if err != nil {
 		return nil, errors.Wrap(err, "read peer secret")
 	}
-	if len(raw) < MinSecretBytes {
-		return nil, errors.Newf("peer secret: %d bytes, expected %d or more", len(raw), MinSecretBytes)
+	if len(raw) < MinPeerSecretBytes {
+		return nil, errors.Newf("peer secret: %d bytes, expected %d or more", len(raw), MinPeerSecretBytes)
 	}
 	return raw, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -70,6 +70,6 @@
 	s, err := parse(t, goodINI)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(s.PeerSecretFile, []byte("short"), 0o600))
-	_, err = s.Secret()
+	_, err = s.PeerSecret()
 	is.True(err != nil)
 }
--- a/internal/slopes/audit.go
+++ b/internal/slopes/audit.go
@@ -10,7 +10,7 @@
 	var list []audit.Entry
 	for i := range n {
 		list = append(list, audit.Entry{
-			Stream: "config", Offset: int64(i), AtMillis: 1 << 40, By: "operator-1", Op: incarnation, What: "config.change",
+			Stream: "config", Offset: int64(i), AtMillis: 1 << 40, By: "operator-1", Op: incarnation, Kind: "config.change",
 			Subjects: []audit.Subject{{Name: "accounts/a0.ini", Before: "123456", After: "123457"}}, Outcome: audit.Accepted, Note: "raise the rate for the season",
 		})
 	}
--- a/internal/slopes/records.go
+++ b/internal/slopes/records.go
@@ -59,7 +59,7 @@
 }
 
 func foldConfig(s *config.State, c config.Change) *config.State {
-	n, err := config.Fold(s, record(config.KindChange, c))
+	n, err := config.Apply(s, record(config.KindChange, c))
 	if err != nil || n.Revision == s.Revision {
 		panic(fmt.Sprint("change not accepted: ", err, n.Audit))
 	}
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -20,29 +20,29 @@
 	Targets int `json:"targets"`
 	// Queued is the wait at the entry instance, Expected the estimate of the
 	// time from there to the first token, First that time as measured.
-	Queued   time.Duration `json:"queued"`
-	Expected time.Duration `json:"expected"`
-	First    time.Duration `json:"first"`
-	Worst    time.Duration `json:"worst"`
+	Queued        time.Duration `json:"queued"`
+	Expected      time.Duration `json:"expected"`
+	FirstToken    time.Duration `json:"first"`
+	FirstTokenP90 time.Duration `json:"worst"`
 	// Refused is the refusals by reason.
 	Refused map[string]int `json:"refused,omitempty"`
-	// LeftWaiting is the callers that left before their request was sent, Left
+	// LeftBeforeSend is the callers that left before their request was sent, Left
 	// those that left afterwards.
-	LeftWaiting int `json:"left_waiting"`
-	Left        int `json:"left"`
-	// Failed is the attempts that a target did not answer whole.
-	Failed int `json:"failed"`
+	LeftBeforeSend int `json:"left_waiting"`
+	LeftAfterSend  int `json:"left"`
+	// FailedAttempts is the attempts that a target did not answer whole.
+	FailedAttempts int `json:"failed"`
 	// Orders is the orders to load weights, Loaded the loads that ended, Load
 	// the median time of these.
-	Orders int           `json:"orders"`
-	Loaded int           `json:"loaded"`
-	Load   time.Duration `json:"load"`
-	// Moved is the streams that were moved away from targets about to load.
-	Moved int `json:"moved"`
+	Orders   int           `json:"orders"`
+	Loaded   int           `json:"loaded"`
+	LoadTime time.Duration `json:"load"`
+	// StreamsMoved is the streams that were moved away from targets about to load.
+	StreamsMoved int `json:"moved"`
 	// Versions lists the versions of weights and of the configuration that
 	// became known, Lease the tokens of the leases taken.
-	Versions []string `json:"versions,omitempty"`
-	Lease    []string `json:"lease,omitempty"`
+	Versions    []string `json:"versions,omitempty"`
+	LeaseTokens []string `json:"lease,omitempty"`
 }
 
 // window collects the lines of one row.
@@ -106,24 +106,24 @@
 		w.row.Refused[l.fields["reason"]]++
 	case "caller_left":
 		if l.fields["sent"] == "0" {
-			w.row.LeftWaiting++
+			w.row.LeftBeforeSend++
 		} else {
-			w.row.Left++
+			w.row.LeftAfterSend++
 		}
 	case "attempt_failed":
-		w.row.Failed++
+		w.row.FailedAttempts++
 	case "order":
 		w.row.Orders++
 	case "weights_loaded":
 		w.loads = append(w.loads, l.duration("took"))
 	case "stream_moved":
-		w.row.Moved++
+		w.row.StreamsMoved++
 	case "weights_named":
 		once(&w.row.Versions, "weights="+l.fields["version"])
 	case "config_in_force":
 		once(&w.row.Versions, "config="+l.fields["version"])
 	case "lease_taken":
-		w.row.Lease = append(w.row.Lease, l.fields["token"])
+		w.row.LeaseTokens = append(w.row.LeaseTokens, l.fields["token"])
 	}
 }
 
@@ -146,8 +146,8 @@
 	w.row.Sampled, w.row.Loaded = len(w.first), len(w.loads)
 	w.row.Targets = quantile(w.targets, 0.5)
 	w.row.Queued, w.row.Expected = quantile(w.queued, 0.5), quantile(w.expected, 0.5)
-	w.row.First, w.row.Worst = quantile(w.first, 0.5), quantile(w.first, worst)
-	w.row.Load = quantile(w.loads, 0.5)
+	w.row.FirstToken, w.row.FirstTokenP90 = quantile(w.first, 0.5), quantile(w.first, worst)
+	w.row.LoadTime = quantile(w.loads, 0.5)
 	return w.row
 }
 
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -31,11 +31,11 @@
 	is.Equal(rows, []Row{
 		{
 			Sampled: 2, Targets: 12, Queued: 30 * time.Millisecond, Expected: 60 * time.Millisecond,
-			First: 500 * time.Millisecond, Worst: 500 * time.Millisecond, Refused: map[string]int{},
+			FirstToken: 500 * time.Millisecond, FirstTokenP90: 500 * time.Millisecond, Refused: map[string]int{},
 		},
 		{
-			From: 2 * time.Second, Refused: map[string]int{"queue_no_target": 1}, LeftWaiting: 1, Left: 1,
-			Loaded: 1, Load: 1500 * time.Millisecond, Versions: []string{"weights=3"},
+			From: 2 * time.Second, Refused: map[string]int{"queue_no_target": 1}, LeftBeforeSend: 1, LeftAfterSend: 1,
+			Loaded: 1, LoadTime: 1500 * time.Millisecond, Versions: []string{"weights=3"},
 		},
 	})
 }
