--- a/internal/config/fold.go
+++ b/internal/config/apply.go
@@ -12,39 +12,40 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// ErrNewerRules is returned for a record that this build cannot judge.
+// ErrNewerRules is returned for a record or state of a newer RulesVersion.
 var ErrNewerRules = errors.New("config record: written by newer rules")
 
 const (
-	// maxReasonBytes bounds the reason kept for a rejected change.
+	// maxReasonBytes limits the reasons and notes kept in audit entries.
 	maxReasonBytes = 1024
 	maxOpBytes     = 128
 )
 
-// Apply gives the state after the record at offset s.Next. A record that does
-// not decode is skipped, the same way on every instance. The only error is
+// Apply returns the state after the record at offset s.Next. A record that
+// cannot be decoded is skipped on all instances alike. The only error is
 // ErrNewerRules; the state is then unchanged.
 func Apply(s *State, data []byte) (*State, error) {
-	n := s.next()
+	n := s.advanced()
 	e, err := logrec.Decode(data)
 	if err != nil {
 		return n, nil
 	}
 	switch e.Kind {
 	case KindChange:
-		return foldBody(s, n, e, foldChange)
+		return applyBody(s, n, e, applyChange)
 	case KindKeyCreate:
-		return foldBody(s, n, e, foldKeyCreate)
+		return applyBody(s, n, e, applyKeyCreate)
 	case KindKeyWithdraw:
-		return foldBody(s, n, e, foldKeyWithdraw)
+		return applyBody(s, n, e, applyKeyWithdraw)
 	case KindSnapshot:
-		return foldBody(s, n, e, foldSnapshot)
+		return applyBody(s, n, e, applySnapshot)
 	}
 	return n, nil
 }
 
-// foldBody decodes a body and hands it to its fold, which changes n.
-func foldBody[B interface{ rules() int }](s, n *State, e logrec.Envelope, fold func(*State, *entryDraft, B)) (*State, error) {
+// applyBody decodes the body of a record and passes it to apply, which updates
+// n, a copy of s for the next offset.
+func applyBody[B interface{ rules() int }](s, n *State, e logrec.Envelope, apply func(*State, *entryDraft, B)) (*State, error) {
 	var body B
 	if e.Into(&body) != nil {
 		return n, nil
@@ -52,7 +53,7 @@
 	if body.rules() > RulesVersion {
 		return s, errors.Wrapf(ErrNewerRules, "offset %d: rules %d, this build has %d", s.Next, body.rules(), RulesVersion)
 	}
-	fold(n, newDraft(s.Next, e), body)
+	apply(n, newDraft(s.Next, e), body)
 	return n, nil
 }
 
@@ -61,7 +62,7 @@
 func (k KeyWithdraw) rules() int  { return k.Rules }
 func (p SnapshotPart) rules() int { return p.Rules }
 
-// entryDraft is the audit entry of the record being folded.
+// entryDraft is the audit entry of the record being applied.
 type entryDraft struct{ audit.Entry }
 
 func newDraft(offset int64, e logrec.Envelope) *entryDraft {
@@ -70,53 +71,58 @@
 	}}
 }
 
-// begin says whether the operation is to be judged: it has an id that was
-// not seen before. An append that took effect twice has its first verdict.
-func (s *State) begin(d *entryDraft, op, note string) bool {
+// startOperation adds the operation's ID and note to the draft and reports
+// whether to apply the operation: its ID must be valid and not seen before. An
+// operation that is in the log twice keeps its first outcome.
+func (s *State) startOperation(d *entryDraft, op, note string) bool {
 	if op == "" || len(op) > maxOpBytes || d.By == "" {
 		return false
 	}
-	d.Op, d.Note = op, cut(note)
+	d.Op, d.Note = op, truncate(note)
 	_, seen := s.Outcome(op)
 	return !seen
 }
 
+// reject adds an audit entry for an operation without effect. The reason is
+// part of the encoded state: instances that word it differently would differ
+// in state.
 func (s *State) reject(d *entryDraft, reason string) {
-	d.Outcome, d.Reason = audit.Rejected, cut(reason)
-	s.Audit = audit.Append(s.Audit, d.Entry, maxAudit)
+	d.Outcome, d.Reason = audit.Rejected, truncate(reason)
+	s.Audit = audit.Append(s.Audit, d.Entry, maxAuditEntries)
 }
 
 func (s *State) accept(d *entryDraft) {
 	d.Outcome = audit.Accepted
-	s.Audit = audit.Append(s.Audit, d.Entry, maxAudit)
+	s.Audit = audit.Append(s.Audit, d.Entry, maxAuditEntries)
 }
 
-func cut(text string) string {
+func truncate(text string) string {
 	if len(text) > maxReasonBytes {
 		return text[:maxReasonBytes] + "…"
 	}
 	return text
 }
 
-func foldChange(n *State, d *entryDraft, c Change) {
-	if !n.begin(d, c.Op, c.Note) {
+func applyChange(n *State, d *entryDraft, c Change) {
+	if !n.startOperation(d, c.Op, c.Note) {
 		return
 	}
 	if reason := n.checkBases(d, c); reason != "" {
 		n.reject(d, reason)
 		return
 	}
-	tried := *n
-	if ps := tried.applyFiles(d, c); len(ps) > 0 {
+	candidate := *n
+	if ps := candidate.applyFiles(d, c); len(ps) > 0 {
 		n.reject(d, ps.Error())
 		return
 	}
-	*n = tried
+	*n = candidate
 	n.accept(d)
 }
 
-// checkBases compares each file's base with its present revision. The record
-// at the lower offset wins; the later one learns here who that was.
+// checkBases compares each file's base with its current revision and returns
+// the reason to reject the change, or "". Of two conflicting changes the one at
+// the lower offset wins; the audit entry of the other names the winner.
 func (s *State) checkBases(d *entryDraft, c Change) string {
 	if len(c.Files) == 0 {
 		return "the change names no file"
@@ -125,13 +131,13 @@
 	reason := ""
 	for _, f := range c.Files {
 		present := s.FileRevision(f.Name)
-		d.Subjects = append(d.Subjects, subject(f, present, d.Offset))
+		d.Subjects = append(d.Subjects, fileSubject(f, present, d.Offset))
 		switch {
 		case reason != "":
 		case seen[f.Name]:
 			reason = fmt.Sprintf("%s is named twice", f.Name)
 		case f.Base != present:
-			reason = s.lost(d, f)
+			reason = s.conflictReason(d, f)
 		case f.Delete && (present == NoRevision || s.Files[f.Name].Deleted):
 			reason = fmt.Sprintf("%s: there is no such file to delete", f.Name)
 		}
@@ -140,8 +146,9 @@
 	return reason
 }
 
-// lost names the change that f lost to.
-func (s *State) lost(d *entryDraft, f FileChange) string {
+// conflictReason describes the change that f conflicts with and sets it as the
+// winner.
+func (s *State) conflictReason(d *entryDraft, f FileChange) string {
 	present, ok := s.Files[f.Name]
 	if !ok {
 		return fmt.Sprintf("%s: based on revision %d, but the file never was", f.Name, f.Base)
@@ -154,7 +161,7 @@
 	return fmt.Sprintf("%s: based on revision %d, but %s %s revision %d", f.Name, f.Base, present.By, verb, present.Revision)
 }
 
-func subject(f FileChange, before, after int64) audit.Subject {
+func fileSubject(f FileChange, before, after int64) audit.Subject {
 	s := audit.Subject{Name: f.Name, After: strconv.FormatInt(after, 10)}
 	if before != NoRevision {
 		s.Before = strconv.FormatInt(before, 10)
@@ -165,30 +172,30 @@
 	return s
 }
 
-// applyFiles puts the change into the state and checks the whole result.
+// applyFiles applies the file changes and validates the resulting set.
 func (s *State) applyFiles(d *entryDraft, c Change) Problems {
 	s.Revision = d.Offset
-	s.Files, s.fragments = maps.Clone(s.Files), maps.Clone(s.fragments)
+	s.Files, s.parsedFiles = maps.Clone(s.Files), maps.Clone(s.parsedFiles)
 	var ps Problems
 	for _, f := range c.Files {
 		file := File{Revision: d.Offset, By: d.By, Deleted: f.Delete}
-		delete(s.fragments, f.Name)
+		delete(s.parsedFiles, f.Name)
 		if !f.Delete {
 			file.Contents = f.Contents
 			parsed, problems := parseFile(f.Name, f.Contents)
 			ps = append(ps, problems...)
-			s.fragments[f.Name] = parsed
+			s.parsedFiles[f.Name] = parsed
 		}
 		s.Files[f.Name] = file
 	}
 	if len(ps) > 0 {
 		return ps
 	}
-	return s.rebuild()
+	return s.rebuildIntent()
 }
 
-func foldKeyCreate(n *State, d *entryDraft, k KeyCreate) {
-	if !n.begin(d, k.Op, k.Note) {
+func applyKeyCreate(n *State, d *entryDraft, k KeyCreate) {
+	if !n.startOperation(d, k.Op, k.Note) {
 		return
 	}
 	d.Subjects = []audit.Subject{{Name: k.ID, After: k.Account}}
@@ -200,7 +207,7 @@
 	n.Revision = d.Offset
 	n.CreatedKeys = maps.Clone(n.CreatedKeys)
 	n.CreatedKeys[k.SHA256] = key
-	n.intent = n.withIntentKey(key)
+	n.intent = n.intentWithKey(key)
 	n.accept(d)
 }
 
@@ -225,11 +232,11 @@
 	return ""
 }
 
-// foldKeyWithdraw ends a key whatever the state says about it. The hash stays
-// in Withdrawn for good: a file that lists it again, such as an old copy
-// published by an operator who had not heard, must not revive it.
-func foldKeyWithdraw(n *State, d *entryDraft, k KeyWithdraw) {
-	if !n.begin(d, k.Op, k.Note) {
+// applyKeyWithdraw withdraws a key whether or not the state has it. The hash
+// stays in WithdrawnKeys permanently: a file that lists it again, such as an
+// outdated copy published by another operator, must not reactivate the key.
+func applyKeyWithdraw(n *State, d *entryDraft, k KeyWithdraw) {
+	if !n.startOperation(d, k.Op, k.Note) {
 		return
 	}
 	d.Subjects = []audit.Subject{{Name: k.ID, After: "withdrawn"}}
@@ -247,11 +254,11 @@
 	n.WithdrawnKeys[k.SHA256] = w
 	n.CreatedKeys = maps.Clone(n.CreatedKeys)
 	delete(n.CreatedKeys, k.SHA256)
-	n.intent = n.withIntentKey(w.key())
+	n.intent = n.intentWithKey(w.withdrawnKey())
 	n.accept(d)
 }
 
-func foldSnapshot(n *State, _ *entryDraft, p SnapshotPart) {
+func applySnapshot(n *State, _ *entryDraft, p SnapshotPart) {
 	if p.Part == p.Parts-1 && p.Next > n.SnapshotNext && p.Next < n.Next {
 		n.SnapshotNext = p.Next
 	}
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -7,10 +7,12 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 )
 
-// targetsPerFile is how operators split a large deployment into files.
+// targetsPerFile splits the targets into files as operators of a large
+// deployment do.
 const targetsPerFile = 100
 
-// largeState has accounts with two keys each, and targets in files.
+// largeState returns a state with two keys per account and targetsPerFile
+// targets per file.
 func largeState(b *testing.B, accounts, targets int) *State {
 	files := map[string][]byte{"pool.ini": []byte("[model \"m\"]\nversion = v1\n[pool \"p\"]\nkind = engine\nmodel = m\n")}
 	for a := range accounts {
@@ -39,7 +41,8 @@
 	return s
 }
 
-// BenchmarkFoldChange folds a change of one account's file.
+// BenchmarkFoldChange applies a change of one account's file. The capacity page
+// names this benchmark.
 func BenchmarkFoldChange(b *testing.B) {
 	for _, size := range []struct{ accounts, targets int }{{5, 15}, {50, 150}, {150, 1000}, {440, 3000}, {440, 10000}} {
 		b.Run(fmt.Sprintf("accounts=%d/targets=%d", size.accounts, size.targets), func(b *testing.B) {
--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -7,33 +7,34 @@
 	"strings"
 )
 
-// reservedPaths belong to the entry process itself.
+// reservedPaths are served by the entry process itself and cannot be routed.
 var reservedPaths = []string{"/v1/models", "/livez", "/readyz", "/metrics", "/admin"}
 
-// Build checks a whole set of files, by name, and gives the intent. The
-// error is Problems: every fault of every file at once.
+// Build validates a set of files, keyed by name, and returns the configuration
+// that they define. The error is of type Problems and covers all files.
 func Build(files map[string][]byte) (*Intent, error) {
-	fragments := map[string]*fragment{}
+	parsedFiles := map[string]*parsedFile{}
 	var ps Problems
 	for name, contents := range files {
 		f, problems := parseFile(name, contents)
 		ps = append(ps, problems...)
 		if f != nil {
-			fragments[name] = f
+			parsedFiles[name] = f
 		}
 	}
 	if len(ps) == 0 {
-		intent, problems := merge(fragments, nil)
+		intent, problems := merge(parsedFiles, nil)
 		if len(problems) == 0 {
 			return intent, nil
 		}
 		ps = problems
 	}
-	return nil, locateAll(ps, files)
+	return nil, setLinesAcross(ps, files)
 }
 
-// locateAll fills in lines over several files.
-func locateAll(ps Problems, files map[string][]byte) Problems {
+// setLinesAcross sets the line numbers of the problems of several files and
+// sorts them.
+func setLinesAcross(ps Problems, files map[string][]byte) Problems {
 	indexes := map[string]lineIndex{}
 	for i, p := range ps {
 		contents, ok := files[p.File]
@@ -41,47 +42,48 @@
 			continue
 		}
 		if _, done := indexes[p.File]; !done {
-			indexes[p.File], _ = scan(p.File, contents)
+			indexes[p.File], _ = indexLines(p.File, contents)
 		}
 		ps[i].Line = indexes[p.File].line(p.Section, p.Key)
 	}
-	sort.SliceStable(ps, func(i, j int) bool { return less(ps[i], ps[j]) })
+	sort.SliceStable(ps, func(i, j int) bool { return problemLess(ps[i], ps[j]) })
 	return ps
 }
 
-// merger joins fragments and checks what they say about each other.
+// merger combines parsed files and checks references and uniqueness across
+// them.
 type merger struct {
 	intent   *Intent
 	problems Problems
-	// titles remembers where each section was seen first.
-	titles map[string]string
-	// keyIDs, addresses and paths say which section has a value already.
+	// sectionFiles maps each section to the first file that has it.
+	sectionFiles map[string]string
+	// keyIDs, addresses and paths map a value to the section that uses it.
 	keyIDs, addresses map[string]string
-	paths             map[pathOf]string
+	paths             map[routeKey]string
 	pathKinds         map[string]PoolKind
 	poolSizes         map[string]int
 }
 
-// merge joins the fragments with the keys that records created.
-func merge(fragments map[string]*fragment, created []Key) (*Intent, Problems) {
+// merge combines the parsed files with the keys that log records created.
+func merge(parsedFiles map[string]*parsedFile, created []Key) (*Intent, Problems) {
 	m := &merger{
-		intent: newIntent(),
-		titles: map[string]string{}, keyIDs: map[string]string{},
-		addresses: map[string]string{}, paths: map[pathOf]string{}, pathKinds: map[string]PoolKind{}, poolSizes: map[string]int{},
+		intent:       newIntent(),
+		sectionFiles: map[string]string{}, keyIDs: map[string]string{},
+		addresses: map[string]string{}, paths: map[routeKey]string{}, pathKinds: map[string]PoolKind{}, poolSizes: map[string]int{},
 	}
-	names := make([]string, 0, len(fragments))
-	for name := range fragments {
+	names := make([]string, 0, len(parsedFiles))
+	for name := range parsedFiles {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		m.collect(fragments[name])
+		m.addFile(parsedFiles[name])
 	}
 	for _, k := range created {
-		m.createdKey(k)
+		m.addCreatedKey(k)
 	}
 	for _, name := range names {
-		m.check(fragments[name])
+		m.checkReferences(parsedFiles[name])
 	}
 	return m.intent, m.problems
 }
@@ -98,76 +100,76 @@
 	m.problems = append(m.problems, Problem{File: file, Section: title, Key: key, Expected: expected, Got: got})
 }
 
-// first reports a section that another file has too.
-func (m *merger) first(file, title string) bool {
-	if other, twice := m.titles[title]; twice {
+// registerSection reports a section that another file already has.
+func (m *merger) registerSection(file, title string) bool {
+	if other, duplicate := m.sectionFiles[title]; duplicate {
 		m.problem(file, title, "", "each section once, but "+other+" has it too", "")
 		return false
 	}
-	m.titles[title] = file
+	m.sectionFiles[title] = file
 	return true
 }
 
-// pathOf is what requests are routed by.
-type pathOf struct{ path, model string }
+// routeKey is the path and model by which requests are matched to a route.
+type routeKey struct{ path, model string }
 
-// unique reports a value that another section has taken.
-func (m *merger) unique(taken map[string]string, value, file, title, key string) {
-	if other, twice := taken[value]; twice {
+// checkUnique reports a value that another section already uses.
+func (m *merger) checkUnique(taken map[string]string, value, file, title, key string) {
+	if other, duplicate := taken[value]; duplicate {
 		m.problem(file, title, key, "a value of its own, but ["+other+"] has it", value)
 		return
 	}
 	taken[value] = title
 }
 
-func (m *merger) collect(f *fragment) {
+func (m *merger) addFile(f *parsedFile) {
 	for _, a := range f.accounts {
-		if m.first(a.file, a.title) {
+		if m.registerSection(a.file, a.title) {
 			m.intent.Accounts[a.value.Name] = a.value
 		}
 	}
 	for _, v := range f.models {
-		if m.first(v.file, v.title) {
+		if m.registerSection(v.file, v.title) {
 			m.intent.Models[v.value.Name] = v.value
 		}
 	}
 	for _, p := range f.pools {
-		if m.first(p.file, p.title) {
+		if m.registerSection(p.file, p.title) {
 			m.intent.Pools[p.value.Name] = p.value
 		}
 	}
 	for _, t := range f.targets {
-		if m.first(t.file, t.title) {
+		if m.registerSection(t.file, t.title) {
 			m.intent.Targets[t.value.Name] = t.value
 			m.poolSizes[t.value.Pool]++
 		}
 	}
 	for _, r := range f.routes {
-		if m.first(r.file, r.title) {
+		if m.registerSection(r.file, r.title) {
 			m.intent.Routes[r.value.Name] = r.value
 		}
 	}
 	for _, k := range f.keys {
-		m.collectKey(k)
+		m.addKey(k)
 	}
 }
 
-func (m *merger) collectKey(k placed[Key]) {
-	m.unique(m.keyIDs, k.value.ID, k.file, k.title, "")
-	if other, twice := m.intent.Keys[k.value.SHA256]; twice {
+func (m *merger) addKey(k located[Key]) {
+	m.checkUnique(m.keyIDs, k.value.ID, k.file, k.title, "")
+	if other, duplicate := m.intent.Keys[k.value.SHA256]; duplicate {
 		m.problem(k.file, k.title, "sha256", "a hash of its own, but key "+other.ID+" has it", "")
 		return
 	}
 	m.intent.Keys[k.value.SHA256] = k.value
 }
 
-// createdKey adds a key that an operator created by a record.
-func (m *merger) createdKey(k Key) {
+// addCreatedKey adds a key that a log record created.
+func (m *merger) addCreatedKey(k Key) {
 	title := "key " + k.ID + ", created by record"
-	if other, twice := m.keyIDs[k.ID]; twice {
+	if other, duplicate := m.keyIDs[k.ID]; duplicate {
 		m.problem(RecordsFile, title, "", "a key id that no file has, but ["+other+"] has it", "")
 	}
-	if _, twice := m.intent.Keys[k.SHA256]; twice {
+	if _, duplicate := m.intent.Keys[k.SHA256]; duplicate {
 		m.problem(RecordsFile, title, "sha256", "a hash that no file has", "")
 	}
 	if _, ok := m.intent.Accounts[k.Account]; !ok {
@@ -177,7 +179,7 @@
 	m.intent.Keys[k.SHA256] = k
 }
 
-func (m *merger) check(f *fragment) {
+func (m *merger) checkReferences(f *parsedFile) {
 	for _, k := range f.keys {
 		if _, ok := m.intent.Accounts[k.value.Account]; !ok {
 			m.problem(k.file, k.title, "account", "a known account", k.value.Account)
@@ -194,51 +196,51 @@
 	}
 }
 
-func (m *merger) checkPool(p placed[Pool]) {
+func (m *merger) checkPool(p located[Pool]) {
 	if p.value.Kind != KindEngine {
 		return
 	}
 	if _, ok := m.intent.Models[p.value.Model]; !ok {
 		m.problem(p.file, p.title, "model", "a known model", p.value.Model)
 	}
-	// Requests count on one version at a time. In the middle of a rollout the
-	// larger part of the pool has half of the targets: a floor above that
-	// could not be kept, and the rollout would wait forever.
+	// The floor counts targets that serve the same weights version. Midway
+	// through a rollout the larger group has only half of the targets: a higher
+	// floor could not be met, and the rollout would never finish.
 	if n := m.poolSizes[p.value.Name]; p.value.ServingFloor > n/2 {
 		m.problem(p.file, p.title, "serving-floor",
 			fmt.Sprintf("at most half of the pool's %d targets", n), fmt.Sprint(p.value.ServingFloor))
 	}
 }
 
-func (m *merger) checkTarget(t placed[Target]) {
+func (m *merger) checkTarget(t located[Target]) {
 	address, err := netip.ParseAddrPort(t.value.Address)
 	if err != nil || address.Port() == 0 {
-		m.problem(t.file, t.title, "address", addressExpectedInSection, t.value.Address)
+		m.problem(t.file, t.title, "address", addressExpected, t.value.Address)
 	}
-	m.unique(m.addresses, t.value.Address, t.file, t.title, "address")
+	m.checkUnique(m.addresses, t.value.Address, t.file, t.title, "address")
 	if _, ok := m.intent.Pools[t.value.Pool]; !ok {
 		m.problem(t.file, t.title, "pool", "a known pool", t.value.Pool)
 	}
 }
 
-// checkPath lets engine routes share a path when their pools serve different
-// models, since the request names the model. Any other route has its path to
-// itself.
-func (m *merger) checkPath(r placed[Route]) {
+// checkPath allows engine routes to share a path if their pools serve different
+// models, since the request names the model. Any other route needs a path of
+// its own.
+func (m *merger) checkPath(r located[Route]) {
 	pool := m.intent.Pools[r.value.Pool]
 	if kind, seen := m.pathKinds[r.value.Path]; seen && kind != pool.Kind {
 		m.problem(r.file, r.title, "path", "a path of pools of one kind", r.value.Path)
 	}
 	m.pathKinds[r.value.Path] = pool.Kind
-	of := pathOf{path: r.value.Path, model: pool.Model}
-	if other, twice := m.paths[of]; twice {
+	key := routeKey{path: r.value.Path, model: pool.Model}
+	if other, duplicate := m.paths[key]; duplicate {
 		m.problem(r.file, r.title, "path", "a path and model of its own, but ["+other+"] has them", r.value.Path)
 		return
 	}
-	m.paths[of] = r.title
+	m.paths[key] = r.title
 }
 
-func (m *merger) checkRoute(r placed[Route]) {
+func (m *merger) checkRoute(r located[Route]) {
 	m.checkPath(r)
 	for _, reserved := range reservedPaths {
 		if r.value.Path == reserved || strings.HasPrefix(r.value.Path, reserved+"/") {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,5 +1,5 @@
-// Package config is the operators' intent: the INI files they keep beside
-// their services, the checks on them, and the fold of the changes that
-// publishing appends to the platform's log. It is pure: no files, sockets or
-// clocks; callers hand in bytes, records and times.
+// Package config parses and validates the INI files that operators publish,
+// and replays the config stream of the platform's log, which holds their
+// changes, into the configuration in force. It does no I/O and reads no clock:
+// callers pass in file contents, log records and timestamps.
 package config
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -2,82 +2,84 @@
 
 import "github.com/mastictray/mastictray/internal/platform"
 
-// Follower folds the config stream as it is read, finds a state to start
-// from when the log is trimmed, and takes newer states from peers. What it
-// holds never goes back. The caller reads from Next and hands in the answers.
+// Follower applies the records of the config stream as they are read. If the
+// log was trimmed it finds a snapshot to start from, and it adopts newer states
+// from peers. Its state never reverts to an older one. The caller reads the
+// stream from Next and passes the records to Apply.
 type Follower struct {
 	state *State
-	// pos is the offset to read next.
-	pos int64
-	// from is the first offset of the unbroken run that was read; records
-	// before it are lost, or are in state.
-	from int64
-	// held are the records of that run which wait for a state to fold onto.
-	held      [][]byte
-	assembler assembler
+	// next is the offset to read next.
+	next int64
+	// runStart is the first offset of the contiguous run of records that was
+	// read. Earlier records are lost, or reflected in state.
+	runStart int64
+	// pending holds the records of that run that wait for a state to be applied
+	// to.
+	pending   [][]byte
+	assembler snapshotAssembler
 }
 
-// NewFollower starts with nothing known.
+// NewFollower returns a follower without a state.
 func NewFollower() *Follower { return &Follower{} }
 
-// State is the newest state known, or nil. It is nil until the start of the
-// log, a snapshot or a peer gave one: an instance serves nothing before that.
+// State returns the newest known state. It is nil until the start of the log, a
+// snapshot or a peer provides one; an instance serves nothing before that.
 func (f *Follower) State() *State { return f.state }
 
-// Next is the offset to read from.
-func (f *Follower) Next() int64 { return f.pos }
+// Next returns the offset to read from.
+func (f *Follower) Next() int64 { return f.next }
 
-// AwaitingState says that the records read so far wait for a snapshot or a
-// peer's state. The state, if any, is in force meanwhile.
-func (f *Follower) AwaitingState() bool { return !f.joined() }
+// AwaitingState reports whether the records read so far wait for a snapshot or
+// a peer's state. A known state stays in force meanwhile.
+func (f *Follower) AwaitingState() bool { return !f.contiguous() }
 
-// joined says that state covers everything before the run that was read.
-func (f *Follower) joined() bool { return f.state != nil && f.state.Next >= f.from }
+// contiguous reports whether state covers all records before runStart.
+func (f *Follower) contiguous() bool { return f.state != nil && f.state.Next >= f.runStart }
 
-// SkipTo restarts the search at the oldest retained offset: what lies
-// between is lost. A state that is known stays in force.
+// SkipTo continues at start, the oldest retained offset: the records before it
+// are lost. A known state stays in force.
 func (f *Follower) SkipTo(start int64) {
-	if start <= f.pos {
+	if start <= f.next {
 		return
 	}
-	f.pos, f.from, f.held = start, start, nil
+	f.next, f.runStart, f.pending = start, start, nil
 	f.assembler.reset()
 }
 
-// Apply takes the answer to a read from Next on; an empty list says that there
-// were no records yet. It reports whether the state changed. Records that
-// were read before are skipped, and a gap starts the search anew: folding on
-// across it would part this instance from the others. The error is
-// ErrNewerRules; reading again will not help.
+// Apply takes the records read from Next on; an empty list means that there are
+// none yet. It reports whether the state changed. Records that were read before
+// are skipped. After a gap the follower waits for a new state: applying records
+// across the gap would make its state differ from that of other instances. The
+// error is ErrNewerRules; reading again will not help.
 func (f *Follower) Apply(records []platform.Record) (bool, error) {
 	before := f.state
-	if f.state == nil && f.from == 0 {
+	if f.state == nil && f.runStart == 0 {
 		f.state = EmptyState()
 	}
 	for _, r := range records {
-		if int64(r.Offset) < f.pos {
+		if int64(r.Offset) < f.next {
 			continue
 		}
 		f.SkipTo(int64(r.Offset))
-		if err := f.take(r.Data); err != nil {
+		if err := f.applyNext(r.Data); err != nil {
 			return f.state != before, err
 		}
 	}
 	return f.state != before, nil
 }
 
-func (f *Follower) take(record []byte) error {
-	if f.joined() {
+func (f *Follower) applyNext(record []byte) error {
+	if f.contiguous() {
 		s, err := Apply(f.state, record)
 		if err != nil {
 			return err
 		}
 		f.state = s
-		f.pos++
+		f.next++
 		return nil
 	}
-	f.held = append(f.held, record)
-	f.pos++
+	f.pending = append(f.pending, record)
+	f.next++
 	if s := f.assembler.add(record); s != nil {
 		_, err := f.Adopt(s)
 		return err
@@ -85,33 +87,33 @@
 	return nil
 }
 
-// Adopt takes a state from a peer or a snapshot if it is newer than the one
-// known, and reports whether it was. A state of a lower revision is never
-// adopted: configuration would revert for as long as the log is out of reach.
+// Adopt replaces the state by one from a peer or a snapshot if that is newer,
+// and reports whether it did. A state of a lower revision is never adopted: the
+// configuration would revert for as long as the log is unreachable.
 func (f *Follower) Adopt(s *State) (bool, error) {
 	if f.state != nil && !s.NewerThan(f.state) {
 		return false, nil
 	}
 	f.state = s
-	if !f.joined() {
+	if !f.contiguous() {
 		return true, nil
 	}
 	for _, record := range f.rebase(s.Next) {
-		if err := f.take(record); err != nil {
+		if err := f.applyNext(record); err != nil {
 			return true, err
 		}
 	}
 	return true, nil
 }
 
-// rebase continues from the offset next and gives the held records that
-// come after it.
+// rebase continues from the offset next and returns the pending records from
+// there on.
 func (f *Follower) rebase(next int64) [][]byte {
-	held, first := f.held, f.from
-	f.pos, f.from, f.held = next, next, nil
+	pending, first := f.pending, f.runStart
+	f.next, f.runStart, f.pending = next, next, nil
 	f.assembler.reset()
-	if skip := next - first; skip < int64(len(held)) {
-		return held[skip:]
+	if skip := next - first; skip < int64(len(pending)) {
+		return pending[skip:]
 	}
 	return nil
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// fakeLog is the config stream: records from start on are retained.
+// fakeLog is a config stream that retains the records from offset start on.
 type fakeLog struct {
 	start   int64
 	records [][]byte
@@ -28,7 +28,7 @@
 	return int64(len(l.records) - 1)
 }
 
-// read lets f read at most limit records, as an instance does.
+// read passes the next records, limit at most, to f as an instance does.
 func (l *fakeLog) read(f *Follower, limit int) error {
 	if f.Next() < l.start {
 		f.SkipTo(l.start)
@@ -57,7 +57,7 @@
 	return data
 }
 
-func follow(t *testing.T, l *fakeLog) *State {
+func replay(t *testing.T, l *fakeLog) *State {
 	t.Helper()
 	f := NewFollower()
 	if err := l.read(f, len(l.records)); err != nil {
@@ -67,14 +67,14 @@
 }
 
 // Two operators change the same file from the same base. The record at the
-// lower offset is in force on every instance; the other operator is told who
-// won and at which revision, and the audit trail has both.
+// lower offset takes effect. The other is rejected with the winner and its
+// revision, and the audit trail has both.
 func TestOperatorRaceHasOneWinnerWhoIsNamed(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	l.append(KindChange, "anna", change("op-a", "a.ini", NoRevision, accountFile("a", 1)))
 	l.append(KindChange, "beat", change("op-b", "a.ini", NoRevision, accountFile("a", 2)))
-	s := follow(t, l)
+	s := replay(t, l)
 	is.Equal(s.Intent().Accounts["a"].TokensPerSecond, 1.0)
 	lost, ok := s.Outcome("op-b")
 	is.True(ok)
@@ -86,23 +86,24 @@
 }
 
 // The answer to an append is lost and the operator's tool appends the same
-// operation again. It takes effect once: the second record, whose base is
-// stale by then, must not turn the operation into a rejected one.
+// operation again. The second record has a stale base by then, and must not
+// turn the operation into a rejected one.
 func TestSameOperationTwiceTakesEffectOnce(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	for range 2 {
 		l.append(KindChange, "anna", change("op-a", "a.ini", NoRevision, accountFile("a", 1)))
 	}
-	s := follow(t, l)
+	s := replay(t, l)
 	got, _ := s.Outcome("op-a")
 	is.Equal(got.Outcome, audit.Accepted)
 	is.Equal(s.Revision, int64(0))
 	is.Equal(len(s.Audit), 1)
 }
 
-// A change based on the time before a file was deleted would bring it back
-// without its operator knowing of the deletion. It loses like any other.
+// A change that is based on a revision before the file's deletion would restore
+// the file, although its operator does not know of the deletion. It is rejected
+// like any other change with a stale base.
 func TestDeletionWinsOverOlderBase(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
@@ -111,21 +112,21 @@
 	l.append(KindChange, "beat", change("3", "a.ini", 0, accountFile("a", 2)))
 	l.append(KindChange, "beat", change("4", "a.ini", NoRevision, accountFile("a", 2)))
 	l.append(KindChange, "beat", change("5", "a.ini", 1, accountFile("a", 3)))
-	s := follow(t, l)
+	s := replay(t, l)
 	got, _ := s.Outcome("3")
 	is.Equal(got.Reason, "a.ini: based on revision 0, but anna deleted it at revision 1")
 	is.Equal(s.Intent().Accounts["a"].TokensPerSecond, 3.0)
 }
 
-// A change that does not validate as a whole set is rejected everywhere,
-// with the place and what was expected; what was in force stays in force.
+// A change after which the set of files is invalid is rejected with the location
+// and the expected value, and the configuration stays as it was.
 func TestInvalidChangeIsRejectedWithItsProblems(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	l.append(KindChange, "anna", change("1", "a.ini", NoRevision, accountFile("a", 1)))
 	l.append(KindChange, "anna", change("2", "a.ini", 0, accountFile("a", 0)))
 	l.append(KindChange, "anna", change("3", "k.ini", NoRevision, []byte("[key \"k\"]\naccount = b\nsha256 = "+goodHash)))
-	s := follow(t, l)
+	s := replay(t, l)
 	got, _ := s.Outcome("2")
 	is.Equal(got.Reason, `a.ini:2: [account "a"] tokens-per-second: expected a number above 0, got "0"`)
 	got, _ = s.Outcome("3")
@@ -133,20 +134,20 @@
 	is.Equal(s.Revision, int64(0))
 }
 
-// A key is withdrawn, and then an operator who has not heard publishes a
-// file that lists it. The key stays withdrawn: by the file's own base the
-// change is valid, so only the kept hash stops it.
+// A key is withdrawn, and then an operator who does not know of it publishes a
+// file that lists the key. The file's base is current, so the change is
+// accepted; only the retained hash keeps the key withdrawn.
 func TestWithdrawnKeyIsNotRevivedByFileOrRecord(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	l.append(KindChange, "anna", change("1", "a.ini", NoRevision, accountFile("a", 1)))
 	l.append(KindKeyCreate, "anna", KeyCreate{Op: "2", ID: "k1", Account: "a", SHA256: goodHash})
-	is.True(!follow(t, l).Intent().Keys[goodHash].Withdrawn)
+	is.True(!replay(t, l).Intent().Keys[goodHash].Withdrawn)
 	l.append(KindKeyWithdraw, "anna", KeyWithdraw{Op: "3", ID: "k1", SHA256: goodHash})
 	listing := append(accountFile("a", 2), []byte("[key \"k2\"]\naccount = a\nsha256 = "+goodHash)...)
 	l.append(KindChange, "beat", change("4", "a.ini", 0, listing))
 	l.append(KindKeyCreate, "beat", KeyCreate{Op: "5", ID: "k3", Account: "a", SHA256: goodHash})
-	s := follow(t, l)
+	s := replay(t, l)
 	is.Equal(s.Intent().Keys[goodHash], Key{ID: "k1", Account: "a", SHA256: goodHash, Withdrawn: true})
 	got, _ := s.Outcome("4")
 	is.Equal(got.Outcome, audit.Accepted)
@@ -154,13 +155,13 @@
 	is.Equal(got.Outcome, audit.Rejected)
 }
 
-// An instance comes back from a long cut and its peers are older than it.
-// What it serves must not go back to the older configuration.
+// An instance is offered an older state by a peer, for example after a
+// partition. Its configuration must not revert to the older one.
 func TestPeerOfLowerRevisionIsNotAdopted(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	l.append(KindChange, "anna", change("1", "a.ini", NoRevision, accountFile("a", 1)))
-	old := follow(t, l)
+	old := replay(t, l)
 	l.append(KindChange, "anna", change("2", "a.ini", 0, accountFile("a", 2)))
 	f := NewFollower()
 	is.NoErr(l.read(f, 10))
@@ -170,16 +171,16 @@
 	is.Equal(f.State().Intent().Accounts["a"].TokensPerSecond, 2.0)
 }
 
-// The log has trimmed the first changes and no snapshot stands after the
-// trim. A new instance has nothing that it may serve: an empty configuration
-// would refuse every key and revert what the others have.
+// The first changes were trimmed from the log, and there is no snapshot after
+// them. A new instance must have no state: an empty configuration would refuse
+// every key and revert what the other instances have.
 func TestTrimmedLogWithoutSnapshotGivesNoState(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
 	l.append(KindChange, "anna", change("1", "a.ini", NoRevision, accountFile("a", 1)))
-	base := follow(t, l)
+	base := replay(t, l)
 	l.append(KindChange, "anna", change("2", "a.ini", 0, accountFile("a", 2)))
-	want := follow(t, l)
+	want := replay(t, l)
 	l.start = 1
 	f := NewFollower()
 	is.NoErr(l.read(f, 10))
@@ -190,8 +191,8 @@
 	is.Equal(mustEncode(t, f.State()), mustEncode(t, want))
 }
 
-// A record of newer rules reaches an older build during an upgrade. The
-// older instance stops in front of it and keeps serving what it has.
+// During an upgrade an older build reads a record of newer rules. It stops
+// before the record and keeps its state.
 func TestNewerRulesStopTheFold(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
@@ -205,8 +206,8 @@
 	is.Equal(f.Next(), int64(1))
 }
 
-// A snapshot larger than one log record is split; a new instance on a
-// trimmed log joins the parts and ends with the same bytes.
+// A snapshot that exceeds one log record is split. A new instance on a trimmed
+// log joins the parts and ends with an identical state.
 func TestSnapshotOfSeveralPartsRestores(t *testing.T) {
 	is := is.New(t)
 	l := &fakeLog{}
@@ -215,14 +216,14 @@
 		body := bytes.Replace(big, []byte(`"a"`), []byte(`"`+name[:1]+`"`), 1)
 		l.append(KindChange, "anna", change(name, name, NoRevision, body))
 	}
-	want := follow(t, l)
+	want := replay(t, l)
 	records, err := SnapshotRecords(want, "i", 0)
 	is.NoErr(err)
 	is.True(len(records) > 1)
 	l.records = append(l.records, records...)
 	l.start = 3
-	got := follow(t, l)
-	is.Equal(mustEncode(t, got), mustEncode(t, follow(t, &fakeLog{records: l.records})))
+	got := replay(t, l)
+	is.Equal(mustEncode(t, got), mustEncode(t, replay(t, &fakeLog{records: l.records})))
 	is.Equal(got.Revision, want.Revision)
 }
 
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 )
 
-func FuzzFold(f *testing.F) {
+func FuzzApply(f *testing.F) {
 	seed, _ := logrec.Encode(KindChange, "o", 0, change("1", "a.ini", NoRevision, accountFile("a", 1)))
 	f.Add(seed)
 	seed, _ = logrec.Encode(KindKeyWithdraw, "o", 0, KeyWithdraw{Op: "1", ID: "k", SHA256: goodHash})
@@ -18,10 +18,10 @@
 		a, errA := Apply(EmptyState(), data)
 		b, errB := Apply(EmptyState(), data)
 		if (errA == nil) != (errB == nil) || !bytes.Equal(mustEncode(t, a), mustEncode(t, b)) {
-			t.Fatal("two folds of one record differ")
+			t.Fatal("applying the same record to equal states gave different states")
 		}
 		if errA == nil && a.Next != 1 {
-			t.Fatalf("next is %d", a.Next)
+			t.Fatalf("next offset is %d, want 1", a.Next)
 		}
 		if _, err := DecodeState(mustEncode(t, a)); err != nil {
 			t.Fatal(err)
--- a/internal/config/intent.go
+++ b/internal/config/intent.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Intent is the whole configuration in force, as typed values. It is never
-// changed in place: each accepted change makes a new one.
+// Intent is the complete configuration in force. It is immutable: each accepted
+// change produces a new Intent.
 type Intent struct {
-	// Revision is the offset of the last accepted change in the config
-	// stream; it only goes up.
+	// Revision is the config stream offset of the last accepted change. It
+	// never decreases.
 	Revision int64
 	Accounts map[string]Account
-	// Keys by the hex SHA-256 of the key.
+	// Keys is indexed by the hex SHA-256 of the key.
 	Keys    map[string]Key
 	Models  map[string]Model
 	Pools   map[string]Pool
@@ -17,103 +17,105 @@
 	Routes  map[string]Route
 }
 
-// Account is a client account.
+// Account holds the limits of a client account.
 type Account struct {
 	Name string
-	// TokensPerSecond is the rate over the whole fleet: prompt tokens plus
-	// generated tokens, per second.
+	// TokensPerSecond is the rate limit over the whole fleet. It counts prompt
+	// and generated tokens.
 	TokensPerSecond float64
-	// BurstTokens is what may be spent at once above the rate.
+	// BurstTokens is the number of tokens that may be spent at once in excess
+	// of the rate.
 	BurstTokens float64
-	// Weight is the account's part in fair queueing; default 1.
+	// Weight is the account's weight in fair queueing; default 1.
 	Weight float64
-	// KeyCutoff is how long keys go on working on an instance that reaches
-	// neither the log nor a peer outside its domain; default 10m, at least
-	// 15s.
+	// KeyCutoff is how long an instance that reaches neither the log nor a
+	// peer outside its domain keeps accepting the account's keys; default 10m,
+	// at least 15s.
 	KeyCutoff time.Duration
 }
 
-// Key is one caller key of a client account. Only its hash is kept.
+// Key is an API key of a client account. Only its hash is stored.
 type Key struct {
-	// ID is the public name used in logs and audit records.
+	// ID is the public name of the key, used in logs and audit records.
 	ID        string
 	Account   string
 	SHA256    string
 	Withdrawn bool
 }
 
-// Model is a model with the weights version that targets should serve.
+// Model is a model and the weights version that its targets should serve.
 type Model struct {
 	Name    string
 	Version string
-	// PieceBytes is the prompt bytes in one cached piece; default 16384.
+	// PieceBytes is the number of prompt bytes in one cached piece; default
+	// 16384.
 	PieceBytes int
-	// BytesPerToken is the estimate used to charge a prompt before the
-	// target has counted it; default 4.
+	// BytesPerToken is used to estimate the tokens of a prompt until the target
+	// has counted them; default 4.
 	BytesPerToken float64
-	// DefaultMaxTokens is charged for a request that sets no max_tokens;
-	// default 512.
+	// DefaultMaxTokens is charged for a request without max_tokens; default
+	// 512.
 	DefaultMaxTokens int
 }
 
-// PoolKind says how a pool's targets are spoken to.
+// PoolKind determines the protocol of a pool's targets.
 type PoolKind string
 
-// The kinds of pool.
+// The pool kinds.
 const (
 	KindEngine  PoolKind = "engine"
 	KindService PoolKind = "service"
 )
 
-// Pool is a set of targets that serve the same thing.
+// Pool is a set of interchangeable targets.
 type Pool struct {
 	Name string
 	Kind PoolKind
-	// Model is served by an engine pool; empty for a service pool.
+	// Model is the model of an engine pool; empty for a service pool.
 	Model string
-	// PrefillTokensPerSecond is one target's expected prefill rate; default
-	// 8000.
+	// PrefillTokensPerSecond is the expected prefill rate of one target;
+	// default 8000.
 	PrefillTokensPerSecond float64
-	// MaxConcurrent is how many requests one target may hold at once;
-	// default 32.
+	// MaxConcurrent limits the requests in flight on one target; default 32.
 	MaxConcurrent int
-	// ServingFloor is the least number of targets that must keep serving
-	// one version while weights are loaded; at most half of the pool's
-	// targets, default 0.
+	// ServingFloor is the minimum number of targets that keep serving the same
+	// version while others load weights; at most half of the pool's targets,
+	// default 0.
 	ServingFloor int
-	// MaxLoads is the most targets that may load weights at once; default 1.
+	// MaxLoads limits the targets that load weights at the same time; default 1.
 	MaxLoads int
 }
 
-// Target is one back end.
+// Target is a back end that requests are sent to.
 type Target struct {
 	Name    string
 	Address string
-	// Domain is the failure domain the target stands in.
+	// Domain is the failure domain of the target.
 	Domain string
 	Pool   string
-	// ChecksFencing says that the target refuses orders with an old
-	// fencing token; default no.
+	// ChecksFencing is set if the target refuses orders with a stale fencing
+	// token; default no.
 	ChecksFencing bool
 }
 
 // Route maps a request path to a pool.
 type Route struct {
 	Name string
-	// Path is the exact path of the callers' requests.
+	// Path must equal the path of the request.
 	Path string
 	Pool string
-	// Idempotent requests may be tried again after a byte was sent;
+	// Idempotent requests may be retried after a byte was sent to a target;
 	// default no.
 	Idempotent bool
-	// Priority orders requests inside an account; higher first, 0 to 9,
+	// Priority orders the requests of one account, higher first; 0 to 9,
 	// default 5.
 	Priority int
-	// Deadline bounds the time to the first byte of the answer; default 30s.
+	// Deadline limits the time to the first byte of the response; default 30s.
 	Deadline time.Duration
-	// CostTokens is charged for a request of a service pool; default 1.
+	// CostTokens is charged for each request to a service pool; default 1.
 	CostTokens float64
-	// RunWhenLogDown lets keyed non-idempotent requests run without a
-	// claim while the log is down. Default no: they are refused, not run.
+	// RunWhenLogDown allows non-idempotent requests with an idempotency key to
+	// run without a claim while the log is unavailable. By default they are
+	// refused.
 	RunWhenLogDown bool
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -9,10 +9,11 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxFileBytes bounds one file; a change has to fit into one log record.
+// MaxFileBytes limits the size of a file: a change must fit into one log record.
 const MaxFileBytes = 192 << 10
 
-// Defaults of keys that a section may leave out.
+// Defaults and limits of the keys, and the descriptions of valid values in
+// problems.
 const (
 	DefaultWeight                 = 1
 	DefaultKeyCutoff              = 10 * time.Minute
@@ -29,46 +30,48 @@
 	maxOutputTokens               = 1 << 20
 	maxConcurrentRequests         = 1 << 16
 	maxTargets                    = 1 << 16
-	highestPriority               = 9
-	noChildSections               = "\x00"
-	fileNameExpected              = "a file name such as reports/accounts.ini"
-	hashExpected                  = "64 hex digits in lower case (mastictray keys create prints them)"
-	sectionKindsExpected          = `a section of account, key, model, pool, target or route`
-	maxFileNameLength             = 200
-	pathExpected                  = "a path that starts with '/', without '?', '#' or spaces"
-	deadlineLowest                = time.Millisecond
-	// keyCutoffLowest is above the time between two reads of the log, or
-	// keys would be refused with every link up.
-	keyCutoffLowest          = 15 * time.Second
-	addressExpectedInSection = "ip:port"
+	maxPriority                   = 9
+	// noChildDelimiter does not occur in section names, so that the INI library
+	// takes no section for the child of another.
+	noChildDelimiter     = "\x00"
+	fileNameExpected     = "a file name such as reports/accounts.ini"
+	hashExpected         = "64 hex digits in lower case (mastictray keys create prints them)"
+	sectionKindsExpected = `a section of account, key, model, pool, target or route`
+	maxFileNameLength    = 200
+	pathExpected         = "a path that starts with '/', without '?', '#' or spaces"
+	minDeadline          = time.Millisecond
+	// minKeyCutoff exceeds the interval between two reads of the log. With a
+	// smaller one, keys would be refused although all links are up.
+	minKeyCutoff    = 15 * time.Second
+	addressExpected = "ip:port"
 )
 
 var (
 	fileNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]*\.ini$`)
 	hashPattern     = regexp.MustCompile(`^[0-9a-f]{64}$`)
 	pathPattern     = regexp.MustCompile(`^/[^\s?#]*$`)
-	anyPattern      = regexp.MustCompile(`^\S+$`)
+	nonBlankPattern = regexp.MustCompile(`^\S+$`)
 )
 
-// placed is a value with the place that it was read from.
-type placed[T any] struct {
+// located is a parsed value with the file and section that it was read from.
+type located[T any] struct {
 	value T
 	file  string
 	title string
 }
 
-// fragment is what one file says.
-type fragment struct {
-	accounts []placed[Account]
-	keys     []placed[Key]
-	models   []placed[Model]
-	pools    []placed[Pool]
-	targets  []placed[Target]
-	routes   []placed[Route]
+// parsedFile holds the sections of one file by kind.
+type parsedFile struct {
+	accounts []located[Account]
+	keys     []located[Key]
+	models   []located[Model]
+	pools    []located[Pool]
+	targets  []located[Target]
+	routes   []located[Route]
 }
 
-// ParseFile checks one file by itself. References to other sections are
-// checked by Build, over the whole set.
+// ParseFile validates one file on its own. References to other sections are
+// checked by Build over the whole set.
 func ParseFile(name string, contents []byte) error {
 	_, ps := parseFile(name, contents)
 	if len(ps) > 0 {
@@ -77,14 +80,14 @@
 	return nil
 }
 
-func parseFile(name string, contents []byte) (*fragment, Problems) {
+func parseFile(name string, contents []byte) (*parsedFile, Problems) {
 	if !fileNamePattern.MatchString(name) || len(name) > maxFileNameLength {
 		return nil, Problems{{File: name, Expected: fileNameExpected}}
 	}
 	if len(contents) > MaxFileBytes {
 		return nil, Problems{{File: name, Expected: fmt.Sprintf("at most %d bytes", MaxFileBytes)}}
 	}
-	index, problems := scan(name, contents)
+	index, problems := indexLines(name, contents)
 	if len(problems) > 0 {
 		return nil, problems
 	}
@@ -92,25 +95,25 @@
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-		ChildSectionDelimiter:    noChildSections,
+		ChildSectionDelimiter:    noChildDelimiter,
 	}
 	loaded, err := ini.LoadSources(options, contents)
 	if err != nil {
 		return nil, Problems{{File: name, Expected: "INI syntax", Got: err.Error()}}
 	}
-	f := &fragment{}
+	f := &parsedFile{}
 	for _, sec := range loaded.Sections() {
 		problems = append(problems, f.add(name, sec)...)
 	}
-	return f, locate(problems, index)
+	return f, setLines(problems, index)
 }
 
-// add reads one section into the fragment.
-func (f *fragment) add(file string, sec *ini.Section) Problems {
+// add parses one section.
+func (f *parsedFile) add(file string, sec *ini.Section) Problems {
 	if sec.Name() == ini.DefaultSection {
 		return nil
 	}
-	s := &section{file: file, title: sec.Name(), values: map[string]string{}, asked: map[string]bool{}}
+	s := &section{file: file, title: sec.Name(), values: map[string]string{}, lookedUp: map[string]bool{}}
 	for _, key := range sec.Keys() {
 		s.values[key.Name()] = key.Value()
 	}
@@ -127,20 +130,20 @@
 	return s.problems
 }
 
-func (f *fragment) addKind(kind, name string, s *section) {
+func (f *parsedFile) addKind(kind, name string, s *section) {
 	switch kind {
 	case "account":
-		f.accounts = append(f.accounts, place(s, readAccount(s, name)))
+		f.accounts = append(f.accounts, withLocation(s, readAccount(s, name)))
 	case "key":
-		f.keys = append(f.keys, place(s, readKey(s, name)))
+		f.keys = append(f.keys, withLocation(s, readKey(s, name)))
 	case "model":
-		f.models = append(f.models, place(s, readModel(s, name)))
+		f.models = append(f.models, withLocation(s, readModel(s, name)))
 	case "pool":
-		f.pools = append(f.pools, place(s, readPool(s, name)))
+		f.pools = append(f.pools, withLocation(s, readPool(s, name)))
 	case "target":
-		f.targets = append(f.targets, place(s, readTarget(s, name)))
+		f.targets = append(f.targets, withLocation(s, readTarget(s, name)))
 	case "route":
-		f.routes = append(f.routes, place(s, readRoute(s, name)))
+		f.routes = append(f.routes, withLocation(s, readRoute(s, name)))
 	default:
 		s.problem("", sectionKindsExpected)
 		return
@@ -148,17 +151,17 @@
 	s.rejectUnknown()
 }
 
-func place[T any](s *section, v T) placed[T] {
-	return placed[T]{value: v, file: s.file, title: s.title}
+func withLocation[T any](s *section, v T) located[T] {
+	return located[T]{value: v, file: s.file, title: s.title}
 }
 
 func readAccount(s *section, name string) Account {
 	return Account{
 		Name:            name,
-		TokensPerSecond: s.positive("tokens-per-second", 0),
-		BurstTokens:     s.positive("burst-tokens", 0),
-		Weight:          s.positive("weight", DefaultWeight),
-		KeyCutoff:       s.duration("key-cutoff", DefaultKeyCutoff, keyCutoffLowest),
+		TokensPerSecond: s.positiveFloat("tokens-per-second", 0),
+		BurstTokens:     s.positiveFloat("burst-tokens", 0),
+		Weight:          s.positiveFloat("weight", DefaultWeight),
+		KeyCutoff:       s.duration("key-cutoff", DefaultKeyCutoff, minKeyCutoff),
 	}
 }
 
@@ -166,7 +169,7 @@
 	return Key{
 		ID:      name,
 		Account: s.name("account"),
-		SHA256:  s.text("sha256", hashPattern, hashExpected),
+		SHA256:  s.matching("sha256", hashPattern, hashExpected),
 	}
 }
 
@@ -174,60 +177,60 @@
 	return Model{
 		Name:             name,
 		Version:          s.name("version"),
-		PieceBytes:       s.count("piece-bytes", DefaultPieceBytes, 1, maxPieceBytes),
-		BytesPerToken:    s.positive("bytes-per-token", DefaultBytesPerToken),
-		DefaultMaxTokens: s.count("default-max-tokens", DefaultMaxOutputTokens, 1, maxOutputTokens),
+		PieceBytes:       s.integer("piece-bytes", DefaultPieceBytes, 1, maxPieceBytes),
+		BytesPerToken:    s.positiveFloat("bytes-per-token", DefaultBytesPerToken),
+		DefaultMaxTokens: s.integer("default-max-tokens", DefaultMaxOutputTokens, 1, maxOutputTokens),
 	}
 }
 
 func readPool(s *section, name string) Pool {
 	p := Pool{
 		Name: name,
-		Kind: PoolKind(s.choice("kind", string(KindEngine), string(KindService))),
+		Kind: PoolKind(s.oneOf("kind", string(KindEngine), string(KindService))),
 	}
 	if p.Kind == KindEngine {
 		p.Model = s.name("model")
-		p.PrefillTokensPerSecond = s.positive("prefill-tokens-per-second", DefaultPrefillTokensPerSecond)
-		p.ServingFloor = s.count("serving-floor", 0, 0, maxTargets)
-		p.MaxLoads = s.count("max-loads", DefaultMaxLoads, 1, maxTargets)
+		p.PrefillTokensPerSecond = s.positiveFloat("prefill-tokens-per-second", DefaultPrefillTokensPerSecond)
+		p.ServingFloor = s.integer("serving-floor", 0, 0, maxTargets)
+		p.MaxLoads = s.integer("max-loads", DefaultMaxLoads, 1, maxTargets)
 	}
-	p.MaxConcurrent = s.count("max-concurrent", DefaultMaxConcurrent, 1, maxConcurrentRequests)
+	p.MaxConcurrent = s.integer("max-concurrent", DefaultMaxConcurrent, 1, maxConcurrentRequests)
 	return p
 }
 
 func readTarget(s *section, name string) Target {
 	return Target{
 		Name:          name,
-		Address:       s.text("address", anyPattern, addressExpectedInSection),
+		Address:       s.matching("address", nonBlankPattern, addressExpected),
 		Domain:        s.name("domain"),
 		Pool:          s.name("pool"),
-		ChecksFencing: s.flag("checks-fencing", false),
+		ChecksFencing: s.yesNo("checks-fencing", false),
 	}
 }
 
 func readRoute(s *section, name string) Route {
 	return Route{
 		Name:           name,
-		Path:           s.text("path", pathPattern, pathExpected),
+		Path:           s.matching("path", pathPattern, pathExpected),
 		Pool:           s.name("pool"),
-		Idempotent:     s.flag("idempotent", false),
-		Priority:       s.count("priority", DefaultPriority, 0, highestPriority),
-		Deadline:       s.duration("deadline", DefaultDeadline, deadlineLowest),
-		CostTokens:     s.positive("cost-tokens", DefaultCostTokens),
-		RunWhenLogDown: s.flag("run-when-log-down", false),
+		Idempotent:     s.yesNo("idempotent", false),
+		Priority:       s.integer("priority", DefaultPriority, 0, maxPriority),
+		Deadline:       s.duration("deadline", DefaultDeadline, minDeadline),
+		CostTokens:     s.positiveFloat("cost-tokens", DefaultCostTokens),
+		RunWhenLogDown: s.yesNo("run-when-log-down", false),
 	}
 }
 
-// locate fills in the lines and puts the problems into their order.
-func locate(ps Problems, index lineIndex) Problems {
+// setLines sets the line numbers of the problems of one file and sorts them.
+func setLines(ps Problems, index lineIndex) Problems {
 	for i := range ps {
 		ps[i].Line = index.line(ps[i].Section, ps[i].Key)
 	}
-	sort.SliceStable(ps, func(i, j int) bool { return less(ps[i], ps[j]) })
+	sort.SliceStable(ps, func(i, j int) bool { return problemLess(ps[i], ps[j]) })
 	return ps
 }
 
-func less(a, b Problem) bool {
+func problemLess(a, b Problem) bool {
 	if a.File != b.File {
 		return a.File < b.File
 	}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -119,7 +119,7 @@
 	is.True(files["a.ini"] >= 3)
 }
 
-func TestBuildReportsSectionsOfTwoFiles(t *testing.T) {
+func TestBuildReportsSectionInTwoFiles(t *testing.T) {
 	is := is.New(t)
 	_, err := Build(map[string][]byte{"a.ini": []byte(goodFile), "b.ini": []byte(goodFile)})
 	is.True(err != nil)
@@ -135,10 +135,10 @@
 		a, errA := Build(files)
 		b, errB := Build(files)
 		if (errA == nil) != (errB == nil) || (errA != nil && errA.Error() != errB.Error()) {
-			t.Fatalf("two verdicts: %v / %v", errA, errB)
+			t.Fatalf("building the same files twice gave different errors: %v / %v", errA, errB)
 		}
 		if errA == nil && len(a.Accounts) != len(b.Accounts) {
-			t.Fatal("two intents")
+			t.Fatal("building the same files twice gave different intents")
 		}
 	})
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Problem is one fault of a configuration file.
+// Problem is a validation error in a configuration file.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from 1; 0 when the fault is not in a line of a file.
+	// Line is 1-based; 0 if the problem has no line in a file.
 	Line    int    `json:"line"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Expected says what a valid file has at this place.
+	// Expected describes the valid content at this location.
 	Expected string `json:"expected"`
-	// Got is the value found, if there was one.
+	// Got is the value found; empty if there was none.
 	Got string `json:"got,omitempty"`
 }
 
-// String is file:line: section key: expected X, got Y.
+// String formats the problem as file:line: [section] key: expected X, got "Y".
 func (p Problem) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:", p.File, p.Line)
@@ -35,10 +35,10 @@
 	return b.String()
 }
 
-// Problems are all faults of a set of files, in file and line order.
+// Problems lists the validation errors of a set of files by file and line.
 type Problems []Problem
 
-// Error joins the problems, one a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/internal/config/property_test.go
+++ b/internal/config/property_test.go
@@ -10,91 +10,91 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 )
 
-// world is the machine of the property test: one log, some operators and
-// some instances with whatever each has read.
-type world struct {
+// simulation is the state machine of the property test: one log, operators that
+// append to it, and instances that have each read a part of it.
+type simulation struct {
 	log       *fakeLog
 	instances []*Follower
-	// reference folds every record; trims never reach it.
+	// reference[n] is the state after the first n records of the untrimmed log.
 	reference []*State
 	ops       int
 }
 
-func newWorld() *world {
-	w := &world{log: &fakeLog{}, reference: []*State{EmptyState()}}
+func newSimulation() *simulation {
+	sim := &simulation{log: &fakeLog{}, reference: []*State{EmptyState()}}
 	for range 3 {
-		w.instances = append(w.instances, NewFollower())
+		sim.instances = append(sim.instances, NewFollower())
 	}
-	return w
+	return sim
 }
 
-func (w *world) newest() *State { return w.reference[len(w.reference)-1] }
+func (sim *simulation) newest() *State { return sim.reference[len(sim.reference)-1] }
 
-func (w *world) write(t *rapid.T, kind logrec.Kind, by string, body any) {
-	o := w.log.append(kind, by, body)
-	s, err := Apply(w.newest(), w.log.records[o])
+func (sim *simulation) write(t *rapid.T, kind logrec.Kind, by string, body any) {
+	offset := sim.log.append(kind, by, body)
+	s, err := Apply(sim.newest(), sim.log.records[offset])
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.reference = append(w.reference, s)
+	sim.reference = append(sim.reference, s)
 }
 
-func (w *world) publish(t *rapid.T) {
-	w.ops++
-	seen := w.reference[rapid.IntRange(0, len(w.reference)-1).Draw(t, "seen")]
+func (sim *simulation) publish(t *rapid.T) {
+	sim.ops++
+	seen := sim.reference[rapid.IntRange(0, len(sim.reference)-1).Draw(t, "seen")]
 	file := rapid.SampledFrom([]string{"a.ini", "b.ini"}).Draw(t, "file")
 	rate := rapid.IntRange(0, 5).Draw(t, "rate")
-	body := change(fmt.Sprint(w.ops), file, seen.FileRevision(file), accountFile(file[:1], rate))
+	body := change(fmt.Sprint(sim.ops), file, seen.FileRevision(file), accountFile(file[:1], rate))
 	if rapid.IntRange(0, 4).Draw(t, "delete") == 0 {
 		body.Files[0] = FileChange{Name: file, Base: seen.FileRevision(file), Delete: true}
 	}
-	// A lost answer makes the tool or the network append it twice.
+	// After a lost answer the tool or the network may append it twice.
 	for range rapid.IntRange(1, 2).Draw(t, "times") {
-		w.write(t, KindChange, "operator", body)
+		sim.write(t, KindChange, "operator", body)
 	}
 }
 
-func (w *world) keyOrder(t *rapid.T) {
-	w.ops++
+func (sim *simulation) changeKey(t *rapid.T) {
+	sim.ops++
 	n := rapid.IntRange(0, 3).Draw(t, "key")
-	op, id, hash := fmt.Sprint(w.ops), fmt.Sprint("k", n), fmt.Sprintf("%064x", n)
+	op, id, hash := fmt.Sprint(sim.ops), fmt.Sprint("k", n), fmt.Sprintf("%064x", n)
 	if rapid.Bool().Draw(t, "create") {
-		w.write(t, KindKeyCreate, "operator", KeyCreate{Op: op, ID: id, Account: "a", SHA256: hash})
+		sim.write(t, KindKeyCreate, "operator", KeyCreate{Op: op, ID: id, Account: "a", SHA256: hash})
 	} else {
-		w.write(t, KindKeyWithdraw, "operator", KeyWithdraw{Op: op, ID: id, SHA256: hash})
+		sim.write(t, KindKeyWithdraw, "operator", KeyWithdraw{Op: op, ID: id, SHA256: hash})
 	}
 }
 
-// snapshot writes the state of any earlier time: a duty holder that was
-// paused does the same.
-func (w *world) snapshot(t *rapid.T) {
-	s := w.reference[rapid.IntRange(0, len(w.reference)-1).Draw(t, "of")]
+// snapshot writes a snapshot of any earlier state, as the holder of the snapshot
+// lease does after a pause.
+func (sim *simulation) snapshot(t *rapid.T) {
+	s := sim.reference[rapid.IntRange(0, len(sim.reference)-1).Draw(t, "of")]
 	records, err := SnapshotRecords(s, "instance", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range records {
 		e, _ := logrec.Decode(r)
-		w.write(t, KindSnapshot, e.By, e.Body)
+		sim.write(t, KindSnapshot, e.By, e.Body)
 	}
 }
 
-func (w *world) trim(t *rapid.T) {
-	w.log.start = rapid.Int64Range(w.log.start, int64(len(w.log.records))).Draw(t, "start")
+func (sim *simulation) trim(t *rapid.T) {
+	sim.log.start = rapid.Int64Range(sim.log.start, int64(len(sim.log.records))).Draw(t, "start")
 }
 
-func (w *world) restart(t *rapid.T) {
-	w.instances[rapid.IntRange(0, 2).Draw(t, "who")] = NewFollower()
+func (sim *simulation) restart(t *rapid.T) {
+	sim.instances[rapid.IntRange(0, 2).Draw(t, "who")] = NewFollower()
 }
 
-func (w *world) read(t *rapid.T) {
-	f := w.instances[rapid.IntRange(0, 2).Draw(t, "who")]
-	w.advance(t, f, func() error { return w.log.read(f, rapid.IntRange(0, 9).Draw(t, "limit")) })
+func (sim *simulation) read(t *rapid.T) {
+	f := sim.instances[rapid.IntRange(0, 2).Draw(t, "who")]
+	sim.step(t, f, func() error { return sim.log.read(f, rapid.IntRange(0, 9).Draw(t, "limit")) })
 }
 
-func (w *world) exchange(t *rapid.T) {
-	from := w.instances[rapid.IntRange(0, 2).Draw(t, "from")].State()
-	f := w.instances[rapid.IntRange(0, 2).Draw(t, "to")]
+func (sim *simulation) adoptPeerState(t *rapid.T) {
+	from := sim.instances[rapid.IntRange(0, 2).Draw(t, "from")].State()
+	f := sim.instances[rapid.IntRange(0, 2).Draw(t, "to")]
 	if from == nil {
 		return
 	}
@@ -102,30 +102,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.advance(t, f, func() error { _, err := f.Adopt(s); return err })
+	sim.step(t, f, func() error { _, err := f.Adopt(s); return err })
 }
 
-// advance runs a step of one instance and checks that it did not go back.
-func (w *world) advance(t *rapid.T, f *Follower, step func() error) {
+// step runs an action of one instance and checks that its state does not revert.
+func (sim *simulation) step(t *rapid.T, f *Follower, action func() error) {
 	before := f.State()
-	if err := step(); err != nil {
+	if err := action(); err != nil {
 		t.Fatal(err)
 	}
 	if before != nil && before.NewerThan(f.State()) {
-		t.Fatalf("went back from %d/%d to %d/%d", before.Revision, before.Next, f.State().Revision, f.State().Next)
+		t.Fatalf("state reverted from revision %d at offset %d to revision %d at offset %d", before.Revision, before.Next, f.State().Revision, f.State().Next)
 	}
 }
 
-// check compares each instance with the fold of the whole log.
-func (w *world) check(t *rapid.T) {
-	for i, f := range w.instances {
+// check compares the state of each instance with the reference.
+func (sim *simulation) check(t *rapid.T) {
+	for i, f := range sim.instances {
 		s := f.State()
 		if s == nil {
 			continue
 		}
-		want := w.reference[s.Next]
+		want := sim.reference[s.Next]
 		if !bytes.Equal(mustEncode(t, s), mustEncode(t, want)) {
-			t.Fatalf("instance %d at offset %d differs from the fold of the log", i, s.Next)
+			t.Fatalf("instance %d at offset %d differs from the reference", i, s.Next)
 		}
 		if fmt.Sprint(s.Intent()) != fmt.Sprint(want.Intent()) {
 			t.Fatalf("instance %d at offset %d: intent %v, want %v", i, s.Next, s.Intent(), want.Intent())
@@ -133,15 +133,16 @@
 	}
 }
 
-// Operators race, answers are lost, the log is trimmed, snapshots come late
-// and from old states, instances restart and take states from each other. At
-// equal offsets all instances are equal, and none ever goes back.
+// Operators publish concurrently, answers are lost, the log is trimmed,
+// snapshots are late or of old states, instances restart and adopt each other's
+// states. At equal offsets all instances must have equal states, and no state
+// may revert.
 func TestInstancesAgreeAndNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		sim := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
-			"publish": w.publish, "key": w.keyOrder, "snapshot": w.snapshot, "trim": w.trim,
-			"restart": w.restart, "read": w.read, "exchange": w.exchange, "": w.check,
+			"publish": sim.publish, "key": sim.changeKey, "snapshot": sim.snapshot, "trim": sim.trim,
+			"restart": sim.restart, "read": sim.read, "exchange": sim.adoptPeerState, "": sim.check,
 		})
 	})
 }
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -4,45 +4,45 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 )
 
-// Kinds of record in the config stream.
+// Record kinds of the config stream.
 const (
-	// KindChange changes files.
+	// KindChange adds, replaces or deletes files.
 	KindChange logrec.Kind = "config.change"
-	// KindKeyCreate adds one key.
+	// KindKeyCreate creates a key.
 	KindKeyCreate logrec.Kind = "key.create"
-	// KindKeyWithdraw ends one key for good.
+	// KindKeyWithdraw withdraws a key permanently.
 	KindKeyWithdraw logrec.Kind = "key.withdraw"
-	// KindSnapshot is one part of a whole state.
+	// KindSnapshot is one part of an encoded State.
 	KindSnapshot logrec.Kind = "config.snapshot"
 )
 
-// RulesVersion counts the changes of the rules by which records are folded:
-// the INI keys, the checks and the record bodies. An instance that meets a
-// record of newer rules stops there and keeps what it has. Folding on would
-// let it accept what newer instances reject, and the two would never agree
-// again.
+// RulesVersion is the version of the rules by which records are applied: the
+// INI keys, the checks and the record bodies. Every change of these increments
+// it. An instance stops at a record of a newer version and keeps its state:
+// under its older rules it might accept what newer instances reject, and their
+// states would never agree again.
 const RulesVersion = 1
 
 // Change is the body of KindChange.
 type Change struct {
-	// Op is the operation id; the same id never takes effect twice.
+	// Op is the operation ID. An ID never takes effect twice.
 	Op    string       `msgpack:"o"`
 	Rules int          `msgpack:"v"`
 	Note  string       `msgpack:"n,omitempty"`
 	Files []FileChange `msgpack:"f"`
 }
 
-// FileChange is the new contents of one file, or its deletion.
+// FileChange replaces or deletes one file.
 type FileChange struct {
 	Name string `msgpack:"n"`
-	// Base is the file's revision that the operator has seen: NoRevision
-	// for a file that never was.
+	// Base is the revision of the file that the change was made against;
+	// NoRevision for a file that has never existed.
 	Base     int64  `msgpack:"b"`
 	Delete   bool   `msgpack:"d,omitempty"`
 	Contents []byte `msgpack:"c,omitempty"`
 }
 
-// KeyCreate is the body of KindKeyCreate. It has the key's hash only.
+// KeyCreate is the body of KindKeyCreate. It holds only the hash of the key.
 type KeyCreate struct {
 	Op      string `msgpack:"o"`
 	Rules   int    `msgpack:"v"`
@@ -64,8 +64,8 @@
 // SnapshotPart is the body of KindSnapshot.
 type SnapshotPart struct {
 	Rules int `msgpack:"v"`
-	// Next is the state's Next: the snapshot stands for all records
-	// before this offset.
+	// Next is the state's Next: the snapshot covers all records before this
+	// offset.
 	Next  int64  `msgpack:"t"`
 	Part  int    `msgpack:"p"`
 	Parts int    `msgpack:"q"`
--- a/internal/config/scan.go
+++ b/internal/config/scan.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// The shapes of a line. The INI library reports no line numbers and accepts
-// more than this; the scan narrows the syntax to lines that both read alike.
+// Accepted line formats. The INI library reports no line numbers and accepts
+// more syntax; indexLines accepts only lines that the library reads the same
+// way.
 var (
 	headerLine = regexp.MustCompile(`^\[([a-z]+) "([^"\]]*)"\]$`)
 	keyLine    = regexp.MustCompile(`^([A-Za-z0-9_-]+)\s*=\s*(.*)$`)
@@ -14,24 +15,24 @@
 
 type keyRef struct{ section, key string }
 
-// lineIndex says in which line each section and each key stands.
+// lineIndex maps sections and keys to their line numbers.
 type lineIndex struct {
 	sections map[string]int
 	keys     map[keyRef]int
 }
 
-// line finds a key, or its section when the key is absent.
-func (x lineIndex) line(section, key string) int {
-	if n, ok := x.keys[keyRef{section, key}]; ok {
+// line returns the line of a key, or of its section if the key is absent.
+func (index lineIndex) line(section, key string) int {
+	if n, ok := index.keys[keyRef{section, key}]; ok {
 		return n
 	}
-	return x.sections[section]
+	return index.sections[section]
 }
 
-// scan indexes the lines of a file and reports each that has no valid shape
-// or says something a second time.
-func scan(file string, contents []byte) (lineIndex, Problems) {
-	x := lineIndex{sections: map[string]int{}, keys: map[keyRef]int{}}
+// indexLines records the lines of all sections and keys of a file. It reports
+// lines with invalid syntax and duplicate sections and keys.
+func indexLines(file string, contents []byte) (lineIndex, Problems) {
+	index := lineIndex{sections: map[string]int{}, keys: map[keyRef]int{}}
 	var ps Problems
 	section := ""
 	text := strings.TrimPrefix(string(contents), "\ufeff")
@@ -42,26 +43,26 @@
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
 			section = strings.Trim(line, "[]")
-			ps = append(ps, x.addSection(file, n, line, section)...)
+			ps = append(ps, index.addSection(file, n, line, section)...)
 		default:
-			ps = append(ps, x.addKey(file, n, line, section)...)
+			ps = append(ps, index.addKey(file, n, line, section)...)
 		}
 	}
-	return x, ps
+	return index, ps
 }
 
-func (x lineIndex) addSection(file string, n int, line, section string) Problems {
+func (index lineIndex) addSection(file string, n int, line, section string) Problems {
 	if !headerLine.MatchString(line) {
 		return Problems{{File: file, Line: n, Expected: `a section such as [account "name"]`, Got: line}}
 	}
-	if _, twice := x.sections[section]; twice {
+	if _, duplicate := index.sections[section]; duplicate {
 		return Problems{{File: file, Line: n, Section: section, Expected: "each section once"}}
 	}
-	x.sections[section] = n
+	index.sections[section] = n
 	return nil
 }
 
-func (x lineIndex) addKey(file string, n int, line, section string) Problems {
+func (index lineIndex) addKey(file string, n int, line, section string) Problems {
 	m := keyLine.FindStringSubmatch(line)
 	switch {
 	case m == nil:
@@ -72,9 +73,9 @@
 		return Problems{{File: file, Line: n, Section: section, Key: m[1], Expected: "a value of one line"}}
 	}
 	ref := keyRef{section, m[1]}
-	if _, twice := x.keys[ref]; twice {
+	if _, duplicate := index.keys[ref]; duplicate {
 		return Problems{{File: file, Line: n, Section: section, Key: m[1], Expected: "each key once"}}
 	}
-	x.keys[ref] = n
+	index.keys[ref] = n
 	return nil
 }
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// namePattern is what accounts, keys, models, pools, targets, routes,
-// domains and versions may be called.
+// namePattern matches valid names of accounts, keys, models, pools, targets,
+// routes, domains and versions.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 const nameExpected = "a name of lower-case letters, digits, '.', '_' and '-', at most 63"
 
-// section reads the typed values of one section and collects its problems.
-// A key that no reader asked for is unknown.
+// section reads typed values from one INI section and collects its problems.
+// A key that was never looked up is unknown to this kind of section.
 type section struct {
 	file     string
 	title    string
 	values   map[string]string
-	asked    map[string]bool
+	lookedUp map[string]bool
 	problems Problems
 }
 
@@ -31,12 +31,12 @@
 }
 
 func (s *section) lookup(key string) (string, bool) {
-	s.asked[key] = true
+	s.lookedUp[key] = true
 	v, ok := s.values[key]
 	return v, ok
 }
 
-// name reads a required name of another thing.
+// name reads a required name, such as a reference to another section.
 func (s *section) name(key string) string {
 	v, _ := s.lookup(key)
 	if !namePattern.MatchString(v) {
@@ -45,8 +45,8 @@
 	return v
 }
 
-// text reads a value that must match the pattern.
-func (s *section) text(key string, pattern *regexp.Regexp, expected string) string {
+// matching reads a required value that matches the pattern.
+func (s *section) matching(key string, pattern *regexp.Regexp, expected string) string {
 	v, _ := s.lookup(key)
 	if !pattern.MatchString(v) {
 		s.problem(key, expected)
@@ -54,8 +54,8 @@
 	return v
 }
 
-// choice reads a value out of a fixed set.
-func (s *section) choice(key string, allowed ...string) string {
+// oneOf reads a required value from a fixed set.
+func (s *section) oneOf(key string, allowed ...string) string {
 	v, _ := s.lookup(key)
 	for _, a := range allowed {
 		if v == a {
@@ -66,8 +66,8 @@
 	return v
 }
 
-// positive reads a number above 0; def 0 means that the key is required.
-func (s *section) positive(key string, def float64) float64 {
+// positiveFloat reads a number above 0. The key is required if def is 0.
+func (s *section) positiveFloat(key string, def float64) float64 {
 	v, ok := s.lookup(key)
 	if !ok && def > 0 {
 		return def
@@ -80,22 +80,22 @@
 	return f
 }
 
-// count reads a whole number between lowest and highest.
-func (s *section) count(key string, def, lowest, highest int) int {
+// integer reads a whole number from minimum to maximum.
+func (s *section) integer(key string, def, minimum, maximum int) int {
 	v, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.Atoi(v)
-	if err != nil || n < lowest || n > highest {
-		s.problem(key, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
+	if err != nil || n < minimum || n > maximum {
+		s.problem(key, fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
 		return def
 	}
 	return n
 }
 
-// flag reads yes or no.
-func (s *section) flag(key string, def bool) bool {
+// yesNo reads a boolean written as yes or no.
+func (s *section) yesNo(key string, def bool) bool {
 	v, ok := s.lookup(key)
 	if !ok {
 		return def
@@ -106,25 +106,25 @@
 	return v == "yes"
 }
 
-// duration reads a time such as 90s or 10m, not below lowest.
-func (s *section) duration(key string, def, lowest time.Duration) time.Duration {
+// duration reads a duration such as 90s or 10m that is at least minimum.
+func (s *section) duration(key string, def, minimum time.Duration) time.Duration {
 	v, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
 	d, err := time.ParseDuration(v)
-	if err != nil || d < lowest {
-		s.problem(key, fmt.Sprintf("a duration such as 90s or 10m, at least %s", lowest))
+	if err != nil || d < minimum {
+		s.problem(key, fmt.Sprintf("a duration such as 90s or 10m, at least %s", minimum))
 		return def
 	}
 	return d
 }
 
-// rejectUnknown reports the keys that no reader asked for: a misspelt key
-// would otherwise leave its default in force without a word.
+// rejectUnknown reports the keys that were never looked up. A misspelt key
+// would otherwise silently leave its default in force.
 func (s *section) rejectUnknown() {
 	for key := range s.values {
-		if !s.asked[key] {
+		if !s.lookedUp[key] {
 			s.problem(key, "a key that this kind of section has")
 		}
 	}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// snapshotPartBytes leaves room for the envelope in a log record.
+	// snapshotPartBytes leaves space in a log record for the envelope.
 	snapshotPartBytes = logrec.MaxRecordBytes - 4<<10
-	// maxSnapshotParts bounds a snapshot to 64 MB.
+	// maxSnapshotParts limits a snapshot to 64 MB.
 	maxSnapshotParts = 256
 )
 
-// ErrMalformedState is returned for bytes that are no valid state.
+// ErrMalformedState is returned for data that is not a valid encoded state.
 var ErrMalformedState = errors.New("config state: malformed")
 
-// stateBody is the encoded state. Its lists are sorted, so that equal states
-// have equal bytes.
+// stateBody is the encoding of a State. Its lists are sorted, so that equal
+// states have equal bytes.
 type stateBody struct {
 	Rules           int           `msgpack:"v"`
 	Revision        int64         `msgpack:"r"`
@@ -49,7 +49,7 @@
 	Revision int64  `msgpack:"r"`
 }
 
-// Encode gives the state's bytes, for snapshots and for peers.
+// Encode returns the encoded state, for snapshots and for peers.
 func (s *State) Encode() ([]byte, error) {
 	b := stateBody{
 		Rules: RulesVersion, Revision: s.Revision, Next: s.Next,
@@ -71,8 +71,8 @@
 	return data, errors.Wrap(err, "encode config state")
 }
 
-// DecodeState reads a state and checks it as a whole. Errors:
-// ErrMalformedState, ErrNewerRules.
+// DecodeState decodes a state and validates its files as a set. The error is
+// ErrMalformedState or ErrNewerRules.
 func DecodeState(data []byte) (*State, error) {
 	var b stateBody
 	if err := msgpack.Unmarshal(data, &b); err != nil {
@@ -81,7 +81,7 @@
 	if b.Rules > RulesVersion {
 		return nil, errors.Wrapf(ErrNewerRules, "state at offset %d: rules %d", b.Next, b.Rules)
 	}
-	if b.Revision < NoRevision || b.Next <= b.Revision || len(b.Audit) > maxAudit {
+	if b.Revision < NoRevision || b.Next <= b.Revision || len(b.Audit) > maxAuditEntries {
 		return nil, errors.Wrapf(ErrMalformedState, "revision %d next %d", b.Revision, b.Next)
 	}
 	s := EmptyState()
@@ -104,10 +104,10 @@
 		}
 		parsed, problems := parseFile(f.Name, f.Contents)
 		ps = append(ps, problems...)
-		s.fragments[f.Name] = parsed
+		s.parsedFiles[f.Name] = parsed
 	}
 	if len(ps) == 0 {
-		ps = s.rebuild()
+		ps = s.rebuildIntent()
 	}
 	if len(ps) > 0 {
 		return errors.Mark(errors.Wrap(ps, "config state"), ErrMalformedState)
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// SnapshotRecords encodes the state as records for one append to the config
-// stream.
+// SnapshotRecords returns the records of a snapshot of the state, to be written
+// to the config stream in one append.
 func SnapshotRecords(s *State, by string, atMillis int64) ([][]byte, error) {
 	data, err := s.Encode()
 	if err != nil {
@@ -142,47 +142,47 @@
 	return records, nil
 }
 
-// SnapshotPolicy says when the holder of the lease duty/snapshot writes one.
+// SnapshotPolicy determines when the holder of the lease duty/snapshot writes a
+// snapshot.
 type SnapshotPolicy struct {
-	// EveryRecords bounds what a starting instance folds.
+	// EveryRecords limits the number of records that a starting instance applies.
 	EveryRecords int64
-	// Every bounds the age of the newest snapshot; it has to be well under
-	// the log's retention, also when nothing changes.
+	// Every limits the age of the newest snapshot, also when nothing changes. It
+	// must be well below the log's retention.
 	Every time.Duration
 }
 
-// DefaultSnapshotPolicy fits a retention of some hours or more.
+// DefaultSnapshotPolicy suits a retention of several hours or more.
 var DefaultSnapshotPolicy = SnapshotPolicy{EveryRecords: 1024, Every: 30 * time.Minute}
 
-// SnapshotDue says whether a snapshot is to be written now. sinceLast is the
-// time since this instance saw the newest one appear in the log; pass a very
-// long time when it has not seen it itself, so that leases which move faster
-// than Every cannot put a snapshot off for good. logStart is the oldest
-// retained offset.
+// SnapshotDue reports whether to write a snapshot now. sinceLast is the time
+// since this instance saw the newest one appear in the log; pass a very long
+// duration if it has not seen one appear, since otherwise a lease that changes
+// holders more often than Every would postpone snapshots indefinitely. logStart
+// is the oldest retained offset.
 func SnapshotDue(s *State, p SnapshotPolicy, sinceLast time.Duration, logStart int64) bool {
 	if s.Revision == NoRevision {
 		return false
 	}
-	// A log that starts behind the snapshot can no longer be folded from
-	// it: a restarted fleet would find no configuration there.
+	// A log that starts after the end of the snapshot cannot be applied to it: a
+	// restarted fleet would find no configuration.
 	if logStart > s.SnapshotNext {
 		return true
 	}
 	return s.Next-s.SnapshotNext >= p.EveryRecords || sinceLast >= p.Every
 }
 
-// assembler joins the parts of a snapshot, which stand at consecutive
+// snapshotAssembler joins the parts of a snapshot, which are at consecutive
 // offsets.
-type assembler struct {
-	through int64
-	parts   int
-	data    []byte
+type snapshotAssembler struct {
+	next  int64
+	parts int
+	data  []byte
 }
 
-// add takes the record of one offset and gives the state when it completes a
-// snapshot. Records that are no snapshot, or do not continue the one being
-// read, start over.
-func (a *assembler) add(record []byte) *State {
+// add takes the record at the next offset and returns the state when it
+// completes a snapshot. Any record but the next part discards the parts so far.
+func (a *snapshotAssembler) add(record []byte) *State {
 	e, err := logrec.Decode(record)
 	if err != nil || e.Kind != KindSnapshot {
 		a.reset()
@@ -195,9 +195,9 @@
 	}
 	if p.Part == 0 {
 		a.reset()
-		a.through = p.Next
+		a.next = p.Next
 	}
-	if p.Part != a.parts || p.Next != a.through {
+	if p.Part != a.parts || p.Next != a.next {
 		a.reset()
 		return nil
 	}
@@ -214,4 +214,4 @@
 	return s
 }
 
-func (a *assembler) reset() { *a = assembler{} }
+func (a *snapshotAssembler) reset() { *a = snapshotAssembler{} }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,30 +7,29 @@
 	"github.com/mastictray/mastictray/internal/audit"
 )
 
-// NoRevision is the revision of what never was.
+// NoRevision is the revision of a file or configuration that has never existed.
 const NoRevision int64 = -1
 
-// RecordsFile stands for the file name in problems with keys that records
-// created.
+// RecordsFile is the file name in problems with keys that log records created.
 const RecordsFile = "(records)"
 
-// maxAudit bounds the trail in the state. Older entries stay in the log for
-// as long as it retains them.
-const maxAudit = 512
+// maxAuditEntries limits the audit trail in the state. Older entries remain in
+// the log for as long as it retains them.
+const maxAuditEntries = 512
 
-// File is one file of the set.
+// File is the newest version of a configuration file.
 type File struct {
 	Contents []byte
-	// Revision is the offset of the change that brought the contents.
+	// Revision is the offset of the change that wrote or deleted the file.
 	Revision int64
-	// By is the operator of that change.
+	// By is the operator who made that change.
 	By string
-	// Deleted files keep their revision: a change that was based on the
-	// state before the deletion must still lose.
+	// Deleted files keep their revision, so that a change based on an earlier
+	// revision is still rejected.
 	Deleted bool
 }
 
-// Withdrawal is a key that was withdrawn, for good.
+// Withdrawal is a permanently withdrawn key.
 type Withdrawal struct {
 	ID       string
 	Account  string
@@ -38,39 +37,40 @@
 	Revision int64
 }
 
-// State is the fold of the config stream up to Next. It is never changed in
-// place. Two states with the same Next are equal, on whatever instance.
+// State is the result of applying all records of the config stream before Next.
+// It is immutable. States with the same Next are equal on all instances.
 type State struct {
 	// Revision is the offset of the last accepted record.
 	Revision int64
-	// Next is the offset of the first record that is not in the state.
+	// Next is the offset of the first record that has not been applied.
 	Next int64
 	// SnapshotNext is the Next of the newest snapshot in the log.
 	SnapshotNext int64
 	Files        map[string]File
-	// CreatedKeys keys and withdrawn keys, by hash.
+	// CreatedKeys and WithdrawnKeys are the keys that records created and
+	// withdrew, by hash.
 	CreatedKeys   map[string]Key
 	WithdrawnKeys map[string]Withdrawal
-	// Audit is the newest part of the trail, oldest first.
+	// Audit holds the newest audit entries, oldest first.
 	Audit []audit.Entry
 
-	intent    *Intent
-	fragments map[string]*fragment
+	intent      *Intent
+	parsedFiles map[string]*parsedFile
 }
 
-// EmptyState is the fold of no record.
+// EmptyState returns the state before the first record.
 func EmptyState() *State {
 	return &State{
 		Revision: NoRevision, Files: map[string]File{}, CreatedKeys: map[string]Key{},
-		WithdrawnKeys: map[string]Withdrawal{}, intent: newIntent(), fragments: map[string]*fragment{},
+		WithdrawnKeys: map[string]Withdrawal{}, intent: newIntent(), parsedFiles: map[string]*parsedFile{},
 	}
 }
 
-// Intent is the configuration in force. Callers must not change it.
+// Intent returns the configuration in force. Callers must not modify it.
 func (s *State) Intent() *Intent { return s.intent }
 
-// NewerThan says that s holds more of the log than o. An instance only ever goes
-// from a state to a newer one.
+// NewerThan reports whether s reflects more of the log than o. An instance only
+// ever replaces its state by a newer one.
 func (s *State) NewerThan(o *State) bool {
 	if s.Revision != o.Revision {
 		return s.Revision > o.Revision
@@ -78,8 +78,8 @@
 	return s.Next > o.Next
 }
 
-// Outcome finds what became of an operation. It is false for an operation
-// that is not in the log up to Next, or that is older than the trail.
+// Outcome returns the audit entry of an operation. It reports false if the
+// operation is not in the log before Next, or is older than the entries kept.
 func (s *State) Outcome(op string) (audit.Entry, bool) {
 	for i := len(s.Audit) - 1; i >= 0; i-- {
 		if s.Audit[i].Op == op {
@@ -89,7 +89,7 @@
 	return audit.Entry{}, false
 }
 
-// FileRevision is the revision that a change of the file has to be based on.
+// FileRevision returns the revision that a change of the file must be based on.
 func (s *State) FileRevision(file string) int64 {
 	if f, ok := s.Files[file]; ok {
 		return f.Revision
@@ -97,7 +97,7 @@
 	return NoRevision
 }
 
-// CurrentFiles gives the contents of the files that are not deleted.
+// CurrentFiles returns the contents of all files that are not deleted, by name.
 func (s *State) CurrentFiles() map[string][]byte {
 	out := map[string][]byte{}
 	for name, f := range s.Files {
@@ -108,40 +108,40 @@
 	return out
 }
 
-// next copies the state for one more record. The maps are shared until a
-// change replaces them.
-func (s *State) next() *State {
+// advanced returns a copy of the state with Next incremented. The copy shares
+// the maps until a change replaces them.
+func (s *State) advanced() *State {
 	c := *s
 	c.Next++
 	return &c
 }
 
-// rebuild derives the intent from the fragments and the key records.
-func (s *State) rebuild() Problems {
+// rebuildIntent derives the intent from the parsed files and the key records.
+func (s *State) rebuildIntent() Problems {
 	created := make([]Key, 0, len(s.CreatedKeys))
 	for _, k := range s.CreatedKeys {
 		created = append(created, k)
 	}
 	sort.Slice(created, func(i, j int) bool { return created[i].ID < created[j].ID })
-	intent, ps := merge(s.fragments, created)
+	intent, ps := merge(s.parsedFiles, created)
 	if len(ps) > 0 {
-		return locateAll(ps, s.CurrentFiles())
+		return setLinesAcross(ps, s.CurrentFiles())
 	}
 	for hash, w := range s.WithdrawnKeys {
-		intent.Keys[hash] = w.key()
+		intent.Keys[hash] = w.withdrawnKey()
 	}
 	intent.Revision = s.Revision
 	s.intent = intent
 	return nil
 }
 
-func (w Withdrawal) key() Key {
+func (w Withdrawal) withdrawnKey() Key {
 	return Key{ID: w.ID, Account: w.Account, SHA256: w.SHA256, Withdrawn: true}
 }
 
-// withIntentKey gives the intent with one key put in, without building it
-// anew.
-func (s *State) withIntentKey(k Key) *Intent {
+// intentWithKey returns a copy of the intent with one key set, without
+// rebuilding the intent.
+func (s *State) intentWithKey(k Key) *Intent {
 	intent := *s.intent
 	intent.Revision = s.Revision
 	intent.Keys = maps.Clone(s.intent.Keys)
