--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,3 +1,4 @@
-// Package settings reads what one entry process is told at start: an INI
-// file, environment variables and flags, in rising order of precedence.
+// Package settings reads the settings of an entry process from flags, an INI
+// file and environment variables. Flags override the file, and the file
+// overrides the environment.
 package settings
--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -8,8 +8,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Loader is a kong.ConfigurationLoader for INI files. A flag's key stands in
-// any section; sections only order the file for its readers.
+// Loader is a kong.ConfigurationLoader for INI files. Keys are the names of
+// flags. Sections have no effect; they only structure the file.
 func Loader(r io.Reader) (kong.Resolver, error) {
 	raw, err := io.ReadAll(r)
 	if err != nil {
@@ -24,6 +24,7 @@
 
 type resolver struct{ values map[string]string }
 
+// flatten returns the values of all sections by key.
 func flatten(f *ini.File) map[string]string {
 	values := make(map[string]string)
 	for _, s := range f.Sections() {
@@ -34,8 +35,8 @@
 	return values
 }
 
-// Validate implements kong.Resolver: a key that no flag knows is an error,
-// for a mistyped limit would otherwise leave the default in force unseen.
+// Validate implements kong.Resolver. A key without a flag is an error: a
+// misspelt key would otherwise silently leave its default in force.
 func (r *resolver) Validate(app *kong.Application) error {
 	known := make(map[string]bool)
 	for _, flag := range app.Flags {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,11 +12,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MinPeerSecretBytes is the shortest shared peer secret that is taken.
+// MinPeerSecretBytes is the minimum length of the secret shared by the peers.
 const MinPeerSecretBytes = 16
 
-// Settings of an entry process. Every field can be set in the INI file (key
-// as the flag, section by the flag's prefix), by environment or by flag.
+// Settings holds the settings of an entry process. Each can be set by its flag,
+// by the key of the same name in the INI file or by its environment variable.
 type Settings struct {
 	File          kong.ConfigFlag  `name:"settings" help:"INI file with settings." type:"existingfile" placeholder:"FILE"`
 	PrintSettings bool             `help:"Print the effective settings with their source, then exit."`
@@ -34,28 +34,28 @@
 	Peers          []string `env:"MASTICTRAY_PEERS" help:"Peer addresses known at start; the instance list adds to them." group:"peers"`
 	PeerSecretFile string   `required:"" type:"existingfile" env:"MASTICTRAY_PEER_SECRET_FILE" help:"File with the secret shared by the entry instances, 16 bytes or more." group:"peers"`
 
-	FleetDomains []string `required:"" env:"MASTICTRAY_FLEET_DOMAINS" help:"All failure domains, the same list on every instance: the accounts' rates are cut by it." group:"rates"`
-	MintSlots    int      `default:"2" env:"MASTICTRAY_MINT_SLOTS" help:"Parts that a domain's share of the rates is cut into, the same on every instance." group:"rates"`
+	FleetDomains []string `required:"" env:"MASTICTRAY_FLEET_DOMAINS" help:"All failure domains, the same list on every instance: the accounts' rates are split by it." group:"rates"`
+	MintSlots    int      `default:"2" env:"MASTICTRAY_MINT_SLOTS" help:"Number of parts that a domain's share of the rates is split into, the same on every instance." group:"rates"`
 
 	AdminTokenFile string `type:"existingfile" env:"MASTICTRAY_ADMIN_TOKEN_FILE" help:"File with operator tokens, one 'role token' a line (roles: read, operate). Without it the admin API is read-only for everyone on its listener." group:"admin"`
 
-	CallerTLSCert string `name:"caller-tls-cert" type:"existingfile" env:"MASTICTRAY_CALLER_TLS_CERT" help:"PEM certificate for callers; read again when it changes." group:"tls"`
+	CallerTLSCert string `name:"caller-tls-cert" type:"existingfile" env:"MASTICTRAY_CALLER_TLS_CERT" help:"PEM certificate for callers; reloaded when it changes." group:"tls"`
 	CallerTLSKey  string `name:"caller-tls-key" type:"existingfile" env:"MASTICTRAY_CALLER_TLS_KEY" help:"PEM key for callers." group:"tls"`
 	PeerTLSCert   string `name:"peer-tls-cert" type:"existingfile" env:"MASTICTRAY_PEER_TLS_CERT" help:"PEM certificate for peers." group:"tls"`
 	PeerTLSKey    string `name:"peer-tls-key" type:"existingfile" env:"MASTICTRAY_PEER_TLS_KEY" help:"PEM key for peers." group:"tls"`
-	PeerTLSCA     string `name:"peer-tls-ca" type:"existingfile" env:"MASTICTRAY_PEER_TLS_CA" help:"PEM authority that peers' certificates must come from." group:"tls"`
+	PeerTLSCA     string `name:"peer-tls-ca" type:"existingfile" env:"MASTICTRAY_PEER_TLS_CA" help:"PEM certificate of the CA that must have signed peers' certificates." group:"tls"`
 
-	MaxBodyBytes   int64         `default:"33554432" env:"MASTICTRAY_MAX_BODY_BYTES" help:"Largest request body." group:"limits"`
-	MaxHeaderBytes int           `default:"65536" env:"MASTICTRAY_MAX_HEADER_BYTES" help:"Largest request header." group:"limits"`
-	MaxConnections int           `default:"20000" env:"MASTICTRAY_MAX_CONNECTIONS" help:"Most caller connections at once." group:"limits"`
-	IdleTimeout    time.Duration `default:"90s" env:"MASTICTRAY_IDLE_TIMEOUT" help:"A caller connection without a request is closed after this." group:"limits"`
-	ReadTimeout    time.Duration `default:"30s" env:"MASTICTRAY_READ_TIMEOUT" help:"A request must be read whole within this." group:"limits"`
+	MaxBodyBytes   int64         `default:"33554432" env:"MASTICTRAY_MAX_BODY_BYTES" help:"Largest request body in bytes." group:"limits"`
+	MaxHeaderBytes int           `default:"65536" env:"MASTICTRAY_MAX_HEADER_BYTES" help:"Largest request header in bytes." group:"limits"`
+	MaxConnections int           `default:"20000" env:"MASTICTRAY_MAX_CONNECTIONS" help:"Maximum number of caller connections." group:"limits"`
+	IdleTimeout    time.Duration `default:"90s" env:"MASTICTRAY_IDLE_TIMEOUT" help:"Time after which an idle caller connection is closed." group:"limits"`
+	ReadTimeout    time.Duration `default:"30s" env:"MASTICTRAY_READ_TIMEOUT" help:"Time limit for reading a whole request." group:"limits"`
 
-	BalancerLag  time.Duration `default:"3s" env:"MASTICTRAY_BALANCER_LAG" help:"After SIGTERM requests are still accepted for this long, until the balancer has noticed." group:"shutdown"`
-	DrainTimeout time.Duration `default:"10m" env:"MASTICTRAY_DRAIN_TIMEOUT" help:"Longest wait for running streams after that." group:"shutdown"`
+	BalancerLag  time.Duration `default:"3s" env:"MASTICTRAY_BALANCER_LAG" help:"How long requests are still accepted after SIGTERM, until the load balancer has noticed." group:"shutdown"`
+	DrainTimeout time.Duration `default:"10m" env:"MASTICTRAY_DRAIN_TIMEOUT" help:"How long to wait for running streams after that." group:"shutdown"`
 }
 
-// Validate reports every wrong setting at once.
+// Validate reports all invalid settings in one error.
 func (s *Settings) Validate() error {
 	var problems []string
 	for _, l := range []struct{ key, value string }{
@@ -75,7 +75,7 @@
 	if (s.CallerTLSCert == "") != (s.CallerTLSKey == "") {
 		problems = append(problems, "caller-tls-cert and caller-tls-key: expected both or neither")
 	}
-	if set := countSet(s.PeerTLSCert, s.PeerTLSKey, s.PeerTLSCA); set != 0 && set != 3 {
+	if set := countNonEmpty(s.PeerTLSCert, s.PeerTLSKey, s.PeerTLSCA); set != 0 && set != 3 {
 		problems = append(problems, "peer-tls-cert, peer-tls-key and peer-tls-ca: expected all three or none")
 	}
 	if s.MaxBodyBytes <= 0 || s.MaxHeaderBytes <= 0 || s.MaxConnections <= 0 {
@@ -90,14 +90,14 @@
 	if len(problems) == 0 {
 		return nil
 	}
-	err := errors.Newf("settings: %d wrong", len(problems))
+	err := errors.Newf("%d invalid settings", len(problems))
 	for _, p := range problems {
 		err = errors.Newf("%s\n  %s", err.Error(), p)
 	}
 	return err
 }
 
-// PeerSecret reads the shared peer secret.
+// PeerSecret reads the secret shared by the peers.
 func (s *Settings) PeerSecret() ([]byte, error) {
 	raw, err := os.ReadFile(s.PeerSecretFile)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return raw, nil
 }
 
-// Print writes the effective settings with the source of each.
+// Print writes the effective settings, each with the source of its value.
 func Print(w io.Writer, ctx *kong.Context) {
 	for _, flag := range ctx.Model.Node.Flags {
 		if flag.Group == nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// source names where the value of a flag came from.
+// source returns where the value of a flag came from.
 func source(ctx *kong.Context, flag *kong.Flag) string {
 	for _, p := range ctx.Path {
 		if p.Flag == flag && !p.Resolved {
@@ -142,7 +142,7 @@
 	return err == nil && net.ParseIP(host) != nil
 }
 
-func countSet(values ...string) int {
+func countNonEmpty(values ...string) int {
 	n := 0
 	for _, v := range values {
 		if v != "" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,7 +35,7 @@
 mint-slots = 3
 `
 
-func TestFlagGoesBeforeFileBeforeDefault(t *testing.T) {
+func TestFlagOverridesFileOverridesDefault(t *testing.T) {
 	is := is.New(t)
 	s, err := parse(t, goodINI, "--mint-slots", "4")
 	is.NoErr(err)
@@ -45,9 +45,9 @@
 	is.Equal(s.PeerListen, "127.0.0.1:18081")
 }
 
-// An operator mistypes several settings. All of them are named at once, before
-// anything listens.
-func TestAllWrongSettingsAreNamed(t *testing.T) {
+// Several settings are invalid. The error names all of them, and the process
+// stops before it listens.
+func TestValidateReportsAllInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := parse(t, goodINI, "--caller-listen", "host:80", "--peers", "nowhere", "--domain", "c", "--mint-slots", "0",
 		"--max-body-bytes", "0", "--peer-tls-cert", os.Args[0])
@@ -57,15 +57,15 @@
 	}
 }
 
-// A key is mistyped in the file. It is refused; a default would else stay in
-// force unseen.
-func TestUnknownKeyIsRefused(t *testing.T) {
+// A misspelt key in the file must be an error: its default would otherwise
+// silently stay in force.
+func TestUnknownKeyIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := parse(t, goodINI+"mint-slotz = 9\n")
 	is.True(err != nil && strings.Contains(err.Error(), `unknown key "mint-slotz"`))
 }
 
-func TestShortSecretIsRefused(t *testing.T) {
+func TestShortPeerSecretIsRejected(t *testing.T) {
 	is := is.New(t)
 	s, err := parse(t, goodINI)
 	is.NoErr(err)
