--- a/internal/logline/doc.go
+++ b/internal/logline/doc.go
@@ -1,3 +1,3 @@
-// Package logline writes one key=value line for each event, through klog. It
-// never takes a caller's key or a prompt: callers pass names, counts and ids.
+// Package logline writes one line of key=value pairs per event through klog.
+// Lines never contain API keys or prompts: callers pass names, counts and IDs.
 package logline
--- a/internal/logline/output.go
+++ b/internal/logline/output.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	// queuedLines is the lines that wait for a slow reader of the output
-	// before further ones are left out: a second at the rate below.
-	queuedLines = 256
-	// linesPerSecond bounds the output. A process that refuses thousands of
-	// requests a second must not spend its time on saying so.
-	linesPerSecond = 250
-	// keptLines is the lines besides that wait where their event is kept.
-	keptLines = 256
-	// sampleEvery: of events that are all alike one in so many is written.
-	sampleEvery = 16
+	// maxQueuedLines limits the lines that wait for a slow reader of the
+	// output, to about a second at maxLinesPerSecond. Further lines are dropped.
+	maxQueuedLines = 256
+	// maxLinesPerSecond limits the output, so that a process that refuses
+	// thousands of requests a second does not spend its time on logging.
+	maxLinesPerSecond = 250
+	// reservedLines is the additional queue capacity for priority events.
+	reservedLines = 256
+	// sampleInterval is the number of calls of InfoSampled per written line.
+	sampleInterval = 16
 )
 
-// kept are the events that are written over the rate, as they stand in a line.
-var kept = keptMarks(
+// priorityMarks identify the events that are written even over the rate limit,
+// as they appear in a line.
+var priorityMarks = eventMarks(
 	"started", "config_in_force", "config_reported", "weights_named", "weights_dated", "oldest_weights", "version_record_written", "lease_taken", "target_limit",
 	"peer_gone", "store_lost", "store_regained",
 )
 
-// keptMarks is for events that change what a process knows: rare, and all
-// that a later trace has to go by. A suspended process wakes with hundreds of
-// broken requests in one second, and hears then what it has missed.
-func keptMarks(events ...string) [][]byte {
+// eventMarks returns the byte sequences that identify events in a line. Priority
+// events change what a process knows: they are rare, and needed to explain its
+// decisions later. A process that resumes after a suspension has hundreds of
+// failed requests in the same second in which it learns what it missed.
+func eventMarks(events ...string) [][]byte {
 	var marks [][]byte
 	for _, e := range events {
 		marks = append(marks, []byte("] \""+e+"\""))
@@ -43,21 +45,23 @@
 	return marks
 }
 
-func isKept(line []byte) bool {
-	return slices.ContainsFunc(kept, func(mark []byte) bool { return bytes.Contains(line, mark) })
+func isPriority(line []byte) bool {
+	return slices.ContainsFunc(priorityMarks, func(mark []byte) bool { return bytes.Contains(line, mark) })
 }
 
-// output writes lines from a queue and drops what does not fit: a request
-// never waits for a log line.
+// output writes lines from a queue and drops lines that do not fit, so that no
+// request waits for a log line.
 type output struct {
 	w       io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
+	// second is the Unix time of the lines that written counts.
 	second  atomic.Int64
 	written atomic.Int64
 }
 
-// SetOutput sends all lines to w, bounded in rate and never blocking.
+// SetOutput directs all lines to w, with a limited rate and without blocking
+// the callers.
 func SetOutput(w io.Writer) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
@@ -66,20 +70,20 @@
 			return errors.Wrapf(err, "set log flag %s", name)
 		}
 	}
-	o := &output{w: w, lines: make(chan []byte, queuedLines+keptLines)}
+	o := &output{w: w, lines: make(chan []byte, maxQueuedLines+reservedLines)}
 	klog.SetOutput(o)
 	go o.run()
 	return nil
 }
 
-// Write implements io.Writer for klog, one line a call.
+// Write implements io.Writer for klog, which passes one line per call.
 func (o *output) Write(line []byte) (int, error) {
 	now := time.Now().Unix()
 	if o.second.Swap(now) != now {
 		o.written.Store(0)
 	}
-	over := o.written.Add(1) > linesPerSecond || len(o.lines) >= queuedLines
-	if over && !isKept(line) {
+	over := o.written.Add(1) > maxLinesPerSecond || len(o.lines) >= maxQueuedLines
+	if over && !isPriority(line) {
 		o.dropped.Add(1)
 		return len(line), nil
 	}
@@ -96,17 +100,17 @@
 		if n := o.dropped.Swap(0); n > 0 {
 			fmt.Fprintf(o.w, "log_lines_left_out count=%d\n", n)
 		}
-		// A reader that is gone can't be told anything.
+		// There is nowhere else to report a failed write to.
 		_, _ = o.w.Write(line)
 	}
 }
 
-var samples atomic.Int64
+var sampleCalls atomic.Int64
 
-// InfoSampled writes one in sampleEvery of events that are frequent and alike,
-// such as requests that were served; counters have them all.
+// InfoSampled writes one of sampleInterval events. It is for frequent events of
+// the same kind, such as served requests, which metrics count completely.
 func InfoSampled(event string, keyvals ...any) {
-	if samples.Add(1)%sampleEvery == 0 {
-		klog.InfoSDepth(1, event, append(keyvals, "sampled", sampleEvery)...)
+	if sampleCalls.Add(1)%sampleInterval == 0 {
+		klog.InfoSDepth(1, event, append(keyvals, "sampled", sampleInterval)...)
 	}
 }
--- a/internal/logline/output_test.go
+++ b/internal/logline/output_test.go
@@ -7,20 +7,20 @@
 	"github.com/matryer/is"
 )
 
-// A suspended process wakes, hundreds of requests fail in one second, and the
-// lines of most are left out. The ones that tell what the process learnt as it
-// woke must be there: without them nobody can tell why it acted as it did.
-func TestStateChangesAreWrittenOverTheRate(t *testing.T) {
+// A process resumes after a suspension, hundreds of requests fail in one second
+// and most of their lines are dropped. The lines about what the process learnt
+// in that second must be written: they explain its decisions.
+func TestPriorityEventsAreWrittenOverTheRateLimit(t *testing.T) {
 	is := is.New(t)
-	o := &output{lines: make(chan []byte, queuedLines+keptLines)}
+	o := &output{lines: make(chan []byte, maxQueuedLines+reservedLines)}
 	write := func(event string, request int) {
 		_, err := o.Write(fmt.Appendf(nil, "I0102 03:04:05.678901 1 x.go:1] %q request=%d\n", event, request))
 		is.NoErr(err)
 	}
-	for i := range queuedLines + 1 { // nobody reads: the queue is full whatever the second
+	for i := range maxQueuedLines + 1 { // nothing reads the queue, so it fills up even if a new second begins
 		write("attempt_failed", i)
 	}
-	for len(o.lines) < queuedLines {
+	for len(o.lines) < maxQueuedLines {
 		o.lines <- nil
 	}
 	dropped := o.dropped.Load()
