--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -1,4 +1,5 @@
-// Package audit is the trail of what was changed: who, when, what, from which
-// value to which, and whether it took effect. Entries are derived from the
-// records of the platform's log, so every instance shows the same trail.
+// Package audit defines the audit trail of changes and orders: who made them,
+// when, from which value to which, and with what outcome. Entries are derived
+// from the records of the platform's log, so that all instances have the same
+// trail.
 package audit
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -1,6 +1,6 @@
 package audit
 
-// Outcome says what became of a change or an order.
+// Outcome is the result of a change or an order.
 type Outcome string
 
 // The outcomes.
@@ -13,47 +13,49 @@
 	Issued Outcome = "issued"
 	// Observed: the target reported the state that the order asked for.
 	Observed Outcome = "observed"
-	// Failed: the target did not come to serve what the order asked for.
+	// Failed: the target did not reach the state that the order asked for.
 	Failed Outcome = "failed"
-	// Halted: the rollout stopped itself; the reason says why.
+	// Halted: the rollout was stopped automatically; the reason says why.
 	Halted Outcome = "halted"
 )
 
-// Subject is one thing that a change touched.
+// Subject is an object that a change affects.
 type Subject struct {
-	// Name is a file, a key id or a target.
+	// Name is the name of a file or target, or the ID of a key.
 	Name string `msgpack:"n" json:"name"`
-	// Before and After are a file's revisions or a target's versions;
-	// empty where there was none.
+	// Before and After are the revisions of a file, the versions of a target or
+	// the account of a key; empty if there is none. After is "deleted" for a
+	// deleted file and "withdrawn" for a withdrawn key.
 	Before string `msgpack:"b,omitempty" json:"before,omitempty"`
 	After  string `msgpack:"a,omitempty" json:"after,omitempty"`
 }
 
-// Entry is one line of the trail.
+// Entry is an entry of the audit trail.
 type Entry struct {
-	// Stream and Offset name the record that the entry is derived from.
+	// Stream and Offset identify the record that the entry is derived from.
 	Stream string `msgpack:"s" json:"stream"`
 	Offset int64  `msgpack:"f" json:"offset"`
-	// AtMillis is the writer's wall clock in Unix milliseconds.
+	// AtMillis is the writer's wall clock time in Unix milliseconds.
 	AtMillis int64 `msgpack:"t" json:"at_ms"`
 	// By is the operator or the instance that wrote the record.
 	By string `msgpack:"w" json:"by"`
-	// Op is the operation id that the writer chose.
+	// Op is the operation ID, chosen by the writer.
 	Op string `msgpack:"o" json:"op"`
-	// Kind is the kind of record, such as "config.change".
+	// Kind is the kind of the record, such as "config.change".
 	Kind     string    `msgpack:"k" json:"what"`
 	Subjects []Subject `msgpack:"j,omitempty" json:"subjects,omitempty"`
 	Outcome  Outcome   `msgpack:"r" json:"outcome"`
 	Reason   string    `msgpack:"y,omitempty" json:"reason,omitempty"`
-	// Winner and WinnerRevision name the change that a rejected one lost
-	// to; the winner is empty when it lost to no other change.
+	// Winner and WinnerRevision are the author and the revision of the change
+	// that a rejected one conflicts with. Winner is empty if it was rejected for
+	// another reason.
 	Winner         string `msgpack:"v,omitempty" json:"winner,omitempty"`
 	WinnerRevision int64  `msgpack:"x,omitempty" json:"winner_revision,omitempty"`
 	Note           string `msgpack:"m,omitempty" json:"note,omitempty"`
 }
 
-// Append gives a trail of at most limit entries with e as the newest. The
-// given slice is not changed: states that share it stay as they are.
+// Append returns a trail that ends with e and has at most limit entries. It
+// copies the given trail, which other states may share.
 func Append(trail []Entry, e Entry, limit int) []Entry {
 	if drop := len(trail) + 1 - limit; drop > 0 {
 		trail = trail[drop:]
--- a/internal/audit/entry_test.go
+++ b/internal/audit/entry_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAppendBoundsTheTrailAndLeavesTheOldOne(t *testing.T) {
+func TestAppendLimitsAndCopiesTheTrail(t *testing.T) {
 	is := is.New(t)
 	old := Append(Append(nil, Entry{Op: "1"}, 2), Entry{Op: "2"}, 2)
 	one := Append(old, Entry{Op: "3"}, 2)
