--- a/internal/propertytest/doc.go
+++ b/internal/propertytest/doc.go
@@ -1,4 +1,4 @@
-// Package propertytest runs a package's tests with fixed seeds, so that property
-// tests give the same verdict every time. The command line goes first: a longer
-// search takes -rapid.checks and -rapid.seed.
+// Package propertytest runs the tests of a package with a fixed seed, so that
+// property tests are reproducible. The flags -rapid.checks and -rapid.seed on
+// the command line override the defaults, for a longer search.
 package propertytest
--- a/internal/propertytest/main.go
+++ b/internal/propertytest/main.go
@@ -6,25 +6,25 @@
 	"strconv"
 	"testing"
 
-	// Its flags have to be there before they are set.
+	// Registers the flags that Main sets.
 	_ "pgregory.net/rapid"
 )
 
-// DefaultChecks is rapid's own number of checks for each property.
+// DefaultChecks is rapid's default number of checks per property.
 const DefaultChecks = 100
 
-// Main is called from a package's TestMain. It writes no files for failing
-// seeds: those are kept as named tests.
+// Main runs the tests of a package; its TestMain calls it. Files for failing
+// seeds are turned off, since such seeds are kept as named tests.
 func Main(m *testing.M, checks int) {
-	set("rapid.seed", "1")
-	set("rapid.checks", strconv.Itoa(checks))
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.seed", "1")
+	setFlag("rapid.checks", strconv.Itoa(checks))
+	setFlag("rapid.nofailfile", "true")
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
-		panic(err) // a flag that the library no longer has would unfix the seed
+		panic(err) // without the flag the seed would not be fixed
 	}
 }
