--- a/internal/certs/doc.go
+++ b/internal/certs/doc.go
@@ -1,3 +1,3 @@
-// Package certs makes TLS configurations from PEM files that may be replaced
+// Package certs builds TLS configurations from PEM files that may be replaced
 // while the process runs.
 package certs
--- a/internal/certs/pair_test.go
+++ b/internal/certs/pair_test.go
@@ -18,12 +18,12 @@
 	"github.com/matryer/is"
 )
 
-type authority struct {
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T, file string) authority {
+func newTestCA(t *testing.T, file string) testCA {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -37,11 +37,12 @@
 	cert, err := x509.ParseCertificate(der)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
-	return authority{cert, key}
+	return testCA{cert, key}
 }
 
-// issue writes a certificate and key and sets both files' times to at.
-func (a authority) issue(t *testing.T, dir, name string, serial int64, at time.Time) (certFile, keyFile string) {
+// issue writes a certificate and key, and sets the modification time of both
+// files to at.
+func (a testCA) issue(t *testing.T, dir, name string, serial int64, at time.Time) (certFile, keyFile string) {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -60,11 +61,12 @@
 }
 
 // An operator replaces the certificate files of a running process. New
-// connections get the new certificate; a broken file leaves the last good one.
-func TestPairIsReadAgain(t *testing.T) {
+// connections get the new certificate; an invalid file leaves the last valid one
+// in use.
+func TestKeyPairIsReloaded(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	ca := newAuthority(t, filepath.Join(dir, "ca.pem"))
+	ca := newTestCA(t, filepath.Join(dir, "ca.pem"))
 	now := time.Unix(1000, 0)
 	cert, key := ca.issue(t, dir, "node", 2, now)
 	p, err := NewKeyPair(cert, key, func() time.Time { return now })
@@ -81,28 +83,28 @@
 	is.Equal(p.Certificate().Certificate[0], second)
 }
 
-// A process with a certificate of another authority dials a peer. It must not
-// get through, in either direction.
-func TestMutualRefusesStrangers(t *testing.T) {
+// A process with a certificate of another CA connects to a peer. The handshake
+// must fail.
+func TestMutualConfigRejectsOtherCA(t *testing.T) {
 	dir := t.TempDir()
-	ours := newAuthority(t, filepath.Join(dir, "ours.pem"))
-	theirs := newAuthority(t, filepath.Join(dir, "theirs.pem"))
+	ours := newTestCA(t, filepath.Join(dir, "ours.pem"))
+	theirs := newTestCA(t, filepath.Join(dir, "theirs.pem"))
 	tests := []struct {
 		name   string
-		dialer authority
+		dialer testCA
 		ok     bool
-	}{{"same authority", ours, true}, {"another authority", theirs, false}}
+	}{{"same CA", ours, true}, {"another CA", theirs, false}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			server := mutual(t, ours, dir, "server")
-			client := mutual(t, tt.dialer, dir, "client")
+			server := mutualConfig(t, ours, dir, "server")
+			client := mutualConfig(t, tt.dialer, dir, "client")
 			is.Equal(handshake(server, client) == nil, tt.ok)
 		})
 	}
 }
 
-func mutual(t *testing.T, a authority, dir, name string) *tls.Config {
+func mutualConfig(t *testing.T, a testCA, dir, name string) *tls.Config {
 	t.Helper()
 	is := is.New(t)
 	cert, key := a.issue(t, dir, name, 5, time.Now())
@@ -113,7 +115,7 @@
 	return c
 }
 
-// handshake returns the server's verdict.
+// handshake returns the result of the handshake on the server's side.
 func handshake(server, client *tls.Config) error {
 	a, b := net.Pipe()
 	defer a.Close()
