--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -1,6 +1,4 @@
-// Package timeline turns the logs of a fleet into one row for each window of
-// time: what requests waited for and expected, why they were refused, which
-// callers left, and what a rollout did meanwhile.
-//
-// The package is pure: it reads lines and gives rows.
+// Package timeline summarizes the logs of a fleet in one row per time window:
+// the waits and first-token times of requests, refusals by reason, callers that
+// left, and the progress of rollouts.
 package timeline
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -9,99 +9,102 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Row is what happened in one window.
+// Row summarizes one time window.
 type Row struct {
-	// From is the begin of the window after the first line.
+	// From is the start of the window, counted from the first event.
 	From time.Duration `json:"from"`
-	// Sampled is the answered prompts that the logs have lines of. The times
-	// below are medians over these; Worst is the 90th percentile of First.
+	// Sampled is the number of answered prompts in the logs, which have only a
+	// sample of them. The durations below are medians over these;
+	// FirstTokenP90 is the 90th percentile.
 	Sampled int `json:"sampled"`
-	// Targets is the median number of targets that a prompt could go to.
+	// Targets is the median number of candidate targets of a prompt.
 	Targets int `json:"targets"`
-	// Queued is the wait at the entry instance, Expected the estimate of the
-	// time from there to the first token, First that time as measured.
+	// Queued is the wait at the entry instance, Expected the estimated time
+	// from there to the first token, FirstToken the measured one.
 	Queued        time.Duration `json:"queued"`
 	Expected      time.Duration `json:"expected"`
 	FirstToken    time.Duration `json:"first"`
 	FirstTokenP90 time.Duration `json:"worst"`
-	// Refused is the refusals by reason.
+	// Refused counts the refused requests by reason.
 	Refused map[string]int `json:"refused,omitempty"`
-	// LeftBeforeSend is the callers that left before their request was sent, Left
-	// those that left afterwards.
+	// LeftBeforeSend counts the callers that left before their request was sent
+	// to a target, LeftAfterSend those that left afterwards.
 	LeftBeforeSend int `json:"left_waiting"`
 	LeftAfterSend  int `json:"left"`
-	// FailedAttempts is the attempts that a target did not answer whole.
+	// FailedAttempts counts the attempts without a complete answer of the
+	// target.
 	FailedAttempts int `json:"failed"`
-	// Orders is the orders to load weights, Loaded the loads that ended, Load
-	// the median time of these.
+	// Orders counts the orders to load weights, Loaded the completed loads.
+	// LoadTime is the median duration of these.
 	Orders   int           `json:"orders"`
 	Loaded   int           `json:"loaded"`
 	LoadTime time.Duration `json:"load"`
-	// StreamsMoved is the streams that were moved away from targets about to load.
+	// StreamsMoved counts the streams that were moved away from targets that
+	// were about to load weights.
 	StreamsMoved int `json:"moved"`
-	// Versions lists the versions of weights and of the configuration that
-	// became known, Lease the tokens of the leases taken.
+	// Versions lists the weights and configuration versions that first appeared
+	// in this window, LeaseTokens the tokens of the leases taken.
 	Versions    []string `json:"versions,omitempty"`
 	LeaseTokens []string `json:"lease,omitempty"`
 }
 
-// window collects the lines of one row.
+// window collects the events of one row.
 type window struct {
 	row                            Row
 	targets                        []int
 	queued, expected, first, loads []time.Duration
 }
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read reads the logs of any number of processes, in any order, and gives the
-// rows in order of time. Windows without a line have no row.
+// Read reads the logs of any number of processes, in any order, and returns the
+// rows in order of time. Windows without events have no row.
 func Read(r io.Reader, width time.Duration) ([]Row, error) {
 	windows := map[time.Duration]*window{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
-	var all []line
+	lines.Buffer(nil, maxLineBytes)
+	var events []logLine
 	for lines.Scan() {
-		if l, ok := parse(lines.Text()); ok {
-			all = append(all, l)
+		if l, ok := parseLine(lines.Text()); ok {
+			events = append(events, l)
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return nil, errors.Wrap(err, "read logs")
 	}
-	if len(all) == 0 {
+	if len(events) == 0 {
 		return nil, nil
 	}
-	slices.SortStableFunc(all, func(a, b line) int { return int(a.at - b.at) })
-	start := all[0].at
+	slices.SortStableFunc(events, func(a, b logLine) int { return int(a.at - b.at) })
+	start := events[0].at
 	seen := map[string]bool{}
-	for i := range all {
-		from := (all[i].at - start).Truncate(width)
+	for i := range events {
+		from := (events[i].at - start).Truncate(width)
 		if windows[from] == nil {
 			windows[from] = &window{row: Row{From: from, Refused: map[string]int{}}}
 		}
-		windows[from].take(&all[i], seen)
+		windows[from].add(&events[i], seen)
 	}
 	var rows []Row
 	for _, w := range windows {
-		rows = append(rows, w.finish())
+		rows = append(rows, w.summarize())
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return int(a.From - b.From) })
 	return rows, nil
 }
 
-// take counts one line; seen are the versions that became known before.
-func (w *window) take(l *line, seen map[string]bool) {
-	once := func(list *[]string, what string) {
-		if !seen[what] {
-			seen[what] = true
-			*list = append(*list, what)
+// add counts one event. seen holds the versions that have appeared so far.
+func (w *window) add(l *logLine, seen map[string]bool) {
+	addNew := func(list *[]string, name string) {
+		if !seen[name] {
+			seen[name] = true
+			*list = append(*list, name)
 		}
 	}
 	switch l.event {
 	case "answered":
-		w.answered(l)
+		w.addAnswered(l)
 	case "refused":
 		w.row.Refused[l.fields["reason"]]++
 	case "caller_left":
@@ -119,16 +122,17 @@
 	case "stream_moved":
 		w.row.StreamsMoved++
 	case "weights_named":
-		once(&w.row.Versions, "weights="+l.fields["version"])
+		addNew(&w.row.Versions, "weights="+l.fields["version"])
 	case "config_in_force":
-		once(&w.row.Versions, "config="+l.fields["version"])
+		addNew(&w.row.Versions, "config="+l.fields["version"])
 	case "lease_taken":
 		w.row.LeaseTokens = append(w.row.LeaseTokens, l.fields["token"])
 	}
 }
 
-// answered counts an answered prompt; plain services have no estimate.
-func (w *window) answered(l *line) {
+// addAnswered counts an answered prompt. Requests of plain services, which have
+// no estimate, are left out.
+func (w *window) addAnswered(l *logLine) {
 	if l.duration("expected") == 0 {
 		return
 	}
@@ -139,14 +143,14 @@
 	w.targets = append(w.targets, l.number("targets"))
 }
 
-// worst is the quantile of first tokens that Row.Worst gives.
-const worst = 0.9
+// firstTokenQuantile is the quantile of Row.FirstTokenP90.
+const firstTokenQuantile = 0.9
 
-func (w *window) finish() Row {
+func (w *window) summarize() Row {
 	w.row.Sampled, w.row.Loaded = len(w.first), len(w.loads)
 	w.row.Targets = quantile(w.targets, 0.5)
 	w.row.Queued, w.row.Expected = quantile(w.queued, 0.5), quantile(w.expected, 0.5)
-	w.row.FirstToken, w.row.FirstTokenP90 = quantile(w.first, 0.5), quantile(w.first, worst)
+	w.row.FirstToken, w.row.FirstTokenP90 = quantile(w.first, 0.5), quantile(w.first, firstTokenQuantile)
 	w.row.LoadTime = quantile(w.loads, 0.5)
 	return w.row
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Two processes' logs, one after the other, one of them with a collector's
-// prefix on each line.
+// logs are the logs of two processes, one after the other. The lines of one have
+// the prefix of a log collector.
 const logs = `I1006 14:29:18.100000 1 finish.go:58] "answered" request="a" route="chat" queued="10ms" first="110ms" expected="40ms" targets=12
 I1006 14:29:18.200000 1 finish.go:58] "answered" request="b" route="chat" queued="30ms" first="530ms" expected="60ms" targets=10
 I1006 14:29:18.300000 1 finish.go:58] "answered" request="c" route="bookings" queued="0s" first="20ms" expected="0s" targets=0
