--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -11,14 +11,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAdminBytes bounds an answer of the admin API.
-const maxAdminBytes = 64 << 20
+// maxResponseBytes limits the size of a response of the admin API.
+const maxResponseBytes = 64 << 20
 
 type statusCommand struct{}
 
-// Run prints the state that the entry instance gives.
+// Run prints the state of the entry instance.
 func (c *statusCommand) Run(e *Env) error {
-	return e.admin(http.MethodGet, "/admin/v1/state", nil)
+	return e.callAdmin(http.MethodGet, "/admin/v1/state", nil)
 }
 
 type explainCommand struct {
@@ -27,15 +27,15 @@
 	Account string `help:"Client account that sends it." placeholder:"NAME"`
 }
 
-// explainRequest is what the admin API explains.
+// explainRequest is the body of a request to explain a routing decision.
 type explainRequest struct {
 	Path    string          `json:"path"`
 	Account string          `json:"account,omitempty"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// Run asks the entry instance for its decision on the request, without
-// sending it to a target.
+// Run prints the routing decision of the entry instance for the request, which
+// is not sent to a target.
 func (c *explainCommand) Run(e *Env) error {
 	data, err := os.ReadFile(c.Request)
 	if err != nil {
@@ -48,15 +48,15 @@
 	if err != nil {
 		return errors.Wrap(err, "encode request")
 	}
-	return e.admin(http.MethodPost, "/admin/v1/explain", body)
+	return e.callAdmin(http.MethodPost, "/admin/v1/explain", body)
 }
 
-// admin makes one call and prints its answer.
-func (e *Env) admin(method, path string, body []byte) error {
+// callAdmin calls the admin API and prints the response.
+func (e *Env) callAdmin(method, path string, body []byte) error {
 	url := strings.TrimSuffix(e.cmd.Admin, "/") + path
 	req, err := http.NewRequestWithContext(e.ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrapf(err, "ask peer=%s", url)
+		return errors.Wrapf(err, "call admin API peer=%s", url)
 	}
 	if e.cmd.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+e.cmd.Token)
@@ -66,22 +66,22 @@
 	}
 	resp, err := e.Client.Do(req)
 	if err != nil {
-		return errors.Wrapf(err, "ask peer=%s", url)
+		return errors.Wrapf(err, "call admin API peer=%s", url)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Wrapf(err, "read answer peer=%s", url)
+		return errors.Wrapf(err, "read response peer=%s", url)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Newf("ask peer=%s: status %d: %s", url, resp.StatusCode, strings.TrimSpace(string(data)))
+		return errors.Newf("call admin API peer=%s: status %d: %s", url, resp.StatusCode, strings.TrimSpace(string(data)))
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	// Offsets and token counts must not turn into floating point.
+	// Offsets and token counts must not lose digits as floating-point numbers.
 	decoder.UseNumber()
 	var value any
 	if err := decoder.Decode(&value); err != nil {
-		return errors.Wrapf(err, "decode answer peer=%s", url)
+		return errors.Wrapf(err, "decode response peer=%s", url)
 	}
-	return e.print(document{value})
+	return e.print(adminResponse{value})
 }
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -15,17 +15,18 @@
 	"github.com/mastictray/mastictray/internal/rollout"
 )
 
-// entries are audit entries, oldest first.
-type entries []audit.Entry
+// auditEntries is a list of audit entries, oldest first.
+type auditEntries []audit.Entry
 
-func (es entries) text(w io.Writer) {
+func (es auditEntries) writeText(w io.Writer) {
 	for _, e := range es {
-		fmt.Fprintln(w, entryLine(e))
+		fmt.Fprintln(w, formatEntry(e))
 	}
 }
 
-// entryLine is one entry as a line: when, where, who, what, outcome, on what.
-func entryLine(e audit.Entry) string {
+// formatEntry formats an entry as one line: time, record, author, kind, outcome
+// and subjects.
+func formatEntry(e audit.Entry) string {
 	when := time.UnixMilli(e.AtMillis).UTC().Format(time.RFC3339)
 	parts := []string{when, fmt.Sprintf("%s@%d", e.Stream, e.Offset), e.By, e.Kind, string(e.Outcome)}
 	for _, s := range e.Subjects {
@@ -45,25 +46,26 @@
 }
 
 type auditCommand struct {
-	Limit int    `help:"At most this many entries, the newest." default:"50"`
+	Limit int    `help:"Maximum number of entries; the newest are shown." default:"50"`
 	By    string `help:"Only changes by this operator or instance." placeholder:"NAME"`
 	Of    string `help:"Only changes of this file, key, pool or target." placeholder:"NAME"`
 }
 
-// Run reads the trail from both streams of the log. Configuration goes back
-// as far as its newest entries, orders as far as the log retains them.
+// Run prints the audit trail from both streams of the log. It has the newest
+// configuration entries, which are part of the state, and the orders that the
+// log still retains.
 func (c *auditCommand) Run(e *Env) error {
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
-	orders, err := e.orders()
+	orders, err := e.readOrders()
 	if err != nil {
 		return err
 	}
-	found := entries{}
+	found := auditEntries{}
 	for _, entry := range append(orders, f.State().Audit...) {
-		if c.wanted(entry) {
+		if c.matches(entry) {
 			found = append(found, entry)
 		}
 	}
@@ -74,11 +76,11 @@
 	return e.print(found)
 }
 
-// orders reads what was ordered of targets from the control stream.
-func (e *Env) orders() (entries, error) {
-	var found entries
+// readOrders reads the orders to targets from the control stream.
+func (e *Env) readOrders() (auditEntries, error) {
+	var found auditEntries
 	for from, end := platform.Offset(0), false; !end; {
-		batch, err := e.read(platform.StreamControl, from, 0)
+		batch, err := e.readStream(platform.StreamControl, from, 0)
 		switch {
 		case errors.Is(err, platform.ErrTrimmed) && batch.Start > from:
 			from = batch.Start
@@ -101,7 +103,7 @@
 	return found, nil
 }
 
-func (c *auditCommand) wanted(e audit.Entry) bool {
+func (c *auditCommand) matches(e audit.Entry) bool {
 	if c.By != "" && e.By != c.By {
 		return false
 	}
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -12,8 +12,8 @@
 	Shell string `arg:"" enum:"bash" help:"Shell to complete for: bash." default:"bash"`
 }
 
-// Run prints a script to be sourced. It lists the subcommands and flags of
-// the command typed so far, and files where there are none.
+// Run prints a bash completion script. It completes the subcommands and flags
+// of the command typed so far, and file names if none of these match.
 func (c *completionCommand) Run(e *Env, k *kong.Context) error {
 	fmt.Fprintln(e.Stdout, "# source <(mastictray completion bash)")
 	fmt.Fprintln(e.Stdout, "_mastictray() {")
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// walkCommands visits a command and those below it. A path is " keys create".
+// walkCommands visits a command and its subcommands. A path has a leading space,
+// such as " keys create".
 func walkCommands(node *kong.Node, path string, visit func(string, *kong.Node)) {
 	visit(path, node)
 	for _, child := range node.Children {
--- a/internal/cli/difflines.go
+++ b/internal/cli/difflines.go
@@ -4,8 +4,8 @@
 	"strings"
 )
 
-// diffLines gives the lines that went, with "-", and those that came, with
-// "+", in file order. Equal lines are left out.
+// diffLines returns the removed lines with "-" and the added lines with "+", in
+// file order. Unchanged lines are omitted.
 func diffLines(before, after []byte) []string {
 	a, b := splitLines(before), splitLines(after)
 	common := commonLengths(a, b)
@@ -26,8 +26,9 @@
 	return out
 }
 
-// commonLengths has at [i][j] the length of the longest common subsequence
-// of a[i:] and b[j:]. Files are short; the table is small.
+// commonLengths returns a table with the length of the longest common
+// subsequence of a[i:] and b[j:] at [i][j]. The table is small, since files are
+// short.
 func commonLengths(a, b []string) [][]int32 {
 	table := make([][]int32, len(a)+1)
 	for i := range table {
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line: it checks configuration files,
-// publishes them through the platform's log, and asks an entry instance what
-// it does. It speaks to the log and to the admin API only.
+// Package cli implements the operators' command line. It validates
+// configuration files, publishes them through the platform's log, and queries
+// the admin API of an entry instance.
 package cli
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -4,23 +4,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ExitCode is the status of the process; scripts may rely on the values.
+// ExitCode is the exit status of the process. Scripts may rely on the values.
 type ExitCode int
 
 // The exit codes.
 const (
 	ExitOK ExitCode = 0
-	// ExitFailed: a service was not reached, or a file not read. Nothing
-	// was changed.
+	// ExitFailed: a service was unreachable or a file unreadable. Nothing was
+	// changed.
 	ExitFailed ExitCode = 1
-	// ExitUsage: the command line is wrong. Nothing was changed.
+	// ExitUsage: the command line is invalid. Nothing was changed.
 	ExitUsage ExitCode = 2
 	// ExitInvalid: the files have problems. Nothing was changed.
 	ExitInvalid ExitCode = 3
-	// ExitRejected: the change was judged and rejected, for example since
-	// another operator was first. Nothing was changed.
+	// ExitRejected: the change was rejected, for example because of a
+	// conflicting change by another operator. Nothing was changed.
 	ExitRejected ExitCode = 4
-	// ExitUnknown: the change may be in force; ask again by its op id.
+	// ExitUnknown: the change may be in force. The outcome command tells by
+	// the operation ID.
 	ExitUnknown ExitCode = 5
 )
 
@@ -47,13 +48,13 @@
 	return ExitFailed
 }
 
-// invalid is the error after the problems were printed.
-func invalid(count int) error {
+// problemsError returns the error of a command that has printed problems.
+func problemsError(count int) error {
 	return errors.Mark(errors.Newf("%d problems", count), errInvalid)
 }
 
 const helpText = `Check, publish and inspect the configuration of mastictray.
 
-Exit codes: 0 done; 1 failed, nothing changed; 2 wrong command line;
-3 the files have problems; 4 the change was rejected, the output names who
-won; 5 outcome unknown, ask with "mastictray outcome OP".`
+Exit codes: 0 success; 1 failure, nothing changed; 2 invalid command line;
+3 the files have problems; 4 the change was rejected, the output says why;
+5 outcome unknown, check with "mastictray outcome OP".`
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -11,28 +11,29 @@
 
 const iniSuffix = ".ini"
 
-// sources are the directories that a command collects files from.
+// sources are the directories with a command's configuration files.
 type sources struct {
-	Dirs []string `arg:"" name:"dir" help:"Directories with *.ini files, searched to any depth."`
-	Root string   `help:"Directory that file names are relative to. Every operator has to use the same." default:"." type:"existingdir"`
+	Dirs []string `arg:"" name:"dir" help:"Directories with *.ini files, searched recursively."`
+	Root string   `help:"Directory that file names are relative to; must be the same for all operators." default:"." type:"existingdir"`
 }
 
-// fileSet is the collected files by name, and the names of the directories.
+// fileSet holds the contents of files by name, and the names of the directories
+// they are from.
 type fileSet struct {
 	contents map[string][]byte
 	dirs     []string
 }
 
-// collect reads every *.ini file under the directories.
+// collect reads all *.ini files under the directories.
 func (s sources) collect() (fileSet, error) {
 	set := fileSet{contents: map[string][]byte{}}
 	for _, dir := range s.Dirs {
-		name, err := s.name(dir)
+		name, err := s.relativeName(dir)
 		if err != nil {
 			return set, err
 		}
 		set.dirs = append(set.dirs, name)
-		if err := s.walk(dir, set.contents); err != nil {
+		if err := s.addFiles(dir, set.contents); err != nil {
 			return set, err
 		}
 	}
@@ -42,33 +43,34 @@
 	return set, nil
 }
 
-func (s sources) walk(dir string, contents map[string][]byte) error {
+// addFiles reads the *.ini files under a directory into contents.
+func (s sources) addFiles(dir string, contents map[string][]byte) error {
 	return filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
-			return errors.Wrapf(err, "collect files dir=%s", dir)
+			return errors.Wrapf(err, "read configuration files dir=%s", dir)
 		}
 		if entry.IsDir() || !strings.HasSuffix(path, iniSuffix) {
 			return nil
 		}
-		name, err := s.name(path)
+		name, err := s.relativeName(path)
 		if err != nil {
 			return err
 		}
 		data, err := os.ReadFile(path)
 		contents[name] = data
-		return errors.Wrapf(err, "collect files")
+		return errors.Wrapf(err, "read configuration file")
 	})
 }
 
-// name is the path relative to the root, with slashes.
-func (s sources) name(path string) (string, error) {
+// relativeName returns the path relative to the root, with slashes.
+func (s sources) relativeName(path string) (string, error) {
 	abs, err := filepath.Abs(path)
 	if err != nil {
-		return "", errors.Wrapf(err, "name of %s", path)
+		return "", errors.Wrapf(err, "resolve path %s", path)
 	}
 	root, err := filepath.Abs(s.Root)
 	if err != nil {
-		return "", errors.Wrapf(err, "name of %s", path)
+		return "", errors.Wrapf(err, "resolve path %s", path)
 	}
 	rel, err := filepath.Rel(root, abs)
 	if err != nil || rel == ".." || strings.HasPrefix(rel, ".."+string(filepath.Separator)) {
@@ -77,8 +79,8 @@
 	return filepath.ToSlash(rel), nil
 }
 
-// covers says that a file name lies in one of the directories.
-func (f fileSet) covers(name string) bool {
+// inDirs reports whether a file name is under one of the directories.
+func (f fileSet) inDirs(name string) bool {
 	for _, dir := range f.dirs {
 		if dir == "." || strings.HasPrefix(name, dir+"/") {
 			return true
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -12,8 +12,8 @@
 )
 
 type keysCommand struct {
-	Create   keysCreateCommand   `cmd:"" help:"Make a key and put it into force; prints it once."`
-	Withdraw keysWithdrawCommand `cmd:"" help:"End a key for good."`
+	Create   keysCreateCommand   `cmd:"" help:"Create a key and print it; it cannot be shown again."`
+	Withdraw keysWithdrawCommand `cmd:"" help:"Withdraw a key permanently."`
 	Hash     keysHashCommand     `cmd:"" help:"Read a key from standard input and print its hash."`
 }
 
@@ -23,24 +23,25 @@
 	Account  string `help:"Client account that the key belongs to." required:"" placeholder:"NAME"`
 }
 
-// newKey is printed after the key is in force, and nowhere else.
-type newKey struct {
+// createdKey is printed once the key is in force. No other output has the key.
+type createdKey struct {
 	audit.Entry
 	ID     string `json:"id"`
 	SHA256 string `json:"sha256"`
 	Key    string `json:"key"`
 }
 
-func (k newKey) text(w io.Writer) {
-	entries{k.Entry}.text(w)
+func (k createdKey) writeText(w io.Writer) {
+	auditEntries{k.Entry}.writeText(w)
 	fmt.Fprintf(w, "id     %s\nsha256 %s\nkey    %s\n", k.ID, k.SHA256, k.Key)
-	fmt.Fprintln(w, "The key is not kept anywhere. Store it now.")
+	fmt.Fprintln(w, "The key is not stored anywhere. Save it now.")
 }
 
-// Run makes the key, appends its hash and prints the key once it is in
-// force. After an unknown outcome the key is lost; withdraw it by its hash.
+// Run creates a key, appends its hash to the log and prints the key once it is
+// in force. If the outcome is unknown the key is lost, and the operator can
+// withdraw it by its hash.
 func (c *keysCreateCommand) Run(e *Env) error {
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
@@ -52,35 +53,35 @@
 	body := config.KeyCreate{
 		Op: op, Rules: config.RulesVersion, ID: c.ID, Account: c.Account, SHA256: hash, Note: c.Note,
 	}
-	entry, err := e.judge(f, config.KindKeyCreate, c.As, op, body)
+	entry, err := e.appendAndWait(f, config.KindKeyCreate, c.As, op, body)
 	if err != nil {
 		return errors.Wrapf(err, "create key sha256=%s", hash)
 	}
 	if entry.Outcome == audit.Rejected {
-		return e.verdict(entry)
+		return e.reportOutcome(entry)
 	}
 	if f.State().Intent().Keys[hash].SHA256 != hash {
-		return errors.Mark(errors.Newf("operation %s was another key's; give each its own", op), errRejected)
+		return errors.Mark(errors.Newf("operation ID %s belongs to another key; use a new ID for each key", op), errRejected)
 	}
-	return e.print(newKey{Entry: entry, ID: c.ID, SHA256: hash, Key: key})
+	return e.print(createdKey{Entry: entry, ID: c.ID, SHA256: hash, Key: key})
 }
 
 type keysWithdrawCommand struct {
 	operator `embed:""`
 	ID       string `arg:"" help:"Public name of the key."`
-	SHA256   string `name:"sha256" help:"Hash of the key, when its name is not known to the configuration." placeholder:"HEX"`
+	SHA256   string `name:"sha256" help:"Hash of the key, if the configuration has no key of this name." placeholder:"HEX"`
 }
 
-// Run appends the withdrawal.
+// Run appends the withdrawal to the log and waits for its outcome.
 func (c *keysWithdrawCommand) Run(e *Env) error {
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
 	hash := c.SHA256
 	if hash == "" {
 		if hash = findKey(f.State().Intent(), c.ID); hash == "" {
-			return errors.Mark(errors.Newf("no key %s in force; name its hash with --sha256", c.ID), errRejected)
+			return errors.Mark(errors.Newf("no key %s in force; give its hash with --sha256", c.ID), errRejected)
 		}
 	}
 	op := c.opID()
@@ -88,7 +89,7 @@
 	return e.submit(f, config.KindKeyWithdraw, c.As, op, body)
 }
 
-// findKey gives the hash of a key in force, or "".
+// findKey returns the hash of the key in force with this ID, or "".
 func findKey(intent *config.Intent, id string) string {
 	for hash, key := range intent.Keys {
 		if key.ID == id && !key.Withdrawn {
@@ -100,14 +101,14 @@
 
 type keysHashCommand struct{}
 
-// maxKeyInput bounds what is read as a key.
-const maxKeyInput = 4096
+// maxKeyBytes limits the input that is read for a key.
+const maxKeyBytes = 4096
 
-// Run hashes a key from standard input: on the command line it would stand
-// in the shell's history and in the list of processes.
+// Run hashes a key from standard input. As an argument the key would appear in
+// the shell's history and in the list of processes.
 func (c *keysHashCommand) Run(e *Env) error {
 	var key string
-	if _, err := fmt.Fscanln(io.LimitReader(e.Stdin, maxKeyInput), &key); err != nil {
+	if _, err := fmt.Fscanln(io.LimitReader(e.Stdin, maxKeyBytes), &key); err != nil {
 		return errors.Wrap(err, "read key from standard input")
 	}
 	fmt.Fprintln(e.Stdout, keys.Hash(key))
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// texter prints itself for people.
-type texter interface{ text(w io.Writer) }
+// textPrinter is a result that can be printed as text.
+type textPrinter interface{ writeText(w io.Writer) }
 
-// print shows a result as the operator asked for it.
-func (e *Env) print(result texter) error {
+// print prints a result in the output format of the command line.
+func (e *Env) print(result textPrinter) error {
 	if e.cmd.Output != "json" {
-		result.text(e.Stdout)
+		result.writeText(e.Stdout)
 		return nil
 	}
 	enc := json.NewEncoder(e.Stdout)
@@ -25,15 +25,15 @@
 	return errors.Wrap(enc.Encode(result), "print result")
 }
 
-// document is an answer of the admin API, shown as it came.
-type document struct{ value any }
+// adminResponse is a decoded response of the admin API.
+type adminResponse struct{ value any }
 
-// MarshalJSON gives the answer unchanged.
-func (d document) MarshalJSON() ([]byte, error) { return json.Marshal(d.value) }
+// MarshalJSON encodes the response unchanged.
+func (d adminResponse) MarshalJSON() ([]byte, error) { return json.Marshal(d.value) }
 
-func (d document) text(w io.Writer) { writeValue(w, d.value, 0) }
+func (d adminResponse) writeText(w io.Writer) { writeValue(w, d.value, 0) }
 
-// writeValue prints the members of an object one a line, in key order, and
+// writeValue prints each member of an object, in the order of memberNames, and
 // each item of a list on a line of its own.
 func writeValue(w io.Writer, v any, depth int) {
 	indent := strings.Repeat("  ", depth)
@@ -61,13 +61,13 @@
 	}
 }
 
-// inline prints a value on one line: a=1 b=(c=2; c=3).
+// inline formats a value on one line, such as a=1 b=(c=2; c=3).
 func inline(v any) string {
 	switch v := v.(type) {
 	case map[string]any:
 		var parts []string
 		for _, name := range memberNames(v) {
-			parts = append(parts, name+"="+nested(v[name]))
+			parts = append(parts, name+"="+inlineNested(v[name]))
 		}
 		return strings.Join(parts, " ")
 	case []any:
@@ -81,7 +81,7 @@
 	}
 }
 
-func nested(v any) string {
+func inlineNested(v any) string {
 	switch v.(type) {
 	case map[string]any, []any:
 		return "(" + inline(v) + ")"
@@ -90,11 +90,11 @@
 	}
 }
 
-// leadingNames are what people look for first in an object.
+// leadingNames are the members of an object that are printed first.
 var leadingNames = []string{"rank", "name", "target", "resource", "instance", "scorer"}
 
-// memberNames are the names in an object: the leading ones, then the others
-// in alphabetical order.
+// memberNames returns the names of an object's members: the leading ones, then
+// the others in alphabetical order.
 func memberNames(v map[string]any) []string {
 	var first, rest []string
 	for _, name := range leadingNames {
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -23,14 +23,14 @@
 	Problems config.Problems `json:"problems"`
 }
 
-func (r lintResult) text(w io.Writer) {
+func (r lintResult) writeText(w io.Writer) {
 	for _, p := range r.Problems {
 		fmt.Fprintln(w, p)
 	}
 	fmt.Fprintf(w, "%d files, %d problems\n", r.Files, len(r.Problems))
 }
 
-// Run checks the files as a set of their own.
+// Run validates the files as a complete set.
 func (c *lintCommand) Run(e *Env) error {
 	set, err := c.collect()
 	if err != nil {
@@ -43,29 +43,30 @@
 		return printErr
 	}
 	if len(result.Problems) > 0 {
-		return invalid(len(result.Problems))
+		return problemsError(len(result.Problems))
 	}
 	return nil
 }
 
-// planned is what publishing does with one file.
-type planned struct {
+// plannedFile describes what publishing does with a file.
+type plannedFile struct {
 	Name   string `json:"name"`
 	Action string `json:"action"`
-	// Base is the file's present revision, -1 for none.
+	// Base is the file's current revision; -1 if there is none.
 	Base  int64    `json:"base"`
 	Lines []string `json:"lines,omitempty"`
 }
 
+// plan is the difference between the files to publish and those in force.
 type plan struct {
 	// Revision is that of the configuration in force.
 	Revision int64           `json:"revision"`
-	Files    []planned       `json:"files"`
+	Files    []plannedFile   `json:"files"`
 	Problems config.Problems `json:"problems"`
 	changes  []config.FileChange
 }
 
-func (p plan) text(w io.Writer) {
+func (p plan) writeText(w io.Writer) {
 	for _, f := range p.Files {
 		fmt.Fprintf(w, "%-8s %s (base %d)\n", f.Action, f.Name, f.Base)
 		for _, line := range f.Lines {
@@ -78,30 +79,30 @@
 	fmt.Fprintf(w, "%d changes against revision %d\n", len(p.changes), p.Revision)
 }
 
-// makePlan compares the files with the state, and checks the result.
+// makePlan compares the files with the state and validates the result.
 func makePlan(s *config.State, set fileSet, prune bool) plan {
-	p := plan{Revision: s.Revision, Files: []planned{}, Problems: config.Problems{}}
+	p := plan{Revision: s.Revision, Files: []plannedFile{}, Problems: config.Problems{}}
 	present := s.CurrentFiles()
 	after := s.CurrentFiles()
 	for _, name := range sortedNames(set.contents) {
 		contents := set.contents[name]
-		old, had := present[name]
-		if had && bytes.Equal(old, contents) {
+		old, exists := present[name]
+		if exists && bytes.Equal(old, contents) {
 			continue
 		}
 		action := "add"
-		if had {
+		if exists {
 			action = "change"
 		}
 		after[name] = contents
 		p.add(s, action, config.FileChange{Name: name, Contents: contents}, old)
 	}
 	for _, name := range sortedNames(present) {
-		if _, there := set.contents[name]; there || !set.covers(name) {
+		if _, inSet := set.contents[name]; inSet || !set.inDirs(name) {
 			continue
 		}
 		if !prune {
-			p.Files = append(p.Files, planned{Name: name, Action: "keep", Base: s.FileRevision(name)})
+			p.Files = append(p.Files, plannedFile{Name: name, Action: "keep", Base: s.FileRevision(name)})
 			continue
 		}
 		delete(after, name)
@@ -115,7 +116,7 @@
 func (p *plan) add(s *config.State, action string, change config.FileChange, old []byte) {
 	change.Base = s.FileRevision(change.Name)
 	p.changes = append(p.changes, change)
-	p.Files = append(p.Files, planned{
+	p.Files = append(p.Files, plannedFile{
 		Name: change.Name, Action: action, Base: change.Base, Lines: diffLines(old, change.Contents),
 	})
 }
@@ -140,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
@@ -149,18 +150,19 @@
 		return err
 	}
 	if len(p.Problems) > 0 {
-		return invalid(len(p.Problems))
+		return problemsError(len(p.Problems))
 	}
 	return nil
 }
 
-// operator is who a record is written by.
+// operator holds the flags of commands that append a record.
 type operator struct {
 	As   string `help:"Your name, for the audit trail." required:"" env:"MASTICTRAY_OPERATOR" placeholder:"NAME"`
-	Note string `help:"Why; kept in the audit trail. Never put a key here."`
-	Op   string `help:"Operation id. Repeating a command with the id of one whose outcome is unknown never changes twice." placeholder:"ID"`
+	Note string `help:"Reason, kept in the audit trail. Must not contain a key."`
+	Op   string `help:"Operation ID. A command that is repeated with the ID of an earlier one never takes effect twice." placeholder:"ID"`
 }
 
+// opID returns the operation ID, a new one if none was given.
 func (o *operator) opID() string {
 	if o.Op == "" {
 		o.Op = uuid.NewString()
@@ -175,24 +177,24 @@
 	Expect   int64 `help:"Refuse if a file to be changed has a revision above this; diff prints the number." default:"-1" placeholder:"REVISION"`
 }
 
-// Run appends the change and waits for the verdict of the fold.
+// Run appends the change to the log and waits for its outcome.
 func (c *publishCommand) Run(e *Env) error {
 	set, err := c.collect()
 	if err != nil {
 		return err
 	}
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
 	op := c.opID()
 	if entry, ok := f.State().Outcome(op); ok {
-		return e.verdict(entry)
+		return e.reportOutcome(entry)
 	}
 	p := makePlan(f.State(), set, c.Prune)
 	if len(p.Problems) > 0 {
-		p.text(e.Stderr)
-		return invalid(len(p.Problems))
+		p.writeText(e.Stderr)
+		return problemsError(len(p.Problems))
 	}
 	if len(p.changes) == 0 {
 		return e.print(p)
@@ -204,9 +206,10 @@
 	return e.submit(f, config.KindChange, c.As, op, change)
 }
 
-// checkExpected refuses to overwrite what the operator has not seen: the
-// bases are read just now, so alone they guard only against a race from here
-// on, not against an old checkout.
+// checkExpected rejects changes of files that have a revision above --expect.
+// The base revisions alone detect only changes made after the plan, as they are
+// read just before it; they do not detect that the files are from an old
+// checkout.
 func (c *publishCommand) checkExpected(s *config.State, p plan) error {
 	if c.Expect < 0 {
 		return nil
@@ -221,30 +224,32 @@
 	return nil
 }
 
-// submit appends one record and reports what became of it.
+// submit appends a record and reports its outcome.
 func (e *Env) submit(f *config.Follower, kind logrec.Kind, by, op string, body any) error {
-	entry, err := e.judge(f, kind, by, op, body)
+	entry, err := e.appendAndWait(f, kind, by, op, body)
 	if err != nil {
 		return err
 	}
-	return e.verdict(entry)
+	return e.reportOutcome(entry)
 }
 
-// judge appends one record and waits for the verdict of the fold.
-func (e *Env) judge(f *config.Follower, kind logrec.Kind, by, op string, body any) (audit.Entry, error) {
+// appendAndWait appends a record and waits for its outcome.
+func (e *Env) appendAndWait(f *config.Follower, kind logrec.Kind, by, op string, body any) (audit.Entry, error) {
 	record, err := logrec.Encode(kind, by, e.Now().UnixMilli(), body)
 	if err != nil {
-		return audit.Entry{}, errors.Wrap(err, "too much for one change; publish fewer files at once")
+		return audit.Entry{}, errors.Wrap(err, "change does not fit into one log record; publish fewer files at once")
 	}
 	fmt.Fprintf(e.Stderr, "operation %s\n", op)
-	if err := e.append(record); err != nil {
+	if err := e.appendRecord(record); err != nil {
 		return audit.Entry{}, err
 	}
-	return e.settle(f, op)
+	return e.waitForOutcome(f, op)
 }
 
-func (e *Env) verdict(entry audit.Entry) error {
-	if err := e.print(entries{entry}); err != nil {
+// reportOutcome prints the audit entry of an operation and returns an error if
+// the operation was rejected.
+func (e *Env) reportOutcome(entry audit.Entry) error {
+	if err := e.print(auditEntries{entry}); err != nil {
 		return err
 	}
 	if entry.Outcome == audit.Rejected {
@@ -254,18 +259,18 @@
 }
 
 type outcomeCommand struct {
-	Op string `arg:"" help:"Operation id that an earlier command printed."`
+	Op string `arg:"" help:"Operation ID that an earlier command printed."`
 }
 
-// Run reads the log to its end and looks for the operation.
+// Run replays the config stream and prints the outcome of the operation.
 func (c *outcomeCommand) Run(e *Env) error {
-	f, err := e.follow()
+	f, err := e.replayConfig()
 	if err != nil {
 		return err
 	}
 	entry, ok := f.State().Outcome(c.Op)
 	if !ok {
-		return errors.Mark(errors.Newf("operation %s is not among the newest in the log, which was read to offset %d", c.Op, f.Next()), errUnknown)
+		return errors.Mark(errors.Newf("operation %s is not among the newest operations in the log up to offset %d", c.Op, f.Next()), errUnknown)
 	}
-	return e.verdict(entry)
+	return e.reportOutcome(entry)
 }
--- a/internal/cli/stream.go
+++ b/internal/cli/stream.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	readLimit = 500
-	// settleWait is one long read while waiting for a verdict.
-	settleWait = time.Second
+	maxReadRecords = 500
+	// outcomeReadWait is the duration of a long poll while waiting for an
+	// outcome.
+	outcomeReadWait = time.Second
 )
 
-// errNoSnapshot: the log was trimmed and holds nothing to start from.
-var errNoSnapshot = errors.New("the log holds no snapshot that covers what it trimmed; is the snapshot duty running?")
+// errNoSnapshot is returned if the log was trimmed and has no snapshot that
+// covers the trimmed records.
+var errNoSnapshot = errors.New("the log has no snapshot that covers its trimmed records; check that an instance holds the lease duty/snapshot")
 
-// read is one read of a stream, tried again while the service refuses.
-func (e *Env) read(stream string, from platform.Offset, wait time.Duration) (platform.Batch, error) {
+// readStream reads a batch from a stream, with retries while the log service
+// refuses the read.
+func (e *Env) readStream(stream string, from platform.Offset, wait time.Duration) (platform.Batch, error) {
 	var batch platform.Batch
 	err := e.retry(e.cmd.Timeout, func() (err error) {
-		batch, err = e.Log.Read(e.ctx, stream, from, readLimit, wait)
+		batch, err = e.Log.Read(e.ctx, stream, from, maxReadRecords, wait)
 		return err
 	})
 	return batch, err
 }
 
-// retry calls again while the log service refuses, which has no effect. Any
-// other error ends it. It gives the last error, so that an operator sees
-// what the service said and not that time ran out.
+// retry repeats a call while the log service refuses it, which has no effect. It
+// stops at any other error. It returns the last error of the call, so that an
+// operator sees the answer of the service and not just a timeout.
 func (e *Env) retry(limit time.Duration, call func() error) error {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = 50 * time.Millisecond
@@ -49,9 +52,10 @@
 	return last
 }
 
-// step reads on and says whether the end of the stream was reached.
-func (e *Env) step(f *config.Follower, wait time.Duration) (bool, error) {
-	batch, err := e.read(platform.StreamConfig, platform.Offset(f.Next()), wait)
+// readNext reads the next batch of the config stream into f and reports whether
+// it reached the end of the stream.
+func (e *Env) readNext(f *config.Follower, wait time.Duration) (bool, error) {
+	batch, err := e.readStream(platform.StreamConfig, platform.Offset(f.Next()), wait)
 	if errors.Is(err, platform.ErrTrimmed) {
 		f.SkipTo(int64(batch.Start))
 		return false, nil
@@ -65,12 +69,12 @@
 	return f.Next() >= int64(batch.Next), nil
 }
 
-// follow reads the config stream to its end.
-func (e *Env) follow() (*config.Follower, error) {
+// replayConfig reads the config stream to its end.
+func (e *Env) replayConfig() (*config.Follower, error) {
 	f := config.NewFollower()
 	for end := false; !end; {
 		var err error
-		if end, err = e.step(f, 0); err != nil {
+		if end, err = e.readNext(f, 0); err != nil {
 			return nil, errors.Wrapf(err, "read configuration peer=%s", e.cmd.Log)
 		}
 	}
@@ -80,10 +84,10 @@
 	return f, nil
 }
 
-// append stores one record. Half of the time is kept for settle. A lost
-// answer is no error here: the record may be in the log, and settle finds it,
-// or does not, by its op id.
-func (e *Env) append(record []byte) error {
+// appendRecord appends a record to the config stream. It leaves half of the
+// command's time for waitForOutcome. A lost answer is not an error here: the
+// record may be in the log, and waitForOutcome looks for its operation ID.
+func (e *Env) appendRecord(record []byte) error {
 	half := e.cmd.Timeout / 2
 	ctx, cancel := context.WithTimeout(e.ctx, half)
 	defer cancel()
@@ -97,14 +101,14 @@
 	return errors.Wrapf(err, "append to the log peer=%s", e.cmd.Log)
 }
 
-// settle reads on until the fold has judged the operation.
-func (e *Env) settle(f *config.Follower, op string) (audit.Entry, error) {
+// waitForOutcome reads on until the log has an outcome of the operation.
+func (e *Env) waitForOutcome(f *config.Follower, op string) (audit.Entry, error) {
 	for {
 		if entry, ok := f.State().Outcome(op); ok {
 			return entry, nil
 		}
-		if _, err := e.step(f, settleWait); err != nil || e.ctx.Err() != nil {
-			return audit.Entry{}, errors.Mark(errors.Newf("outcome unknown; ask with: mastictray outcome %s", op), errUnknown)
+		if _, err := e.readNext(f, outcomeReadWait); err != nil || e.ctx.Err() != nil {
+			return audit.Entry{}, errors.Mark(errors.Newf("outcome unknown; check with: mastictray outcome %s", op), errUnknown)
 		}
 	}
 }
--- a/internal/cli/timeline.go
+++ b/internal/cli/timeline.go
@@ -14,13 +14,13 @@
 )
 
 type timelineCommand struct {
-	Window time.Duration `help:"Length of one row." default:"2s"`
+	Window time.Duration `help:"Length of the time window of a row." default:"2s"`
 }
 
-// Run reads the logs of a fleet from standard input.
+// Run summarizes the logs of a fleet from standard input.
 func (c *timelineCommand) Run(e *Env) error {
 	if c.Window <= 0 {
-		return errors.New("window must be over 0")
+		return errors.New("--window must be above 0")
 	}
 	rows, err := timeline.Read(e.Stdin, c.Window)
 	if err != nil {
@@ -31,7 +31,7 @@
 
 type timelineRows []timeline.Row
 
-func (rows timelineRows) text(out io.Writer) {
+func (rows timelineRows) writeText(out io.Writer) {
 	const padding = 2
 	w := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 	fmt.Fprintln(w, "from\tsampled\ttargets\tqueued\texpected\tfirst\tp90\tleft waiting/sent\tfailed\tordered/loaded\tload\tmoved\trefused\tevents")
@@ -44,13 +44,13 @@
 			millis(r.Queued), millis(r.Expected), millis(r.FirstToken), millis(r.FirstTokenP90), r.LeftBeforeSend, r.LeftAfterSend, r.FailedAttempts,
 			r.Orders, r.Loaded, millis(r.LoadTime), r.StreamsMoved, counts(r.Refused), strings.Join(events, " "))
 	}
-	// The writer's errors are those of standard output.
+	// The only errors are those of writing to out.
 	_ = w.Flush()
 }
 
 func millis(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// counts prints reasons in order of their names.
+// counts formats the counts in order of their reasons.
 func counts(n map[string]int) string {
 	var parts []string
 	for reason, count := range n {
