--- a/cmd/mastictray/main.go
+++ b/cmd/mastictray/main.go
@@ -1,4 +1,4 @@
-// Command mastictray is the operators' command line.
+// Command mastictray is the command-line tool for operators.
 package main
 
 import (
