--- a/cmd/mastictray-entry/main.go
+++ b/cmd/mastictray-entry/main.go
@@ -1,4 +1,4 @@
-// Command mastictray-entry is the process on an entry instance.
+// Command mastictray-entry runs an entry instance.
 package main
 
 import (
