--- a/cmd/mastictray-bench/capacity.go
+++ b/cmd/mastictray-bench/capacity.go
@@ -11,11 +11,11 @@
 )
 
 type slopesCmd struct {
-	Out string `help:"File for the raw figures and fits." default:"internal/capacity/slopes.json"`
+	Out string `help:"File for the measurements and fits." default:"internal/capacity/slopes.json"`
 }
 
-// Run measures the slopes and stores them where the capacity page is worked
-// out from.
+// Run measures the slopes and writes them to the file that the capacity page is
+// computed from.
 func (c *slopesCmd) Run() error {
 	data, err := json.MarshalIndent(slopes.Measure(), "", " ")
 	if err != nil {
--- a/cmd/mastictray-bench/main.go
+++ b/cmd/mastictray-bench/main.go
@@ -1,5 +1,5 @@
-// Command mastictray-bench measures the decisions: it compares routing
-// policies on seeded traces and works out the capacity page.
+// Command mastictray-bench compares routing policies on seeded traces, and
+// measures the costs that the capacity page is computed from.
 package main
 
 import (
@@ -17,69 +17,71 @@
 
 type cli struct {
 	Policies policiesCmd `cmd:"" help:"Compare routing policies on seeded traces (simulated time)."`
-	Slopes   slopesCmd   `cmd:"" help:"Measure what each role costs by its size (some seconds of one core)."`
-	Capacity capacityCmd `cmd:"" help:"Print the tables of docs/CAPACITY.md, worked out from the slopes."`
+	Slopes   slopesCmd   `cmd:"" help:"Measure how the cost of each role grows with its size (takes some seconds of one core)."`
+	Capacity capacityCmd `cmd:"" help:"Print the tables of docs/CAPACITY.md, computed from the slopes."`
 }
 
 type policiesCmd struct {
 	Workload string `help:"Only this workload (cantonal, charter)."`
 	Case     string `help:"Only this case."`
 	Policy   string `help:"Only this policy."`
-	Seeds    int    `help:"Number of traces, with seeds from 1 on; their requests are measured together." default:"1"`
+	Seeds    int    `help:"Number of traces, with seeds from 1 on; results cover the requests of all traces." default:"1"`
 	Out      string `help:"Directory for policies.txt, policies.json and the plots." type:"existingdir"`
 
-	Trust    *float64       `help:"Vary the product: HomeTrust."`
-	Unseen   *float64       `help:"Vary the product: UnseenTrust."`
-	Factor   *float64       `help:"Vary the product: RecomputeFactor."`
-	Backlog  *float64       `help:"Vary the product: BacklogFactor."`
-	Grace    *time.Duration `help:"Vary the product: BacklogGrace."`
-	Window   *time.Duration `help:"Vary the product: Window."`
-	NearTie  *time.Duration `help:"Vary the product: NearTie."`
-	Anchor   *int           `help:"Vary the product: AnchorPieces."`
-	Transfer *float64       `help:"Vary the product: TransferTokensPerSecond."`
+	Trust    *float64       `help:"Override the fraction of a prompt's pieces that the first target in rendezvous order is assumed to hold."`
+	Unseen   *float64       `help:"Override that fraction for the time until the targets' cache events have caught up."`
+	Factor   *float64       `help:"Override the weight of a recomputed token relative to a waiting one."`
+	Backlog  *float64       `help:"Override what each second of an account's backlog adds to that weight."`
+	Grace    *time.Duration `help:"Override the backlog that adds nothing to that weight."`
+	Window   *time.Duration `help:"Override the time of work on a target above which its requests are held."`
+	NearTie  *time.Duration `help:"Override the difference in cost within which candidates count as equal."`
+	Anchor   *int           `help:"Override the number of leading pieces that the rendezvous key covers."`
+	Transfer *float64       `help:"Override the transfer rate from the KV store, in tokens per second."`
 }
 
-// tuning is the product's, with what the command line varies.
+// tuning returns the default tuning with the overrides of the command line.
 func (c *policiesCmd) tuning() experiment.Tuning {
 	t := experiment.DefaultTuning()
-	vary(&t.Placement.HomeTrust, c.Trust)
-	vary(&t.Dispatch.RecomputeFactor, c.Factor)
-	vary(&t.Dispatch.BacklogFactor, c.Backlog)
-	vary(&t.Placement.UnseenTrust, c.Unseen)
-	vary(&t.Placement.NearTie, c.NearTie)
-	vary(&t.Placement.AnchorPieces, c.Anchor)
-	vary(&t.Placement.TransferTokensPerSecond, c.Transfer)
-	vary(&t.Dispatch.BacklogGrace, c.Grace)
-	vary(&t.Dispatch.Window, c.Window)
+	override(&t.Placement.HomeTrust, c.Trust)
+	override(&t.Dispatch.RecomputeFactor, c.Factor)
+	override(&t.Dispatch.BacklogFactor, c.Backlog)
+	override(&t.Placement.UnseenTrust, c.Unseen)
+	override(&t.Placement.NearTie, c.NearTie)
+	override(&t.Placement.AnchorPieces, c.Anchor)
+	override(&t.Placement.TransferTokensPerSecond, c.Transfer)
+	override(&t.Dispatch.BacklogGrace, c.Grace)
+	override(&t.Dispatch.Window, c.Window)
 	return t
 }
 
-func vary[T any](field, value *T) {
+// override sets a field if the command line has a value for it.
+func override[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// Run compares the policies and prints the table.
+// Run compares the policies and prints the table of results, or writes all
+// results to the output directory.
 func (c *policiesCmd) Run() error {
 	results := experiment.RunAll(experiment.Selection{Workload: c.Workload, Case: c.Case, Policy: c.Policy, Seeds: c.Seeds, Tuning: c.tuning()})
 	if c.Out == "" {
 		return experiment.WriteTable(os.Stdout, results)
 	}
-	return write(c.Out, results)
+	return writeResults(c.Out, results)
 }
 
-// write stores the table, the figures and the plots.
-func write(dir string, results []experiment.Result) error {
+// writeResults writes the table, the results as JSON and the plots.
+func writeResults(dir string, results []experiment.Result) error {
 	var table bytes.Buffer
 	if err := experiment.WriteTable(&table, results); err != nil {
 		return err
 	}
-	figures, err := json.MarshalIndent(results, "", " ")
+	resultsJSON, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return errors.Wrap(err, "encode results")
 	}
-	for name, data := range map[string][]byte{"policies.txt": table.Bytes(), "policies.json": append(figures, '\n')} {
+	for name, data := range map[string][]byte{"policies.txt": table.Bytes(), "policies.json": append(resultsJSON, '\n')} {
 		if err := os.WriteFile(filepath.Join(dir, name), data, 0o644); err != nil {
 			return errors.Wrapf(err, "write results file=%s", name)
 		}
@@ -89,6 +91,6 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("mastictray-bench"), kong.Description("Measures mastictray's decisions."))
+	k := kong.Parse(&c, kong.Name("mastictray-bench"), kong.Description("Compare routing policies and measure capacity."))
 	k.FatalIfErrorf(k.Run())
 }
