--- a/cmd/mastictray-load/main.go
+++ b/cmd/mastictray-load/main.go
@@ -1,6 +1,6 @@
 // Command mastictray-load sends open-loop traffic through entry instances,
-// checks every answer and prints the measures. Its exit status is 1 when an
-// answer broke a promise or more requests failed than allowed.
+// checks every answer and prints a report. Its exit status is 1 if an answer
+// violates a guarantee or more requests fail than allowed.
 package main
 
 import (
@@ -20,19 +20,19 @@
 )
 
 type cli struct {
-	Profile  string        `required:"" type:"existingfile" help:"INI file with the shape of the traffic and the client accounts."`
-	Entry    []string      `required:"" help:"Base URLs of the entry instances; requests go to them in turn."`
+	Profile  string        `required:"" type:"existingfile" help:"INI file with the traffic profile and the client accounts."`
+	Entry    []string      `required:"" help:"Base URLs of the entry instances; requests are sent to them in turn."`
 	Seed     uint64        `default:"1" help:"Seed of the traffic."`
-	Duration time.Duration `default:"20s" help:"Time in which requests are sent."`
-	Requests int           `default:"100000" help:"The most requests that are sent."`
-	Timeout  time.Duration `default:"60s" help:"The longest that one request may take."`
+	Duration time.Duration `default:"20s" help:"How long requests are sent."`
+	Requests int           `default:"100000" help:"Maximum number of requests."`
+	Timeout  time.Duration `default:"60s" help:"Time limit of a request."`
 	Output   string        `help:"File for the report as JSON."`
 
-	MaxFailures int           `default:"0" help:"Failures that do not fail the run; violations always do."`
-	MinAnswered float64       `default:"0.1" help:"Part of the requests that must be answered."`
-	RateSlack   time.Duration `default:"1s" help:"Time by which admissions may lie apart from arrivals, in the check of the accounts' rates."`
+	MaxFailures int           `default:"0" help:"Maximum number of failed requests in a successful run; violations always fail it."`
+	MinAnswered float64       `default:"0.1" help:"Minimum fraction of answered requests in a successful run."`
+	RateSlack   time.Duration `default:"1s" help:"Time between arrival and admission of a request that the check of the accounts' rates allows for."`
 
-	Bookings          bool     `help:"Send bookings in place of prompts, each twice, and compare with the runs."`
+	Bookings          bool     `help:"Send bookings instead of prompts, each twice, and compare them with the runs of the services."`
 	BookingAccounts   []string `help:"Accounts that send the bookings; default all."`
 	BookingPath       string   `default:"/bookings" help:"Route of the bookings."`
 	BookingCount      int      `default:"100" help:"Number of bookings."`
@@ -40,14 +40,14 @@
 	Service           []string `help:"Base URLs of the services that list the runs."`
 }
 
-// report is what both modes end with.
+// report is the result of a run with prompts or bookings.
 type report interface {
 	WriteTable(w io.Writer) error
 }
 
 func main() {
 	c := new(cli)
-	ctx := kong.Parse(c, kong.Description("Load and check of mastictray."))
+	ctx := kong.Parse(c, kong.Description("Send load through mastictray and check the answers."))
 	ctx.FatalIfErrorf(c.run())
 }
 
@@ -63,27 +63,27 @@
 		entries = append(entries, strings.TrimSuffix(e, "/"))
 	}
 	runner := load.NewRunner(profile, entries)
-	running, finish := context.WithCancel(ctx)
-	defer finish()
-	go runner.Progress(running, os.Stderr)
+	progressCtx, stopProgress := context.WithCancel(ctx)
+	defer stopProgress()
+	go runner.Progress(progressCtx, os.Stderr)
 	if c.Bookings {
-		return c.book(ctx, runner, profile)
+		return c.sendBookings(ctx, runner, profile)
 	}
-	return c.prompts(ctx, runner, profile)
+	return c.sendPrompts(ctx, runner, profile)
 }
 
 func (c *cli) limits() load.Limits {
 	return load.Limits{MaxFailures: c.MaxFailures, MinAnswered: c.MinAnswered, RateSlack: c.RateSlack}
 }
 
-func (c *cli) prompts(ctx context.Context, runner *load.Runner, profile load.Profile) error {
+func (c *cli) sendPrompts(ctx context.Context, runner *load.Runner, profile load.Profile) error {
 	bounds := load.Bounds{Duration: c.Duration, Requests: c.Requests, Timeout: c.Timeout}
 	rep := load.Summarize(profile, c.Seed, runner.Run(ctx, c.Seed, bounds))
 	rep.PassedOver = runner.PassedOver()
-	return errors.CombineErrors(c.print(rep), rep.Verdict(c.limits()))
+	return errors.CombineErrors(c.writeReport(rep), rep.Verdict(c.limits()))
 }
 
-func (c *cli) book(ctx context.Context, runner *load.Runner, profile load.Profile) error {
+func (c *cli) sendBookings(ctx context.Context, runner *load.Runner, profile load.Profile) error {
 	accounts, err := profile.Only(c.BookingAccounts)
 	if err != nil {
 		return err
@@ -100,11 +100,12 @@
 		return err
 	}
 	rep := load.CheckBookings(bookings, runs)
-	return errors.CombineErrors(c.print(rep), rep.Verdict(c.limits()))
+	return errors.CombineErrors(c.writeReport(rep), rep.Verdict(c.limits()))
 }
 
-// print writes the table to standard output and the JSON to its file.
-func (c *cli) print(rep report) error {
+// writeReport writes the report as a table to standard output and, if --output
+// is given, as JSON to that file.
+func (c *cli) writeReport(rep report) error {
 	if err := rep.WriteTable(os.Stdout); err != nil {
 		return errors.Wrap(err, "print report")
 	}
