--- a/cmd/mastictray-standin/main.go
+++ b/cmd/mastictray-standin/main.go
@@ -1,6 +1,6 @@
-// Command mastictray-standin fakes the services that the system meets: model
-// engines, the log service, the instance list, the weight store and a plain
-// service. It is for tests and the demo only.
+// Command mastictray-standin runs stand-ins for the services that the system
+// uses: model engines, the log service, the instance list, the weight store and
+// a plain service. It is only for tests and the demo.
 package main
 
 import (
@@ -36,23 +36,23 @@
 	Model         string  `default:"demo" help:"Model served."`
 	Version       string  `default:"1" help:"Weights version served at the start."`
 	Role          string  `default:"mixed" help:"Role at the start."`
-	PieceBytes    int     `default:"16384" help:"Prompt bytes in a cached piece."`
-	CachePieces   int     `default:"256" help:"Pieces the cache holds."`
-	PrefillTPS    float64 `name:"prefill-tps" default:"40000" help:"Prompt tokens computed a second."`
-	DecodeTPS     float64 `name:"decode-tps" default:"2000" help:"Tokens generated a second, shared by the batch."`
-	ITLMillis     int     `name:"itl-ms" default:"10" help:"Least milliseconds between tokens of a stream."`
-	MaxBatch      int     `default:"64" help:"Streams generated at once."`
-	GraceMillis   int     `name:"grace-ms" default:"2000" help:"How long a stream outlives its last reader."`
-	LoadLagMillis int     `name:"load-lag-ms" default:"200" help:"Age of the reported load."`
-	EventLag      int     `name:"event-lag-ms" default:"200" help:"Lateness of cache events."`
-	EventLoss     float64 `default:"0.05" help:"Part of the cache events that is lost."`
-	LoadMillis    int     `name:"load-ms" default:"800" help:"Time to load weights, after reading them."`
-	Weights       string  `help:"URL of the weight store; empty reads nothing."`
+	PieceBytes    int     `default:"16384" help:"Prompt bytes per cached piece."`
+	CachePieces   int     `default:"256" help:"Capacity of the cache in pieces."`
+	PrefillTPS    float64 `name:"prefill-tps" default:"40000" help:"Prompt tokens computed per second."`
+	DecodeTPS     float64 `name:"decode-tps" default:"2000" help:"Tokens generated per second by the whole batch."`
+	ITLMillis     int     `name:"itl-ms" default:"10" help:"Minimum milliseconds between tokens of a stream."`
+	MaxBatch      int     `default:"64" help:"Maximum number of streams in a batch."`
+	GraceMillis   int     `name:"grace-ms" default:"2000" help:"Milliseconds for which a stream outlives its last reader."`
+	LoadLagMillis int     `name:"load-lag-ms" default:"200" help:"Age of the reported load in milliseconds."`
+	EventLag      int     `name:"event-lag-ms" default:"200" help:"Delay of cache events in milliseconds."`
+	EventLoss     float64 `default:"0.05" help:"Fraction of the cache events that is lost."`
+	LoadMillis    int     `name:"load-ms" default:"800" help:"Milliseconds to load weights after they were read."`
+	Weights       string  `help:"URL of the weight store; if empty, no weights are read."`
 	ChecksFencing bool    `negatable:"" help:"Refuse orders with a stale fencing token."`
-	TimeScale     float64 `default:"1" help:"Speed of the engine's clock."`
-	CrashOn       string  `help:"Exit when a prompt contains this."`
+	TimeScale     float64 `default:"1" help:"Speed of the engine's clock relative to real time."`
+	CrashOn       string  `help:"Exit when a prompt contains this text."`
 	BadVersion    string  `help:"Exit at the first request on this version."`
-	Seed          uint64  `default:"1" help:"Seed of the lost cache events."`
+	Seed          uint64  `default:"1" help:"Seed of the random loss of cache events."`
 }
 
 func (c *engineCmd) Run() error {
@@ -76,10 +76,10 @@
 
 type logCmd struct {
 	listen
-	RetainRecords    int           `default:"0" help:"Records kept in each stream; 0 keeps all."`
-	RetainFor        time.Duration `default:"0" help:"How long a record is kept; 0 for ever."`
-	AppendsPerSecond int           `default:"300" help:"Append calls taken a second; 0 takes all."`
-	ReadsPerSecond   int           `default:"0" help:"Read calls taken a second; 0 takes all."`
+	RetainRecords    int           `default:"0" help:"Records retained per stream; 0 retains all."`
+	RetainFor        time.Duration `default:"0" help:"How long a record is retained; 0 is unlimited."`
+	AppendsPerSecond int           `default:"300" help:"Append calls accepted per second; 0 is unlimited."`
+	ReadsPerSecond   int           `default:"0" help:"Read calls accepted per second; 0 is unlimited."`
 }
 
 func (c *logCmd) Run() error {
@@ -94,8 +94,8 @@
 
 type instancesCmd struct {
 	listen
-	LagMillis int    `name:"lag-ms" default:"1000" help:"Milliseconds until a change shows."`
-	Initial   string `type:"existingfile" help:"JSON file with the first list, as POST /v1/instances takes it."`
+	LagMillis int    `name:"lag-ms" default:"1000" help:"Milliseconds until a change is visible."`
+	Initial   string `type:"existingfile" help:"JSON file with the initial list, in the format of POST /v1/instances."`
 }
 
 func (c *instancesCmd) Run() error {
@@ -103,11 +103,11 @@
 	if c.Initial != "" {
 		raw, err := os.ReadFile(c.Initial)
 		if err != nil {
-			return errors.Wrap(err, "read first list")
+			return errors.Wrap(err, "read initial list")
 		}
 		var list instances.List
 		if err := json.Unmarshal(raw, &list); err != nil {
-			return errors.Wrapf(err, "decode first list file=%s", c.Initial)
+			return errors.Wrapf(err, "decode initial list file=%s", c.Initial)
 		}
 		s.Set(time.Now(), list.Instances)
 	}
@@ -116,10 +116,10 @@
 
 type weightsCmd struct {
 	listen
-	Versions        []string `help:"Versions known; empty knows all."`
+	Versions        []string `help:"Known versions; if empty, all versions are known."`
 	Bytes           int      `default:"8000000" help:"Size of each version."`
-	BytesPerSecond  float64  `default:"10000000" help:"Rate of one read."`
-	FullRateReaders int      `default:"2" help:"Reads at the full rate; more share it."`
+	BytesPerSecond  float64  `default:"10000000" help:"Rate of one read in bytes per second."`
+	FullRateReaders int      `default:"2" help:"Number of concurrent reads at the full rate; more reads share the total rate of these."`
 }
 
 func (c *weightsCmd) Run() error {
@@ -134,7 +134,7 @@
 
 type serviceCmd struct {
 	listen
-	Name string `default:"service" help:"Name put into each answer."`
+	Name string `default:"service" help:"Name of the service in each response."`
 }
 
 func (c *serviceCmd) Run() error {
@@ -144,6 +144,6 @@
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func main() {
-	ctx := kong.Parse(new(cli), kong.Description("Stand-ins of the services around mastictray."))
+	ctx := kong.Parse(new(cli), kong.Description("Stand-ins for the services that mastictray uses."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
