--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -130,15 +130,15 @@
 	seen := map[string]bool{}
 	reason := ""
 	for _, f := range c.Files {
-		present := s.FileRevision(f.Name)
-		d.Subjects = append(d.Subjects, fileSubject(f, present, d.Offset))
+		current := s.FileRevision(f.Name)
+		d.Subjects = append(d.Subjects, fileSubject(f, current, d.Offset))
 		switch {
 		case reason != "":
 		case seen[f.Name]:
 			reason = fmt.Sprintf("%s is named twice", f.Name)
-		case f.Base != present:
+		case f.Base != current:
 			reason = s.conflictReason(d, f)
-		case f.Delete && (present == NoRevision || s.Files[f.Name].Deleted):
+		case f.Delete && (current == NoRevision || s.Files[f.Name].Deleted):
 			reason = fmt.Sprintf("%s: there is no such file to delete", f.Name)
 		}
 		seen[f.Name] = true
@@ -149,16 +149,16 @@
 // conflictReason describes the change that f conflicts with and sets it as the
 // winner.
 func (s *State) conflictReason(d *entryDraft, f FileChange) string {
-	present, ok := s.Files[f.Name]
+	current, ok := s.Files[f.Name]
 	if !ok {
 		return fmt.Sprintf("%s: based on revision %d, but the file never was", f.Name, f.Base)
 	}
-	d.Winner, d.WinnerRevision = present.By, present.Revision
+	d.Winner, d.WinnerRevision = current.By, current.Revision
 	verb := "brought"
-	if present.Deleted {
+	if current.Deleted {
 		verb = "deleted it at"
 	}
-	return fmt.Sprintf("%s: based on revision %d, but %s %s revision %d", f.Name, f.Base, present.By, verb, present.Revision)
+	return fmt.Sprintf("%s: based on revision %d, but %s %s revision %d", f.Name, f.Base, current.By, verb, current.Revision)
 }
 
 func fileSubject(f FileChange, before, after int64) audit.Subject {
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -36,8 +36,8 @@
 // contiguous reports whether state covers all records before runStart.
 func (f *Follower) contiguous() bool { return f.state != nil && f.state.Next >= f.runStart }
 
-// SkipTo continues at start, the oldest retained offset: the records before it
-// are lost. A known state stays in force.
+// SkipTo continues at start, the oldest retained offset, unless the follower is
+// past it already. The skipped records are lost. A known state stays in force.
 func (f *Follower) SkipTo(start int64) {
 	if start <= f.next {
 		return
--- a/internal/config/intent.go
+++ b/internal/config/intent.go
@@ -47,8 +47,8 @@
 type Model struct {
 	Name    string
 	Version string
-	// PieceBytes is the number of prompt bytes in one cached piece; default
-	// 16384.
+	// PieceBytes is the number of prompt bytes in one piece, the unit of prefix
+	// caching; default 16384.
 	PieceBytes int
 	// BytesPerToken is used to estimate the tokens of a prompt until the target
 	// has counted them; default 4.
