--- a/internal/logline/output.go
+++ b/internal/logline/output.go
@@ -55,7 +55,7 @@
 	w       io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
-	// second is the Unix time of the lines that written counts.
+	// second is the Unix time of the second that written counts lines of.
 	second  atomic.Int64
 	written atomic.Int64
 }
