--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -79,7 +79,7 @@
 // readOrders reads the orders to targets from the control stream.
 func (e *Env) readOrders() (auditEntries, error) {
 	var found auditEntries
-	for from, end := platform.Offset(0), false; !end; {
+	for from, atEnd := platform.Offset(0), false; !atEnd; {
 		batch, err := e.readStream(platform.StreamControl, from, 0)
 		switch {
 		case errors.Is(err, platform.ErrTrimmed) && batch.Start > from:
@@ -98,7 +98,7 @@
 				found = append(found, entry)
 			}
 		}
-		end = len(batch.Records) == 0 || from >= batch.Next
+		atEnd = len(batch.Records) == 0 || from >= batch.Next
 	}
 	return found, nil
 }
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -82,11 +82,11 @@
 // makePlan compares the files with the state and validates the result.
 func makePlan(s *config.State, set fileSet, prune bool) plan {
 	p := plan{Revision: s.Revision, Files: []plannedFile{}, Problems: config.Problems{}}
-	present := s.CurrentFiles()
-	after := s.CurrentFiles()
+	current := s.CurrentFiles()
+	desired := s.CurrentFiles()
 	for _, name := range sortedNames(set.contents) {
 		contents := set.contents[name]
-		old, exists := present[name]
+		old, exists := current[name]
 		if exists && bytes.Equal(old, contents) {
 			continue
 		}
@@ -94,10 +94,10 @@
 		if exists {
 			action = "change"
 		}
-		after[name] = contents
+		desired[name] = contents
 		p.add(s, action, config.FileChange{Name: name, Contents: contents}, old)
 	}
-	for _, name := range sortedNames(present) {
+	for _, name := range sortedNames(current) {
 		if _, inSet := set.contents[name]; inSet || !set.inDirs(name) {
 			continue
 		}
@@ -105,10 +105,10 @@
 			p.Files = append(p.Files, plannedFile{Name: name, Action: "keep", Base: s.FileRevision(name)})
 			continue
 		}
-		delete(after, name)
-		p.add(s, "delete", config.FileChange{Name: name, Delete: true}, present[name])
+		delete(desired, name)
+		p.add(s, "delete", config.FileChange{Name: name, Delete: true}, current[name])
 	}
-	_, err := config.Build(after)
+	_, err := config.Build(desired)
 	errors.As(err, &p.Problems)
 	return p
 }
--- a/internal/cli/stream.go
+++ b/internal/cli/stream.go
@@ -69,12 +69,13 @@
 	return f.Next() >= int64(batch.Next), nil
 }
 
-// replayConfig reads the config stream to its end.
+// replayConfig reads the config stream to its end and returns the follower with
+// the state at that point.
 func (e *Env) replayConfig() (*config.Follower, error) {
 	f := config.NewFollower()
-	for end := false; !end; {
+	for atEnd := false; !atEnd; {
 		var err error
-		if end, err = e.readNext(f, 0); err != nil {
+		if atEnd, err = e.readNext(f, 0); err != nil {
 			return nil, errors.Wrapf(err, "read configuration peer=%s", e.cmd.Log)
 		}
 	}
