--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -24,14 +24,14 @@
 // stateBody is the encoding of a State. Its lists are sorted, so that equal
 // states have equal bytes.
 type stateBody struct {
-	Rules           int           `msgpack:"v"`
-	Revision        int64         `msgpack:"r"`
-	Next            int64         `msgpack:"n"`
-	SnapshotThrough int64         `msgpack:"s"`
-	Files           []fileBody    `msgpack:"f"`
-	Created         []keyBody     `msgpack:"c"`
-	Withdrawn       []keyBody     `msgpack:"w"`
-	Audit           []audit.Entry `msgpack:"a"`
+	Rules        int           `msgpack:"v"`
+	Revision     int64         `msgpack:"r"`
+	Next         int64         `msgpack:"n"`
+	SnapshotNext int64         `msgpack:"s"`
+	Files        []fileBody    `msgpack:"f"`
+	Created      []keyBody     `msgpack:"c"`
+	Withdrawn    []keyBody     `msgpack:"w"`
+	Audit        []audit.Entry `msgpack:"a"`
 }
 
 type fileBody struct {
@@ -53,7 +53,7 @@
 func (s *State) Encode() ([]byte, error) {
 	b := stateBody{
 		Rules: RulesVersion, Revision: s.Revision, Next: s.Next,
-		SnapshotThrough: s.SnapshotNext, Audit: s.Audit,
+		SnapshotNext: s.SnapshotNext, Audit: s.Audit,
 	}
 	for name, f := range s.Files {
 		b.Files = append(b.Files, fileBody{name, f.Contents, f.Revision, f.By, f.Deleted})
@@ -85,7 +85,7 @@
 		return nil, errors.Wrapf(ErrMalformedState, "revision %d next %d", b.Revision, b.Next)
 	}
 	s := EmptyState()
-	s.Revision, s.Next, s.SnapshotNext, s.Audit = b.Revision, b.Next, b.SnapshotThrough, b.Audit
+	s.Revision, s.Next, s.SnapshotNext, s.Audit = b.Revision, b.Next, b.SnapshotNext, b.Audit
 	for _, k := range b.Created {
 		s.CreatedKeys[k.SHA256] = Key{ID: k.ID, Account: k.Account, SHA256: k.SHA256}
 	}
