--- a/internal/rollout/audit.go
+++ b/internal/rollout/audit.go
@@ -11,7 +11,7 @@
 // State ignores the record as invalid.
 func AuditEntry(offset int64, e logrec.Envelope) (audit.Entry, bool) {
 	out := audit.Entry{
-		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, What: string(e.Kind),
+		Stream: platform.StreamControl, Offset: offset, AtMillis: e.AtMillis, By: e.Writer, Kind: string(e.Kind),
 	}
 	switch e.Kind {
 	case KindPool:
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Two processes' logs, one after the other, one of them with a collector's
-// prefix on each line.
+// logs are the logs of two processes, one after the other. The lines of one have
+// the prefix of a log collector.
 const logs = `I1006 14:29:18.100000 1 finish.go:58] "answered" request="a" route="chat" queued="10ms" first="110ms" expected="40ms" targets=12
 I1006 14:29:18.200000 1 finish.go:58] "answered" request="b" route="chat" queued="30ms" first="530ms" expected="60ms" targets=10
 I1006 14:29:18.300000 1 finish.go:58] "answered" request="c" route="bookings" queued="0s" first="20ms" expected="0s" targets=0
@@ -31,11 +31,11 @@
 	is.Equal(rows, []Row{
 		{
 			Sampled: 2, Targets: 12, Queued: 30 * time.Millisecond, Expected: 60 * time.Millisecond,
-			First: 500 * time.Millisecond, Worst: 500 * time.Millisecond, Refused: map[string]int{},
+			FirstToken: 500 * time.Millisecond, FirstTokenP90: 500 * time.Millisecond, Refused: map[string]int{},
 		},
 		{
-			From: 2 * time.Second, Refused: map[string]int{"queue_no_target": 1}, LeftWaiting: 1, Left: 1,
-			Loaded: 1, Load: 1500 * time.Millisecond, Versions: []string{"weights=3"},
+			From: 2 * time.Second, Refused: map[string]int{"queue_no_target": 1}, LeftBeforeSend: 1, LeftAfterSend: 1,
+			Loaded: 1, LoadTime: 1500 * time.Millisecond, Versions: []string{"weights=3"},
 		},
 	})
 }
