--- a/internal/configsync/delta.go
+++ b/internal/configsync/delta.go
@@ -14,7 +14,7 @@
 
 // Errors of Apply.
 var (
-	// ErrBaseMismatch: the delta is from a configuration that is not here.
+	// ErrBaseMismatch: the receiver does not have the base of the delta.
 	ErrBaseMismatch = errors.New("configsync: delta is from another configuration")
 	// ErrDigestMismatch: the result differs from the sender's configuration.
 	ErrDigestMismatch = errors.New("configsync: digest does not match")
--- a/internal/configsync/fleet_test.go
+++ b/internal/configsync/fleet_test.go
@@ -122,11 +122,11 @@
 // send transmits a message over both links. It does not arrive if either instance is
 // lost.
 func (f *simFleet) send(from, to *simNode, bytes int, onArrival func()) {
-	out := max(f.now, from.uplinkFreeAt) + time.Duration(float64(bytes)/from.link*float64(time.Second))
-	from.uplinkFreeAt = out
-	in := max(out+linkDelay, to.downlinkFreeAt) + time.Duration(float64(bytes)/to.link*float64(time.Second))
-	to.downlinkFreeAt = in
-	f.after(in-f.now, func() {
+	sentAt := max(f.now, from.uplinkFreeAt) + time.Duration(float64(bytes)/from.link*float64(time.Second))
+	from.uplinkFreeAt = sentAt
+	arrivesAt := max(sentAt+linkDelay, to.downlinkFreeAt) + time.Duration(float64(bytes)/to.link*float64(time.Second))
+	to.downlinkFreeAt = arrivesAt
+	f.after(arrivesAt-f.now, func() {
 		if !to.lost && !from.lost {
 			onArrival()
 		}
@@ -209,17 +209,17 @@
 const callOverheadBytes = 200 // size of a request, and of a response without data
 
 func (f *simFleet) call(x, source *simNode, c wire.ConfigPartRequest) {
-	answered := false
+	finished := false
 	f.send(x, source, callOverheadBytes, func() {
 		part, err := source.sender.Part(f.now, c)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		f.send(source, x, callOverheadBytes+len(part.Data), func() {
-			if answered {
+			if finished {
 				return // the call has timed out
 			}
-			answered, x.fetching = true, false
+			finished, x.fetching = true, false
 			if _, done := x.receiver.HandlePart(f.now, part); done {
 				f.install(x, f.snapshots[part.Target.Version])
 			}
@@ -227,8 +227,8 @@
 		})
 	})
 	f.after(callTimeout, func() {
-		if !answered {
-			answered, x.fetching = true, false
+		if !finished {
+			finished, x.fetching = true, false
 			x.receiver.HandleFailure(f.now)
 			f.fetchPart(x)
 		}
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -32,15 +32,15 @@
 		}
 		f.countBytes = true
 		f.run(3 * time.Second)
-		idle := float64(f.bytes) / float64(n) / 3
-		f.bytes, f.count = 0, 0
+		idle := float64(f.byteCount) / float64(n) / 3
+		f.byteCount, f.messageCount = 0, 0
 		for i := range 5 {
 			f.start(2+i, 2000+int64(i))
 			f.markLeaving(fmt.Sprint("t", i))
 			f.run(time.Second)
 		}
-		busy := float64(f.bytes) / float64(n) / 5
-		messages := float64(f.count) / float64(n) / 5
+		busy := float64(f.byteCount) / float64(n) / 5
+		messages := float64(f.messageCount) / float64(n) / 5
 		spread := f.measureSpread()
 		if spread > time.Second {
 			t.Fatalf("%d instances: a change took %v to reach all", n, spread)
@@ -60,12 +60,12 @@
 // target until all instances know.
 func (f *fleet) measureSpread() time.Duration {
 	f.markLeaving("t9")
-	for !f.nodes[0].v.Draining("t9") {
+	for !f.nodes[0].view.Draining("t9") {
 		f.run(tickInterval)
 	}
 	from := f.now
 	for _, o := range f.nodes {
-		for !o.v.Draining("t9") && f.now-from < time.Minute {
+		for !o.view.Draining("t9") && f.now-from < time.Minute {
 			f.run(tickInterval)
 		}
 	}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -19,7 +19,7 @@
 )
 
 type node struct {
-	v      *View
+	view   *View
 	id     wire.Identity
 	up     bool
 	frozen bool
@@ -42,13 +42,13 @@
 	indexByAddress map[string]int
 	inFlight       []packet
 	// listHistory has the platform's lists of the last ticks, oldest first.
-	listHistory []platform.InstanceList
-	list        platform.InstanceList
-	loss        float64
-	bytes       int64
-	count       int64
-	countBytes  bool
-	starts      int
+	listHistory  []platform.InstanceList
+	list         platform.InstanceList
+	lossRate     float64
+	byteCount    int64
+	messageCount int64
+	countBytes   bool
+	starts       int
 }
 
 func newFleet(n, targets int, seed uint64) *fleet {
@@ -77,7 +77,7 @@
 	n := f.nodes[i]
 	n.id = wire.Identity{Instance: fmt.Sprint("e", i), Incarnation: fmt.Sprint("i", f.starts), Address: fmt.Sprint("10.0.0.", i)}
 	cfg := Config{Self: n.id, StartMillis: startMillis, Seeds: []string{"10.0.0.0", "10.0.0.1"}}
-	n.v, n.up = New(cfg, rand.New(rand.NewPCG(uint64(f.starts), 2))), true
+	n.view, n.up = New(cfg, rand.New(rand.NewPCG(uint64(f.starts), 2))), true
 }
 
 // currentList returns a copy of the platform's current list.
@@ -100,7 +100,7 @@
 		}
 		for i, n := range f.nodes {
 			if n.up && !n.frozen {
-				n.v.Tick(f.now)
+				n.view.Tick(f.now)
 				f.collectReady(i)
 			}
 		}
@@ -109,22 +109,22 @@
 
 func (f *fleet) deliver(p packet) {
 	to, from := f.nodes[f.indexByAddress[p.To]], f.nodes[p.from]
-	if !to.up || to.frozen || to.group != from.group || f.rng.Float64() < f.loss {
+	if !to.up || to.frozen || to.group != from.group || f.rng.Float64() < f.lossRate {
 		return
 	}
-	to.v.Receive(f.now, p.Kind, p.Body)
+	to.view.Receive(f.now, p.Kind, p.Body)
 	f.collectReady(f.indexByAddress[p.To])
 }
 
 func (f *fleet) collectReady(i int) {
 	n := f.nodes[i]
-	out := n.v.Ready()
+	out := n.view.Ready()
 	for _, m := range out.Messages {
 		if f.countBytes {
 			frame, _ := wire.NewFrame(0, m.Kind, m.Body)
 			raw, _ := wire.Append(nil, frame)
-			f.bytes += int64(len(raw))
-			f.count++
+			f.byteCount += int64(len(raw))
+			f.messageCount++
 		}
 		f.inFlight = append(f.inFlight, packet{from: i, Message: m})
 	}
@@ -132,10 +132,10 @@
 		return
 	}
 	if n.listUnavailable {
-		n.v.HandleListError(f.now)
+		n.view.HandleListError(f.now)
 	} else {
 		l := f.listHistory[0]
-		n.v.HandleList(f.now, f.now, l, 100*len(l.Instances))
+		n.view.HandleList(f.now, f.now, l, 100*len(l.Instances))
 	}
 	f.collectReady(i)
 }
@@ -161,7 +161,7 @@
 				want++
 			}
 		}
-		got := n.v.Members()
+		got := n.view.Members()
 		if len(got) != want {
 			return fmt.Errorf("instance %d sees %d members, want %d", i, len(got), want)
 		}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -20,15 +20,15 @@
 		n := rapid.IntRange(2, 40).Draw(rt, "instances")
 		f := newFleet(n, 20, rapid.Uint64().Draw(rt, "seed"))
 		f.run(5 * time.Second)
-		f.loss = 0.1
+		f.lossRate = 0.1
 		for i := 1; i < n; i++ {
 			f.nodes[i].listUnavailable = rapid.IntRange(0, 3).Draw(rt, "list down") > 0
 		}
 		f.markLeaving("t3")
 		f.run(listLag + 3*time.Second)
 		for i, o := range f.nodes {
-			if !o.v.Draining("t3") || o.v.Draining("t4") {
-				rt.Fatalf("instance %d: t3 draining=%v t4 draining=%v", i, o.v.Draining("t3"), o.v.Draining("t4"))
+			if !o.view.Draining("t3") || o.view.Draining("t4") {
+				rt.Fatalf("instance %d: t3 draining=%v t4 draining=%v", i, o.view.Draining("t3"), o.view.Draining("t4"))
 			}
 		}
 	})
@@ -55,11 +55,11 @@
 			case 3:
 				o.group = 1 - o.group
 			case 4:
-				f.loss = 0.2
+				f.lossRate = 0.2
 			}
 			f.run(time.Duration(rapid.IntRange(0, 5000).Draw(rt, "ms")) * time.Millisecond)
 		}
-		f.loss = 0
+		f.lossRate = 0
 		for _, o := range f.nodes {
 			o.frozen, o.group = false, 0
 		}
@@ -81,22 +81,22 @@
 	o.frozen = true
 	f.markLeaving("t1")
 	f.run(5 * time.Second)
-	o.v.Tick(f.now)
-	is.Equal(o.v.Freshness(f.now), Waiting)
-	is.True(!o.v.Draining("t1"))
-	is.Equal(len(o.v.Members()), 3) // peers are not marked silent for the pause
+	o.view.Tick(f.now)
+	is.Equal(o.view.Freshness(f.now), Waiting)
+	is.True(!o.view.Draining("t1"))
+	is.Equal(len(o.view.Members()), 3) // peers are not marked silent for the pause
 	o.frozen = false
 	f.run(10 * tickInterval)
-	is.Equal(o.v.Freshness(f.now), Fresh)
-	is.True(o.v.Draining("t1"))
+	is.Equal(o.view.Freshness(f.now), Fresh)
+	is.True(o.view.Draining("t1"))
 
 	o.frozen = true
 	f.run(5 * time.Second)
 	o.frozen, o.group, o.listUnavailable = false, 1, true
 	f.run(tickInterval)
-	is.Equal(o.v.Freshness(f.now), Waiting)
+	is.Equal(o.view.Freshness(f.now), Waiting)
 	f.run(time.Second)
-	is.Equal(o.v.Freshness(f.now), Stale)
+	is.Equal(o.view.Freshness(f.now), Stale)
 }
 
 // The response to a request made before the pause arrives after it. It has no
@@ -157,16 +157,16 @@
 	is := is.New(t)
 	f := newFleet(3, 1, 1)
 	f.run(20 * time.Second)
-	old := f.nodes[2].v
+	old := f.nodes[2].view
 	f.start(2, 1) // its clock was set back
 	f.run(5 * time.Second)
 	is.NoErr(f.checkAgreement())
 	old.Tick(f.now)
-	for _, m := range f.nodes[0].v.Members() {
+	for _, m := range f.nodes[0].view.Members() {
 		old.Receive(f.now, wire.KindMemberUpdates, wire.MemberUpdates{Members: []wire.MemberRecord{m}})
 	}
 	is.True(old.Replaced())
-	is.True(!f.nodes[2].v.Replaced())
+	is.True(!f.nodes[2].view.Replaced())
 }
 
 // The process is paused with a ping in flight. The pause must not count as the peer's
