--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -108,11 +108,12 @@
 		slices.Equal(s.TargetLimits, o.TargetLimits)
 }
 
-// InstanceEvent is either a prefilled prompt or an aborted request.
+// InstanceEvent is either a prefilled prompt or a request that lost the connection to
+// its target.
 type InstanceEvent struct {
 	Prompt *PrefilledPrompt
-	// CrashFingerprint is the fingerprint of a request whose target broke off the
-	// response; 0 for none.
+	// CrashFingerprint is the fingerprint of a request that lost the connection to its
+	// target, probably by a crash; 0 for none.
 	CrashFingerprint uint64
 }
 
