--- a/internal/hubs/hubs.go
+++ b/internal/hubs/hubs.go
@@ -47,8 +47,8 @@
 	Capacity int
 }
 
-// Compare ranks instances for the work of a hub, the first one being preferred: by
-// descending capacity, then by name.
+// Compare ranks instances for work that only some of them do, such as that of a hub. The
+// first one is preferred: instances are ordered by descending capacity, then by name.
 func Compare(a, b Instance) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(a.Name, b.Name))
 }
