--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -39,7 +39,7 @@
 	a.app.Get("/admin/v1/audit", read, a.audit)
 	a.app.Post("/admin/v1/explain", read, a.explain)
 	a.app.Post("/admin/v1/drain", operate, a.drain)
-	a.http = &http.Server{Handler: a.app, ReadHeaderTimeout: headerReadTimeout, ErrorLog: discardLogger()}
+	a.http = &http.Server{Handler: a.app, ReadHeaderTimeout: headerReadTimeout, ErrorLog: newHTTPErrorLogger()}
 	return a
 }
 
--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -32,7 +32,7 @@
 		IdleTimeout:       s.IdleTimeout,
 		MaxHeaderBytes:    s.MaxHeaderBytes,
 		ConnState:         c.track,
-		ErrorLog:          discardLogger(),
+		ErrorLog:          newHTTPErrorLogger(),
 	}
 	return c
 }
--- a/internal/entry/claimdriver.go
+++ b/internal/entry/claimdriver.go
@@ -26,7 +26,7 @@
 	mu      sync.Mutex
 	machine *claim.Machine
 	waiting map[string]chan claim.Answer
-	wake    wake
+	wake    wakeSignal
 }
 
 func newClaimDriver(ctx context.Context, c clock, node *peer.Node, log platform.Log, peers func() []string) *claimDriver {
@@ -39,14 +39,14 @@
 		log:     log,
 		machine: claim.New(claim.Config{Incarnation: self.Incarnation, Address: self.Address}),
 		waiting: make(map[string]chan claim.Answer),
-		wake:    newWake(),
+		wake:    newWakeSignal(),
 	}
 	node.Handle(wire.KindClaimSnapshot, d.handleSnapshot)
 	return d
 }
 
 // begin asks for the right to run a keyed request and waits for the answer.
-func (d *claimDriver) begin(ctx context.Context, req claim.Request) (claim.Answer, error) {
+func (d *claimDriver) acquire(ctx context.Context, req claim.Request) (claim.Answer, error) {
 	ch := make(chan claim.Answer, 1)
 	d.mu.Lock()
 	if err := d.machine.Begin(d.clock.now(), d.clock.wallMillis(), req); err != nil {
@@ -55,7 +55,7 @@
 	}
 	d.waiting[req.ID] = ch
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 	select {
 	case a := <-ch:
 		return a, nil
@@ -70,12 +70,12 @@
 	delete(d.waiting, id)
 	d.machine.Cancel(d.clock.now(), id)
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 	return claim.Answer{}, cause
 }
 
 // dispatch is the last check before the first byte goes to a target.
-func (d *claimDriver) dispatch(id string) error {
+func (d *claimDriver) beginDispatch(id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.machine.BeginDispatch(d.clock.now(), id)
@@ -86,27 +86,27 @@
 	d.mu.Lock()
 	d.machine.Cancel(d.clock.now(), id)
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 }
 
 // finish records what became of a dispatched request.
-func (d *claimDriver) finish(id string, res claim.Result) {
+func (d *claimDriver) recordResult(id string, res claim.Result) {
 	d.mu.Lock()
 	err := d.machine.Finish(d.clock.now(), id, res)
 	d.mu.Unlock()
 	if err != nil {
 		logline.Error(err, "claim_result_lost", "request", id)
 	}
-	d.wake.kick()
+	d.wake.notify()
 }
 
 // holderGone tells that a process has ended for good: those who wait for its
 // results are answered at once.
-func (d *claimDriver) holderGone(incarnation string) {
+func (d *claimDriver) processEnded(incarnation string) {
 	d.mu.Lock()
 	d.machine.ProcessEnded(d.clock.now(), incarnation)
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 }
 
 // run hands out the machine's due work until ctx ends.
@@ -153,7 +153,7 @@
 	d.mu.Lock()
 	d.machine.AppendDone(d.clock.now(), a.ID, err)
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 }
 
 func (d *claimDriver) next() platform.Offset {
@@ -166,7 +166,7 @@
 	d.mu.Lock()
 	err := d.machine.ApplyRecords(d.clock.now(), d.clock.wallMillis(), b)
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 	return err
 }
 
@@ -175,7 +175,7 @@
 	d.machine.Trimmed(d.clock.now(), d.clock.wallMillis(), start)
 	d.mu.Unlock()
 	logline.Info("claims_trimmed", "start", start)
-	d.wake.kick()
+	d.wake.notify()
 	go d.bootstrap()
 }
 
@@ -209,7 +209,7 @@
 		d.mu.Unlock()
 		if took {
 			logline.Info("claims_from_peer", "peer", addr, "next", pages[0].Next)
-			d.wake.kick()
+			d.wake.notify()
 			return
 		}
 	}
--- a/internal/entry/configdriver.go
+++ b/internal/entry/configdriver.go
@@ -41,7 +41,7 @@
 	state   atomic.Pointer[config.State]
 	ready   chan struct{}
 	changed []func(*config.State)
-	thaw    *thawGuard
+	guard   *pauseGuard
 }
 
 func newConfigDriver(ctx context.Context, c clock, node *peer.Node, log platform.Log, domain string, peers func() []string) *configDriver {
@@ -55,7 +55,7 @@
 		contacts: keys.NewContactTracker(domain),
 		ready:    make(chan struct{}),
 	}
-	d.thaw = newThawGuard(c.now, d.refresh)
+	d.guard = newPauseGuard(c.now, d.refresh)
 	node.Handle(wire.KindConfigRequest, d.handleAsk)
 	return d
 }
@@ -113,7 +113,7 @@
 		go d.ask(d.ctx, addr)
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(d.ctx, thawWait)
+		ctx, cancel := context.WithTimeout(d.ctx, pauseRefreshTimeout)
 		defer cancel()
 		asked := d.clock.now()
 		d.mu.Lock()
@@ -141,7 +141,7 @@
 	d.logStart = int64(b.Start)
 	_, err := d.follower.Apply(b.Records)
 	d.publish()
-	d.thaw.confirmed(asked)
+	d.guard.handleAnswer(asked)
 	return err
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	d.adopt(from, ans, asked)
-	d.thaw.confirmed(asked)
+	d.guard.handleAnswer(asked)
 }
 
 // adopt takes a peer's answer to a question of the time asked. What the peer
--- a/internal/entry/discard.go
+++ b/internal/entry/discard.go
@@ -9,11 +9,11 @@
 
 // discardLogger turns net/http's own messages into event lines, without the
 // request they speak of.
-func discardLogger() *log.Logger { return log.New(httpLog{}, "", 0) }
+func newHTTPErrorLogger() *log.Logger { return log.New(httpErrorWriter{}, "", 0) }
 
-type httpLog struct{}
+type httpErrorWriter struct{}
 
-func (httpLog) Write(p []byte) (int, error) {
+func (httpErrorWriter) Write(p []byte) (int, error) {
 	logline.Info("http_server", "message", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -45,7 +45,7 @@
 	s.seen = -1
 	for ctx.Err() == nil {
 		sleep(ctx, dutyEvery)
-		if _, held := s.rates.valid(dutySnapshot); held {
+		if _, held := s.rates.dutyToken(dutySnapshot); held {
 			s.snapshot(ctx)
 			s.checkpoint(ctx)
 		}
--- a/internal/entry/engineleg.go
+++ b/internal/entry/engineleg.go
@@ -58,7 +58,7 @@
 // sendFailed tells the state machine that no answer came.
 func (r *engineRun) sendFailed(err error) attempt.Action {
 	logline.Error(err, "attempt_failed", "request", r.e.id, "attempt", r.id, "target", r.at.target)
-	r.s.metrics.attempt(r.e.pool.Name, "unreachable")
+	r.s.metrics.countAttempt(r.e.pool.Name, "unreachable")
 	r.lost(r.brokenResult())
 	if r.e.r.Context().Err() != nil {
 		return r.stream.Abort()
@@ -92,7 +92,7 @@
 
 // rejected takes an answer other than 200.
 func (r *engineRun) rejected(resp *http.Response) attempt.Action {
-	r.s.metrics.attempt(r.e.pool.Name, "refused")
+	r.s.metrics.countAttempt(r.e.pool.Name, "refused")
 	r.sent = false
 	r.refused = targetRefusal(resp)
 	var refused *openai.Error
@@ -151,7 +151,7 @@
 		cause = attempt.CauseMalformed
 	}
 	logline.Error(err, "stream_broke", "request", r.e.id, "attempt", r.id, "target", r.at.target, "cause", cause)
-	r.s.metrics.attempt(r.e.pool.Name, "broken")
+	r.s.metrics.countAttempt(r.e.pool.Name, "broken")
 	return r.stream.ConnectionFailed(r.leg, cause)
 }
 
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -214,8 +214,8 @@
 }
 
 func (r *engineRun) finished() error {
-	r.s.metrics.attempt(r.e.pool.Name, "answered")
-	r.s.metrics.answered(r.e.account.Name, r.e.pool.Name)
+	r.s.metrics.countAttempt(r.e.pool.Name, "answered")
+	r.s.metrics.countAnswer(r.e.account.Name, r.e.pool.Name)
 	r.prefilled()
 	if r.e.usage.PromptTokens > 0 {
 		r.pool.counted(r.at, r.e.usage.PromptTokensDetails.CachedTokens)
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -49,7 +49,7 @@
 	err := s.runEngine(e)
 	used = e.used(err)
 	if err == nil {
-		s.metrics.usage(c.account.Name, pool.Name, e.usage)
+		s.metrics.addUsage(c.account.Name, pool.Name, e.usage)
 		logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", route.Name,
 			"attempts", c.attempts, "prompt_tokens", e.usage.PromptTokens,
 			"cached_tokens", e.usage.PromptTokensDetails.CachedTokens, "completion_tokens", e.usage.CompletionTokens,
@@ -134,7 +134,7 @@
 	if err := s.authorize(e.call); err != nil {
 		return err
 	}
-	if e.attempts == 0 && !s.rates.confirm(e.reserved) {
+	if e.attempts == 0 && !s.rates.reservationValid(e.reserved) {
 		s.rates.settle(&e.reserved, 0)
 		return s.admit(e.call, e.cost, &e.reserved)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -77,13 +77,13 @@
 		list = platform.NewHTTPInstances(s.InstancesURL, e.platform)
 	}
 	e.members = newMembers(e.clock, e.node, list, s.Peers)
-	e.rates = newRateDriver(e.clock, e.node, e.log, fleet{domains: s.FleetDomains, slotsPerDomain: s.MintSlots})
+	e.rates = newRateDriver(e.clock, e.node, e.log, fleetLayout{domains: s.FleetDomains, slotsPerDomain: s.MintSlots})
 	e.members.rates = e.rates
-	e.config = newConfigDriver(e.ctx, e.clock, e.node, e.log, s.Domain, e.members.addresses)
-	e.claims = newClaimDriver(e.ctx, e.clock, e.node, e.log, e.members.addresses)
+	e.config = newConfigDriver(e.ctx, e.clock, e.node, e.log, s.Domain, e.members.peerAddresses)
+	e.claims = newClaimDriver(e.ctx, e.clock, e.node, e.log, e.members.peerAddresses)
 	e.rollouts = newRolloutDriver(e.clock, rollout.DefaultSettings, e.log, e.node.Self().Incarnation)
 	e.rollouts.intent = e.config.intent
-	e.rollouts.duty = func() (platform.Offset, bool) { return e.rates.valid(dutyRollout) }
+	e.rollouts.duty = func() (platform.Offset, bool) { return e.rates.dutyToken(dutyRollout) }
 	e.rates.folded = append(e.rates.folded, func(offset platform.Offset, env logrec.Envelope) {
 		duty, _ := e.rates.holder.Table().State(dutyRollout)
 		e.rollouts.fold(offset, env, duty.Token)
@@ -91,12 +91,12 @@
 	e.pools = newPools(e.ctx, e.clock, s.Domain)
 	e.config.onChange(func(st *config.State) {
 		e.rates.setAccounts(st)
-		e.pools.configure(st, e.members.count())
+		e.pools.configure(st, e.members.liveInstanceCount())
 	})
-	e.members.changed = e.pools.setDraining
+	e.members.updateDraining = e.pools.setDraining
 	e.poison = newPoisonDriver(e.clock, e.node)
-	e.members.poison, e.members.claims, e.members.replaced = e.poison, e.claims, e.Drain
-	e.pools.poller.observed = e.members.observed
+	e.members.poison, e.members.claims, e.members.onReplaced = e.poison, e.claims, e.Drain
+	e.pools.poller.observed = e.members.observeIncarnation
 	e.server = &server{
 		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
 		targets: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
@@ -118,7 +118,7 @@
 	e.start(func() { tail(e.ctx, e.log, platform.StreamControl, e.rates) })
 	e.start(func() { tail(e.ctx, e.log, platform.StreamClaims, e.claims) })
 	e.start(func() { e.config.askPeers(e.ctx) })
-	e.start(func() { e.config.thaw.run(e.ctx) })
+	e.start(func() { e.config.guard.run(e.ctx) })
 	e.start(func() { e.rates.run(e.ctx) })
 	e.start(func() { e.rates.runSplit(e.ctx) })
 	e.start(func() { e.claims.run(e.ctx) })
@@ -178,7 +178,7 @@
 func (e *Entry) shutdown() {
 	logline.Info("drain_started", "balancer_lag", e.settings.BalancerLag)
 	e.admin.ready.Store(false)
-	e.members.leave()
+	e.members.announceLeave()
 	time.Sleep(e.settings.BalancerLag)
 	e.drainCallers()
 	leaveCtx, cancel := context.WithTimeout(context.Background(), appendTimeout)
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -75,7 +75,7 @@
 
 // valid reports whether this instance may act on a duty now, and with which
 // fencing token.
-func (d *rateDriver) valid(r lease.Resource) (platform.Offset, bool) {
+func (d *rateDriver) dutyToken(r lease.Resource) (platform.Offset, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.holder.Valid(d.clock.now(), r) {
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -29,15 +29,15 @@
 type members struct {
 	clock  clock
 	node   *peer.Node
-	list   platform.InstanceLister
+	lister platform.InstanceLister
 	rates  *rateDriver
 	poison *poisonDriver
 	claims *claimDriver
 	seeds  []string
 	// changed is told which targets are leaving, at every beat.
-	changed func(leaving func(target string) bool)
+	updateDraining func(leaving func(target string) bool)
 	// replaced is called when a later process has this instance's name.
-	replaced func()
+	onReplaced func()
 
 	mu   sync.Mutex
 	view *membership.View
@@ -48,7 +48,7 @@
 
 func newMembers(c clock, node *peer.Node, list platform.InstanceLister, seeds []string) *members {
 	m := &members{
-		clock: c, node: node, list: list,
+		clock: c, node: node, lister: list,
 		seeds:        slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == node.Self().Address }),
 		incarnations: make(map[string]string), heard: make(map[string]time.Duration),
 	}
@@ -62,9 +62,9 @@
 }
 
 // addresses are the peers to talk to: those that are heard, and the seeds.
-func (m *members) addresses() []string {
+func (m *members) peerAddresses() []string {
 	list := slices.Clone(m.seeds)
-	for _, p := range m.known() {
+	for _, p := range m.livePeers() {
 		if !slices.Contains(list, p.Address) {
 			list = append(list, p.Address)
 		}
@@ -74,10 +74,10 @@
 }
 
 // count is the number of live entry instances, this one included.
-func (m *members) count() int { return len(m.known()) + 1 }
+func (m *members) liveInstanceCount() int { return len(m.livePeers()) + 1 }
 
 // known are the other instances that are heard and not leaving.
-func (m *members) known() []wire.Identity {
+func (m *members) livePeers() []wire.Identity {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []wire.Identity
@@ -101,7 +101,7 @@
 		m.work(ctx)
 		if replaced {
 			logline.Info("instance_replaced", "instance", m.node.Self().Instance)
-			m.replaced()
+			m.onReplaced()
 		}
 		if now >= nextBeat {
 			nextBeat = now + heartbeatEvery
@@ -119,7 +119,7 @@
 	for _, msg := range ready.Messages {
 		go m.send(ctx, msg)
 	}
-	if ready.ReadList && m.list != nil {
+	if ready.ReadList && m.lister != nil {
 		go m.readList(ctx)
 	}
 	for _, c := range ready.Changes {
@@ -147,7 +147,7 @@
 	m.incarnations[id.Instance] = id.Incarnation
 	m.mu.Unlock()
 	if before != "" && before != id.Incarnation {
-		m.claims.holderGone(before)
+		m.claims.processEnded(before)
 	}
 }
 
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	asked := m.clock.now()
-	list, err := m.list.Instances(ctx)
+	list, err := m.lister.Instances(ctx)
 	m.mu.Lock()
 	if err != nil {
 		m.view.HandleListError(m.clock.now())
@@ -190,14 +190,14 @@
 }
 
 // observed takes the incarnation that a target named in an answer.
-func (m *members) observed(target, incarnation string) {
+func (m *members) observeIncarnation(target, incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
 // leave tells the peers that this instance drains.
-func (m *members) leave() {
+func (m *members) announceLeave() {
 	m.mu.Lock()
 	m.view.Leave(m.clock.now())
 	m.mu.Unlock()
@@ -206,14 +206,14 @@
 // beatAll exchanges balances with the live peers and tells all drivers who is
 // live and leaving.
 func (m *members) beatAll(ctx context.Context) {
-	known := m.known()
+	known := m.livePeers()
 	m.rates.setPeers(known)
 	m.poison.setPeers(known)
 	m.forget(known)
 	for _, p := range known {
 		go m.beat(ctx, p.Address)
 	}
-	m.changed(func(name string) bool {
+	m.updateDraining(func(name string) bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return m.view.Draining(name)
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -25,19 +25,19 @@
 )
 
 // fleet is what all instances must agree on for the rates to add up.
-type fleet struct {
+type fleetLayout struct {
 	domains        []string
 	slotsPerDomain int
 }
 
-func (f fleet) slots() int { return len(f.domains) * f.slotsPerDomain }
+func (f fleetLayout) slots() int { return len(f.domains) * f.slotsPerDomain }
 
 // rateDriver runs the lease protocol and the rate limiter of this instance.
 type rateDriver struct {
 	clock clock
 	node  *peer.Node
 	log   platform.Log
-	fleet fleet
+	fleet fleetLayout
 
 	mu      sync.Mutex
 	holder  *lease.Holder
@@ -48,14 +48,14 @@
 	heard   map[string]float64 // by address: the share a peer says it mints
 	heardAt map[string]time.Duration
 	folded  []func(platform.Offset, logrec.Envelope)
-	wake    wake
+	wake    wakeSignal
 	// splitSeen is the version of the split that is in force here.
 	splitSeen int
 	// logStart is the oldest offset that the log had kept at the last read.
 	logStart platform.Offset
 }
 
-func newRateDriver(c clock, node *peer.Node, log platform.Log, f fleet) *rateDriver {
+func newRateDriver(c clock, node *peer.Node, log platform.Log, f fleetLayout) *rateDriver {
 	self := node.Self()
 	member := lease.Member{ID: self.Incarnation, Domain: self.Domain, Address: self.Address}
 	wanted := []lease.Resource{dutyRollout, dutySnapshot}
@@ -73,7 +73,7 @@
 		known:   make(map[string]bool),
 		heard:   make(map[string]float64),
 		heardAt: make(map[string]time.Duration),
-		wake:    newWake(),
+		wake:    newWakeSignal(),
 	}
 	node.Handle(wire.KindRateRequest, d.handleAsk)
 	node.Handle(wire.KindRateReturn, d.handleReturn)
@@ -118,7 +118,7 @@
 	ch := make(chan rate.Outcome, 1)
 	d.waiting[o.Ticket] = ch
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 	select {
 	case o = <-ch:
 		return o
@@ -144,7 +144,7 @@
 }
 
 // confirm reports, right before dispatch, whether the debit still stands.
-func (d *rateDriver) confirm(r rate.Reservation) bool {
+func (d *rateDriver) reservationValid(r rate.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Confirm(d.clock.now(), r)
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -47,7 +47,7 @@
 	rich := wire.Identity{Instance: "c", Incarnation: "c-1", Domain: "d", Address: "127.0.0.1:3"}
 	node := peer.NewNode(peer.Options{Self: self})
 	defer node.Close()
-	d := newRateDriver(newClock(), node, nil, fleet{domains: []string{"d"}, slotsPerDomain: 1})
+	d := newRateDriver(newClock(), node, nil, fleetLayout{domains: []string{"d"}, slotsPerDomain: 1})
 	d.limiter.SetAccount(d.clock.now(), "acc", 1000, 1000)
 	d.setPeers([]wire.Identity{poor, rich})
 
@@ -73,7 +73,7 @@
 	goes := wire.Identity{Instance: "c", Domain: "d", Address: "127.0.0.1:3"}
 	node := peer.NewNode(peer.Options{Self: wire.Identity{Instance: "a", Domain: "d", Address: "127.0.0.1:1"}})
 	defer node.Close()
-	d := newRateDriver(newClock(), node, nil, fleet{domains: []string{"d"}, slotsPerDomain: 1})
+	d := newRateDriver(newClock(), node, nil, fleetLayout{domains: []string{"d"}, slotsPerDomain: 1})
 	d.setPeers([]wire.Identity{stays, goes})
 	for _, from := range []wire.Identity{stays, goes} {
 		d.takeHints(wire.Heartbeat{From: from, RateShare: 0.5})
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -65,7 +65,7 @@
 		d.limiter.HandleGrant(d.clock.now(), a.Peer, a.ID, grant)
 	}
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 }
 
 func (d *rateDriver) giveBack(ctx context.Context, r rate.Return) {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -27,7 +27,7 @@
 	h := r.e.w.Header()
 	h.Set("Content-Type", contentType)
 	h.Set("Cache-Control", "no-cache")
-	r.s.metrics.firstToken(r.e.pool.Name, r.s.clock.now()-r.e.began)
+	r.s.metrics.observeFirstToken(r.e.pool.Name, r.s.clock.now()-r.e.began)
 }
 
 func (r *engineRun) send(ev sse.Event) {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -97,7 +97,7 @@
 
 // authorize checks the call's key against the configuration in force now.
 func (s *server) authorize(c *call) error {
-	s.config.thaw.wait(c.r.Context())
+	s.config.guard.waitUntilFresh(c.r.Context())
 	account, keyID, err := s.config.authorize(c.key)
 	c.account, c.keyID = account, keyID
 	if err == nil {
@@ -224,7 +224,7 @@
 	if !c.wrote {
 		answer.Write(c.w)
 	}
-	s.metrics.refused(c.account.Name, answer.Code)
+	s.metrics.countRefusal(c.account.Name, answer.Code)
 	logline.Info("request_refused", "request", c.id, "account", c.account.Name, "key", c.keyID,
 		"route", c.route.Name, "code", answer.Code, "outcome", answer.Outcome, "attempts", c.attempts)
 }
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -78,10 +78,10 @@
 		res := serviceResult(c, ans, err)
 		sp.release(pl, res, res == overload.Failed && unreachable(err))
 		if err == nil {
-			s.metrics.attempt(pool.Name, "answered")
+			s.metrics.countAttempt(pool.Name, "answered")
 			return ans, nil
 		}
-		s.metrics.attempt(pool.Name, "failed")
+		s.metrics.countAttempt(pool.Name, "failed")
 		if !s.mayRepeat(c, err) {
 			return serviceAnswer{}, err
 		}
@@ -180,14 +180,14 @@
 	}
 	c.w.WriteHeader(ans.status)
 	_, _ = c.w.Write(ans.body)
-	s.metrics.answered(c.account.Name, pool.Name)
+	s.metrics.countAnswer(c.account.Name, pool.Name)
 	logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", c.route.Name,
 		"attempts", c.attempts, "status", ans.status, "ms", (s.clock.now() - c.began).Milliseconds())
 }
 
 // runClaimed runs a request at most once over all instances.
 func (s *server) runClaimed(c *call, pool config.Pool, key string) error {
-	answer, err := s.claims.begin(c.r.Context(), claim.Request{
+	answer, err := s.claims.acquire(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
 		RequestHash: claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
 		Deadline:    c.due, RunWhenLogDown: c.route.RunWhenLogDown,
@@ -198,9 +198,9 @@
 	if answer.State != claim.Run {
 		return s.answerRepeat(c, pool, answer)
 	}
-	ans, err := s.sendService(c, pool, func() error { return s.claims.dispatch(c.id) })
+	ans, err := s.sendService(c, pool, func() error { return s.claims.beginDispatch(c.id) })
 	if err == nil {
-		s.claims.finish(c.id, claim.Result{Status: ans.status, ContentType: ans.header.Get("Content-Type"), Body: ans.body})
+		s.claims.recordResult(c.id, claim.Result{Status: ans.status, ContentType: ans.header.Get("Content-Type"), Body: ans.body})
 		s.answerService(c, pool, ans)
 		return nil
 	}
@@ -211,7 +211,7 @@
 func (s *server) claimedFailure(c *call, err error) error {
 	var failed *openai.Error
 	if errors.As(err, &failed) && failed.Outcome != openai.NotRun {
-		s.claims.finish(c.id, claim.Result{Unknown: true})
+		s.claims.recordResult(c.id, claim.Result{Unknown: true})
 		return err
 	}
 	s.claims.cancel(c.id)
--- a/internal/entry/splitdriver.go
+++ b/internal/entry/splitdriver.go
@@ -36,7 +36,7 @@
 func (d *rateDriver) runSplit(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, splitEvery)
-		if _, held := d.valid(dutySnapshot); !held {
+		if _, held := d.dutyToken(dutySnapshot); !held {
 			continue
 		}
 		if s := d.planSplit(); len(s.Accounts) > 0 {
--- a/internal/entry/thaw_test.go
+++ b/internal/entry/thaw_test.go
@@ -16,21 +16,21 @@
 	is := is.New(t)
 	now := time.Duration(0)
 	asked := 0
-	g := newThawGuard(func() time.Duration { return now }, func() { asked++ })
+	g := newPauseGuard(func() time.Duration { return now }, func() { asked++ })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // wait returns at once; what it left behind is looked at
 
-	g.wait(ctx)
-	is.True(g.news == nil) // no pause, no wait
+	g.waitUntilFresh(ctx)
+	is.True(g.refreshed == nil) // no pause, no wait
 
 	now = 5 * time.Second
-	g.wait(ctx)
-	is.True(g.news != nil)
+	g.waitUntilFresh(ctx)
+	is.True(g.refreshed != nil)
 	is.Equal(asked, 1)
 
-	g.confirmed(4 * time.Second)
-	is.True(g.news != nil) // the question is older than the pause
+	g.handleAnswer(4 * time.Second)
+	is.True(g.refreshed != nil) // the question is older than the pause
 
-	g.confirmed(5 * time.Second)
-	is.True(g.news == nil)
+	g.handleAnswer(5 * time.Second)
+	is.True(g.refreshed == nil)
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -81,7 +81,7 @@
 	v := stateView{
 		Instance: e.settings.InstanceID, Incarnation: e.node.Self().Incarnation, Domain: e.settings.Domain,
 		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.share(),
-		Peers: e.members.peerViews(), Leases: e.rates.view(), Targets: e.pools.view(), Claims: e.claims.view(), Poison: e.poison.view(),
+		Peers: e.members.peerViews(), Leases: e.rates.leaseViews(), Targets: e.pools.targetViews(), Claims: e.claims.view(), Poison: e.poison.view(),
 	}
 	intent := e.config.intent()
 	if intent == nil {
@@ -121,7 +121,7 @@
 	return list
 }
 
-func (d *rateDriver) view() []leaseView {
+func (d *rateDriver) leaseViews() []leaseView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []leaseView
@@ -135,21 +135,21 @@
 	return list
 }
 
-func (p *pools) view() []targetView {
+func (p *pools) targetViews() []targetView {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	var list []targetView
 	for _, pool := range p.engines {
-		list = append(list, pool.view()...)
+		list = append(list, pool.targetViews()...)
 	}
 	for _, pool := range p.services {
-		list = append(list, pool.view()...)
+		list = append(list, pool.targetViews()...)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
 }
 
-func (p *enginePool) view() []targetView {
+func (p *enginePool) targetViews() []targetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []targetView
@@ -163,7 +163,7 @@
 	return list
 }
 
-func (p *servicePool) view() []targetView {
+func (p *servicePool) targetViews() []targetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []targetView
--- a/internal/entry/wake.go
+++ b/internal/entry/wake.go
@@ -2,11 +2,11 @@
 
 // wake ends the sleep of a loop early. Several calls before the loop looks
 // count as one.
-type wake chan struct{}
+type wakeSignal chan struct{}
 
-func newWake() wake { return make(wake, 1) }
+func newWakeSignal() wakeSignal { return make(wakeSignal, 1) }
 
-func (w wake) kick() {
+func (w wakeSignal) notify() {
 	select {
 	case w <- struct{}{}:
 	default:
