--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -32,13 +32,13 @@
 	a.ready.Store(true)
 	a.app.Logger().SetOutput(io.Discard)
 	a.app.Get("/livez", func(ctx iris.Context) { _, _ = ctx.WriteString("ok\n") })
-	a.app.Get("/readyz", a.readyz)
-	a.app.Get("/metrics", a.metrics)
-	read, operate := a.require(roleRead), a.require(roleOperate)
-	a.app.Get("/admin/v1/state", read, a.state)
-	a.app.Get("/admin/v1/audit", read, a.audit)
-	a.app.Post("/admin/v1/explain", read, a.explain)
-	a.app.Post("/admin/v1/drain", operate, a.drain)
+	a.app.Get("/readyz", a.handleReady)
+	a.app.Get("/metrics", a.handleMetrics)
+	read, operate := a.requireRole(roleRead), a.requireRole(roleOperate)
+	a.app.Get("/admin/v1/state", read, a.handleState)
+	a.app.Get("/admin/v1/audit", read, a.handleAudit)
+	a.app.Post("/admin/v1/explain", read, a.handleExplain)
+	a.app.Post("/admin/v1/drain", operate, a.handleDrain)
 	a.http = &http.Server{Handler: a.app, ReadHeaderTimeout: headerReadTimeout, ErrorLog: newHTTPErrorLogger()}
 	return a
 }
@@ -58,17 +58,17 @@
 }
 
 // require lets a call through whose token has the role.
-func (a *adminServer) require(need adminRole) iris.Handler {
+func (a *adminServer) requireRole(required adminRole) iris.Handler {
 	return func(ctx iris.Context) {
-		if !a.tokens.allows(bearer(ctx.Request()), need) {
-			ctx.StopWithText(http.StatusForbidden, "the token does not have the role %s\n", need)
+		if !a.tokens.allows(bearer(ctx.Request()), required) {
+			ctx.StopWithText(http.StatusForbidden, "the token does not have the role %s\n", required)
 			return
 		}
 		ctx.Next()
 	}
 }
 
-func (a *adminServer) readyz(ctx iris.Context) {
+func (a *adminServer) handleReady(ctx iris.Context) {
 	switch {
 	case !a.ready.Load():
 		ctx.StopWithText(http.StatusServiceUnavailable, "draining\n")
@@ -79,45 +79,45 @@
 	}
 }
 
-func (a *adminServer) metrics(ctx iris.Context) {
+func (a *adminServer) handleMetrics(ctx iris.Context) {
 	a.entry.metrics.set.WritePrometheus(ctx.ResponseWriter())
 	metrics.WriteProcessMetrics(ctx.ResponseWriter())
 }
 
-func (a *adminServer) state(ctx iris.Context) { _ = ctx.JSON(a.entry.view(a.ready.Load())) }
+func (a *adminServer) handleState(ctx iris.Context) { _ = ctx.JSON(a.entry.view(a.ready.Load())) }
 
-func (a *adminServer) audit(ctx iris.Context) {
-	state, _ := a.entry.config.view()
+func (a *adminServer) handleAudit(ctx iris.Context) {
+	state, _ := a.entry.config.stateAndLogStart()
 	if state == nil {
 		ctx.StopWithText(http.StatusServiceUnavailable, "no configuration yet\n")
 		return
 	}
-	entries := append(a.entry.rollouts.orders(), state.Audit...)
+	entries := append(a.entry.rollouts.auditTrail(), state.Audit...)
 	sort.SliceStable(entries, func(i, j int) bool { return entries[i].AtMillis < entries[j].AtMillis })
 	_ = ctx.JSON(entries)
 }
 
 // drain begins a graceful shutdown, as SIGTERM does.
-func (a *adminServer) drain(ctx iris.Context) {
+func (a *adminServer) handleDrain(ctx iris.Context) {
 	a.entry.Drain()
 	ctx.StatusCode(http.StatusAccepted)
 }
 
 // explainBody is a request whose placement is asked for.
-type explainBody struct {
+type explainRequest struct {
 	Path    string          `json:"path"`
 	Account string          `json:"account"`
 	Body    json.RawMessage `json:"body"`
 }
 
 // explain decides on a request without sending it.
-func (a *adminServer) explain(ctx iris.Context) {
-	var ask explainBody
-	if err := ctx.ReadJSON(&ask); err != nil {
+func (a *adminServer) handleExplain(ctx iris.Context) {
+	var query explainRequest
+	if err := ctx.ReadJSON(&query); err != nil {
 		ctx.StopWithText(http.StatusBadRequest, "expected path, account and body as JSON\n")
 		return
 	}
-	req, err := parseBody(ask.Path, ask.Body)
+	req, err := parseBody(query.Path, query.Body)
 	if err != nil {
 		ctx.StopWithText(http.StatusBadRequest, "%s\n", err.Error())
 		return
@@ -127,19 +127,19 @@
 		ctx.StopWithText(http.StatusServiceUnavailable, "no configuration yet\n")
 		return
 	}
-	_, pool, ok := modelRoute(intent, routesOf(intent, ask.Path), req.Model)
+	_, pool, ok := modelRoute(intent, routesOf(intent, query.Path), req.Model)
 	if !ok {
 		ctx.StopWithText(http.StatusNotFound, "no route serves this path and model\n")
 		return
 	}
-	a.explainIn(ctx, ask.Account, a.entry.pools.engine(pool.Name), req)
+	a.explainForPool(ctx, query.Account, a.entry.pools.engine(pool.Name), req)
 }
 
-func (a *adminServer) explainIn(ctx iris.Context, account string, pool *enginePool, req openai.Request) {
-	explained, err := pool.explain(placementOf(account, pool.modelNow(), pool.activeVersion(), req.Prompt))
+func (a *adminServer) explainForPool(ctx iris.Context, account string, pool *enginePool, req openai.Request) {
+	explanation, err := pool.explain(placementOf(account, pool.modelNow(), pool.activeVersion(), req.Prompt))
 	if err != nil {
 		ctx.StopWithText(http.StatusServiceUnavailable, "%s\n", err.Error())
 		return
 	}
-	_ = ctx.JSON(explained)
+	_ = ctx.JSON(explanation)
 }
--- a/internal/entry/claimdriver.go
+++ b/internal/entry/claimdriver.go
@@ -13,33 +13,33 @@
 )
 
 // claimTick bounds the sleep between two looks at due work.
-const claimTick = 50 * time.Millisecond
+const maxClaimSleep = 50 * time.Millisecond
 
 // claimDriver runs the claim machine of this instance.
 type claimDriver struct {
-	ctx   context.Context
-	clock clock
-	node  *peer.Node
-	log   platform.Log
-	peers func() []string
+	ctx           context.Context
+	clock         clock
+	node          *peer.Node
+	log           platform.Log
+	peerAddresses func() []string
 
 	mu      sync.Mutex
 	machine *claim.Machine
-	waiting map[string]chan claim.Answer
+	waiters map[string]chan claim.Answer
 	wake    wakeSignal
 }
 
 func newClaimDriver(ctx context.Context, c clock, node *peer.Node, log platform.Log, peers func() []string) *claimDriver {
 	self := node.Self()
 	d := &claimDriver{
-		ctx:     ctx,
-		clock:   c,
-		node:    node,
-		peers:   peers,
-		log:     log,
-		machine: claim.New(claim.Config{Incarnation: self.Incarnation, Address: self.Address}),
-		waiting: make(map[string]chan claim.Answer),
-		wake:    newWakeSignal(),
+		ctx:           ctx,
+		clock:         c,
+		node:          node,
+		peerAddresses: peers,
+		log:           log,
+		machine:       claim.New(claim.Config{Incarnation: self.Incarnation, Address: self.Address}),
+		waiters:       make(map[string]chan claim.Answer),
+		wake:          newWakeSignal(),
 	}
 	node.Handle(wire.KindClaimSnapshot, d.handleSnapshot)
 	return d
@@ -53,21 +53,21 @@
 		d.mu.Unlock()
 		return claim.Answer{}, err
 	}
-	d.waiting[req.ID] = ch
+	d.waiters[req.ID] = ch
 	d.mu.Unlock()
 	d.wake.notify()
 	select {
 	case a := <-ch:
 		return a, nil
 	case <-ctx.Done():
-		return d.giveUp(req.ID, ctx.Err())
+		return d.abandon(req.ID, ctx.Err())
 	}
 }
 
 // giveUp frees the key of a caller that left before its answer.
-func (d *claimDriver) giveUp(id string, cause error) (claim.Answer, error) {
+func (d *claimDriver) abandon(id string, cause error) (claim.Answer, error) {
 	d.mu.Lock()
-	delete(d.waiting, id)
+	delete(d.waiters, id)
 	d.machine.Cancel(d.clock.now(), id)
 	d.mu.Unlock()
 	d.wake.notify()
@@ -120,33 +120,33 @@
 		case <-d.wake:
 		case <-timer.C:
 		}
-		timer.Reset(d.step(ctx))
+		timer.Reset(d.tick(ctx))
 	}
 }
 
 // step does the due work and returns how long to sleep.
-func (d *claimDriver) step(ctx context.Context) time.Duration {
+func (d *claimDriver) tick(ctx context.Context) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
 	d.machine.Tick(now, d.clock.wallMillis())
 	ready := d.machine.Ready(now)
 	for _, a := range ready.Answers {
-		if ch := d.waiting[a.ID]; ch != nil {
-			delete(d.waiting, a.ID)
+		if ch := d.waiters[a.ID]; ch != nil {
+			delete(d.waiters, a.ID)
 			ch <- a
 		}
 	}
 	for _, a := range ready.Appends {
-		go d.append(ctx, a)
+		go d.appendRecords(ctx, a)
 	}
 	if at, ok := d.machine.NextWakeup(); ok {
-		return min(max(at-now, time.Millisecond), claimTick)
+		return min(max(at-now, time.Millisecond), maxClaimSleep)
 	}
-	return claimTick
+	return maxClaimSleep
 }
 
-func (d *claimDriver) append(ctx context.Context, a claim.Append) {
+func (d *claimDriver) appendRecords(ctx context.Context, a claim.Append) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := d.log.Append(ctx, platform.StreamClaims, a.Records)
@@ -156,13 +156,13 @@
 	d.wake.notify()
 }
 
-func (d *claimDriver) next() platform.Offset {
+func (d *claimDriver) nextOffset() platform.Offset {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.machine.ReadFrom()
 }
 
-func (d *claimDriver) read(b platform.Batch) error {
+func (d *claimDriver) handleBatch(b platform.Batch) error {
 	d.mu.Lock()
 	err := d.machine.ApplyRecords(d.clock.now(), d.clock.wallMillis(), b)
 	d.mu.Unlock()
@@ -170,44 +170,44 @@
 	return err
 }
 
-func (d *claimDriver) trimmed(start platform.Offset) {
+func (d *claimDriver) handleTrim(start platform.Offset) {
 	d.mu.Lock()
 	d.machine.Trimmed(d.clock.now(), d.clock.wallMillis(), start)
 	d.mu.Unlock()
 	logline.Info("claims_trimmed", "start", start)
 	d.wake.notify()
-	go d.bootstrap()
+	go d.restoreFromPeers()
 }
 
 const (
-	snapshotPage    = 1000
-	snapshotTimeout = 5 * time.Second
+	claimSnapshotPageSize = 1000
+	claimSnapshotTimeout  = 5 * time.Second
 )
 
 func (d *claimDriver) handleSnapshot(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.ClaimSnapshotRequest
-	if err := f.DecodeBody(&ask); err != nil {
+	var req wire.ClaimSnapshotRequest
+	if err := f.DecodeBody(&req); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.machine.Snapshot(platform.Offset(ask.From), min(max(ask.Limit, 1), snapshotPage)).ToWire(), nil
+	return d.machine.Snapshot(platform.Offset(req.From), min(max(req.Limit, 1), claimSnapshotPageSize)).ToWire(), nil
 }
 
 // bootstrap takes a peer's fold in place of the records that the log has lost:
 // without it the keys of those records would count as unknown here until the
 // window has passed.
-func (d *claimDriver) bootstrap() {
-	for _, addr := range d.peers() {
-		pages, err := d.pagesOf(addr)
+func (d *claimDriver) restoreFromPeers() {
+	for _, addr := range d.peerAddresses() {
+		pages, err := d.fetchSnapshot(addr)
 		if err != nil {
 			logline.Error(err, "claim_snapshot_failed", "peer", addr)
 			continue
 		}
 		d.mu.Lock()
-		took := d.machine.Restore(pages)
+		restored := d.machine.Restore(pages)
 		d.mu.Unlock()
-		if took {
+		if restored {
 			logline.Info("claims_from_peer", "peer", addr, "next", pages[0].Next)
 			d.wake.notify()
 			return
@@ -216,13 +216,13 @@
 }
 
 // pagesOf asks a peer for its whole fold, page by page.
-func (d *claimDriver) pagesOf(addr string) ([]claim.Page, error) {
-	ctx, cancel := context.WithTimeout(d.ctx, snapshotTimeout)
+func (d *claimDriver) fetchSnapshot(addr string) ([]claim.Page, error) {
+	ctx, cancel := context.WithTimeout(d.ctx, claimSnapshotTimeout)
 	defer cancel()
 	var pages []claim.Page
 	for from := int64(-1); ; {
 		var body wire.ClaimPage
-		if _, err := d.node.Call(ctx, addr, wire.KindClaimSnapshot, wire.ClaimSnapshotRequest{From: from, Limit: snapshotPage}, &body); err != nil {
+		if _, err := d.node.Call(ctx, addr, wire.KindClaimSnapshot, wire.ClaimSnapshotRequest{From: from, Limit: claimSnapshotPageSize}, &body); err != nil {
 			return nil, err
 		}
 		page, err := claim.PageFromWire(body)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -44,8 +44,8 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	// drain is closed when an operator asks for a graceful shutdown.
-	drain     chan struct{}
-	drainOnce sync.Once
+	drainRequested chan struct{}
+	drainOnce      sync.Once
 }
 
 // New builds the process from checked settings. Nothing listens yet.
@@ -54,23 +54,23 @@
 	if err != nil {
 		return nil, err
 	}
-	secure, err := newSecurity(s)
+	sec, err := newSecurity(s)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &Entry{settings: s, clock: newClock(), ctx: ctx, cancel: cancel, metrics: newEntryMetrics(), drain: make(chan struct{})}
+	e := &Entry{settings: s, clock: newClock(), ctx: ctx, cancel: cancel, metrics: newEntryMetrics(), drainRequested: make(chan struct{})}
 	self := wire.Identity{Instance: s.InstanceID, Incarnation: uuid.Must(uuid.NewV7()).String(), Address: s.PeerListen, Domain: s.Domain}
-	e.node = peer.NewNode(peer.Options{Self: self, Secret: secret, TLS: secure.peers})
-	e.platform = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformConns}}
+	e.node = peer.NewNode(peer.Options{Self: self, Secret: secret, TLS: sec.peers})
+	e.platform = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePlatformConns}}
 	e.log = platform.NewHTTPLog(s.LogURL, e.platform)
-	e.build(secure)
+	e.buildComponents(sec)
 	return e, nil
 }
 
-const platformConns = 8
+const maxIdlePlatformConns = 8
 
-func (e *Entry) build(secure security) {
+func (e *Entry) buildComponents(sec security) {
 	s := e.settings
 	var list platform.InstanceLister
 	if s.InstancesURL != "" {
@@ -83,15 +83,15 @@
 	e.claims = newClaimDriver(e.ctx, e.clock, e.node, e.log, e.members.peerAddresses)
 	e.rollouts = newRolloutDriver(e.clock, rollout.DefaultSettings, e.log, e.node.Self().Incarnation)
 	e.rollouts.intent = e.config.intent
-	e.rollouts.duty = func() (platform.Offset, bool) { return e.rates.dutyToken(dutyRollout) }
-	e.rates.folded = append(e.rates.folded, func(offset platform.Offset, env logrec.Envelope) {
+	e.rollouts.fencingToken = func() (platform.Offset, bool) { return e.rates.dutyToken(dutyRollout) }
+	e.rates.recordHandlers = append(e.rates.recordHandlers, func(offset platform.Offset, env logrec.Envelope) {
 		duty, _ := e.rates.holder.Table().State(dutyRollout)
-		e.rollouts.fold(offset, env, duty.Token)
+		e.rollouts.applyRecord(offset, env, duty.Token)
 	})
 	e.pools = newPools(e.ctx, e.clock, s.Domain)
-	e.config.onChange(func(st *config.State) {
-		e.rates.setAccounts(st)
-		e.pools.configure(st, e.members.liveInstanceCount())
+	e.config.onChange(func(state *config.State) {
+		e.rates.setAccounts(state)
+		e.pools.configure(state, e.members.liveInstanceCount())
 	})
 	e.members.updateDraining = e.pools.setDraining
 	e.poison = newPoisonDriver(e.clock, e.node)
@@ -101,9 +101,9 @@
 		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
 		targets: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
 	}
-	e.callers = newCallerServer(s, e.server, secure.callers)
+	e.callers = newCallerServer(s, e.server, sec.callers)
 	e.server.full = e.callers.full
-	e.admin = newAdminServer(e, secure.admin)
+	e.admin = newAdminServer(e, sec.admin)
 }
 
 // Run serves until ctx ends, then drains. It returns when the last stream is
@@ -114,35 +114,35 @@
 		return err
 	}
 	e.node.Serve(listeners.peer)
-	e.start(func() { tail(e.ctx, e.log, platform.StreamConfig, e.config) })
-	e.start(func() { tail(e.ctx, e.log, platform.StreamControl, e.rates) })
-	e.start(func() { tail(e.ctx, e.log, platform.StreamClaims, e.claims) })
-	e.start(func() { e.config.askPeers(e.ctx) })
-	e.start(func() { e.config.guard.run(e.ctx) })
-	e.start(func() { e.rates.run(e.ctx) })
-	e.start(func() { e.rates.runSplit(e.ctx) })
-	e.start(func() { e.claims.run(e.ctx) })
-	e.start(func() { e.rollouts.run(e.ctx) })
-	e.start(func() { e.members.run(e.ctx) })
-	e.start(func() { e.poison.run(e.ctx) })
-	snapshots := &snapshotter{clock: e.clock, config: e.config, rates: e.rates, log: e.log, self: e.node.Self().Incarnation}
-	e.start(func() { snapshots.run(e.ctx) })
-	e.start(func() { e.admin.serve(listeners.admin) })
-	e.start(func() { _ = e.callers.serve(listeners.caller) })
+	e.startBackground(func() { tail(e.ctx, e.log, platform.StreamConfig, e.config) })
+	e.startBackground(func() { tail(e.ctx, e.log, platform.StreamControl, e.rates) })
+	e.startBackground(func() { tail(e.ctx, e.log, platform.StreamClaims, e.claims) })
+	e.startBackground(func() { e.config.pollPeers(e.ctx) })
+	e.startBackground(func() { e.config.guard.run(e.ctx) })
+	e.startBackground(func() { e.rates.run(e.ctx) })
+	e.startBackground(func() { e.rates.runSplit(e.ctx) })
+	e.startBackground(func() { e.claims.run(e.ctx) })
+	e.startBackground(func() { e.rollouts.run(e.ctx) })
+	e.startBackground(func() { e.members.run(e.ctx) })
+	e.startBackground(func() { e.poison.run(e.ctx) })
+	snapshots := &snapshotter{clock: e.clock, config: e.config, rates: e.rates, log: e.log, incarnation: e.node.Self().Incarnation}
+	e.startBackground(func() { snapshots.run(e.ctx) })
+	e.startBackground(func() { e.admin.serve(listeners.admin) })
+	e.startBackground(func() { _ = e.callers.serve(listeners.caller) })
 	logline.Info("entry_started", "instance", e.settings.InstanceID, "incarnation", e.node.Self().Incarnation,
 		"domain", e.settings.Domain, "callers", listeners.caller.Addr(), "peers", listeners.peer.Addr(), "admin", listeners.admin.Addr())
 	select {
 	case <-ctx.Done():
-	case <-e.drain:
+	case <-e.drainRequested:
 	}
 	e.shutdown()
 	return nil
 }
 
 // Drain begins a graceful shutdown; Run returns when it is over.
-func (e *Entry) Drain() { e.drainOnce.Do(func() { close(e.drain) }) }
+func (e *Entry) Drain() { e.drainOnce.Do(func() { close(e.drainRequested) }) }
 
-func (e *Entry) start(f func()) {
+func (e *Entry) startBackground(f func()) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -156,7 +156,7 @@
 func (e *Entry) listen() (listeners, error) {
 	var l listeners
 	var err error
-	for _, x := range []struct {
+	for _, spec := range []struct {
 		name string
 		addr string
 		into *net.Listener
@@ -165,8 +165,8 @@
 		{"admin", e.settings.AdminListen, &l.admin},
 		{"callers", e.settings.CallerListen, &l.caller},
 	} {
-		if *x.into, err = net.Listen("tcp", x.addr); err != nil {
-			return l, errors.Wrapf(err, "listen for %s at %s", x.name, x.addr)
+		if *spec.into, err = net.Listen("tcp", spec.addr); err != nil {
+			return l, errors.Wrapf(err, "listen for %s at %s", spec.name, spec.addr)
 		}
 	}
 	return l, nil
@@ -183,12 +183,12 @@
 	e.drainCallers()
 	leaveCtx, cancel := context.WithTimeout(context.Background(), appendTimeout)
 	defer cancel()
-	e.rates.leave(leaveCtx)
+	e.rates.releaseLeases(leaveCtx)
 	e.cancel()
 	e.admin.close()
 	e.node.Close()
 	e.wg.Wait()
-	for _, c := range []*http.Client{e.platform, e.pools.poller.client, e.pools.poller.events, e.rollouts.http, e.server.targets.pooled} {
+	for _, c := range []*http.Client{e.platform, e.pools.poller.client, e.pools.poller.events, e.rollouts.httpClient, e.server.targets.pooled} {
 		c.CloseIdleConnections()
 	}
 	logline.Info("entry_stopped", "instance", e.settings.InstanceID)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -29,7 +29,7 @@
 const testKey = "mt-test"
 
 // freePort is an address that nothing listens at.
-func freePort(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 }
 
 // publishTo appends a configuration with one account and one target.
-func publishTo(t *testing.T, log platform.Log, target string) {
+func publishConfig(t *testing.T, log platform.Log, target string) {
 	t.Helper()
 	is := is.New(t)
 	files := fmt.Sprintf("[account \"a\"]\ntokens-per-second = 1000000\nburst-tokens = 1000000\n"+
@@ -62,7 +62,7 @@
 	secret := filepath.Join(t.TempDir(), "secret")
 	is.NoErr(os.WriteFile(secret, []byte("a secret of the fleet"), 0o600))
 	s := &settings.Settings{
-		InstanceID: "i", Domain: "d", CallerListen: freePort(t), PeerListen: freePort(t), AdminListen: freePort(t),
+		InstanceID: "i", Domain: "d", CallerListen: freeAddress(t), PeerListen: freeAddress(t), AdminListen: freeAddress(t),
 		LogURL: logURL, PeerSecretFile: secret, FleetDomains: []string{"d"}, MintSlots: 1,
 		MaxBodyBytes: 1 << 20, MaxHeaderBytes: 1 << 16, MaxConnections: 1000,
 		IdleTimeout: time.Minute, ReadTimeout: time.Minute, DrainTimeout: time.Minute,
@@ -70,16 +70,16 @@
 	e, err := New(s)
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- e.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- e.Run(ctx) }()
 	return s.CallerListen, func() {
 		cancel()
-		is.NoErr(<-ended)
+		is.NoErr(<-result)
 	}
 }
 
 // ask sends one streamed request and reports whether its answer came whole.
-func ask(client *http.Client, address, prompt string) bool {
+func sendRequest(client *http.Client, address, prompt string) bool {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, prompt)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+chatPath, strings.NewReader(body))
 	if err != nil {
@@ -103,19 +103,19 @@
 	log := httptest.NewServer(logsvc.New(logsvc.Config{}).Handler())
 	fake := engine.New(engine.Config{Model: "m", Version: "1", PieceBytes: 1024, CachePieces: 64, PrefillTPS: 1e9, DecodeTPS: 1e9, Exit: func(int) {}})
 	target := httptest.NewServer(fake.Handler())
-	publishTo(t, platform.NewHTTPLog(log.URL, nil), strings.TrimPrefix(target.URL, "http://"))
+	publishConfig(t, platform.NewHTTPLog(log.URL, nil), strings.TrimPrefix(target.URL, "http://"))
 	http.DefaultClient.CloseIdleConnections()
 	before := runtime.NumGoroutine()
 
 	caller, stop := startEntry(t, log.URL)
 	client := &http.Client{Transport: &http.Transport{}}
-	waitFor(t, "the first answer", func() bool { return ask(client, caller, "hello") })
+	waitFor(t, "the first answer", func() bool { return sendRequest(client, caller, "hello") })
 	var wg sync.WaitGroup
 	for i := range 64 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if !ask(client, caller, strings.Repeat("x", 100*i)) {
+			if !sendRequest(client, caller, strings.Repeat("x", 100*i)) {
 				t.Errorf("request %d got no whole answer", i)
 			}
 		}()
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -11,44 +11,44 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-func (d *rateDriver) handlePromise(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.LeasePromiseRequest
-	if err := f.DecodeBody(&ask); err != nil {
+func (d *rateDriver) handlePromiseRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+	var req wire.LeasePromiseRequest
+	if err := f.DecodeBody(&req); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.HandlePromiseRequest(d.clock.now(), ask), nil
+	return d.holder.HandlePromiseRequest(d.clock.now(), req), nil
 }
 
 // tickLease does the lease holder's due work.
 func (d *rateDriver) tickLease(ctx context.Context) {
 	d.mu.Lock()
 	ready := d.holder.Tick(d.clock.now())
-	d.refreshParts()
+	d.updateAllocations()
 	d.mu.Unlock()
 	for _, r := range ready.Records {
-		go d.append(ctx, r)
+		go d.appendRecord(ctx, r)
 	}
 	for _, a := range ready.PromiseRequests {
-		go d.promise(ctx, a)
+		go d.requestPromise(ctx, a)
 	}
 }
 
 // refreshParts tells the limiter what the leases allow. Callers hold mu.
-func (d *rateDriver) refreshParts() {
+func (d *rateDriver) updateAllocations() {
 	now := d.clock.now()
 	grants := d.holder.Grants(now)
-	mints := grants[:0]
+	slotGrants := grants[:0]
 	for _, g := range grants {
 		if g.Resource != dutyRollout && g.Resource != dutySnapshot {
-			mints = append(mints, g)
+			slotGrants = append(slotGrants, g)
 		}
 	}
-	d.limiter.SetAllocations(now, rate.AllocationsOf(mints, d.fleet.slots(), floorPart))
+	d.limiter.SetAllocations(now, rate.AllocationsOf(slotGrants, d.fleet.slots(), floorFraction))
 }
 
-func (d *rateDriver) append(ctx context.Context, r lease.Record) {
+func (d *rateDriver) appendRecord(ctx context.Context, r lease.Record) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	data, err := logrec.Encode(r.Kind, d.node.Self().Incarnation, d.clock.wallMillis(), r.Body)
@@ -60,17 +60,17 @@
 	d.mu.Unlock()
 }
 
-func (d *rateDriver) promise(ctx context.Context, a lease.PromiseRequest) {
+func (d *rateDriver) requestPromise(ctx context.Context, req lease.PromiseRequest) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
-	var ans wire.LeasePromiseResponse
-	if _, err := d.node.Call(ctx, a.Member.Address, wire.KindLeasePromise, a.Body, &ans); err != nil {
+	var resp wire.LeasePromiseResponse
+	if _, err := d.node.Call(ctx, req.Member.Address, wire.KindLeasePromise, req.Body, &resp); err != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holder.HandlePromiseAnswer(a.ID, ans)
-	d.refreshParts()
+	d.holder.HandlePromiseAnswer(req.ID, resp)
+	d.updateAllocations()
 }
 
 // valid reports whether this instance may act on a duty now, and with which
@@ -84,13 +84,13 @@
 	return d.holder.Token(r)
 }
 
-func (d *rateDriver) next() platform.Offset {
+func (d *rateDriver) nextOffset() platform.Offset {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holder.Table().NextOffset()
 }
 
-func (d *rateDriver) read(b platform.Batch) error {
+func (d *rateDriver) handleBatch(b platform.Batch) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
@@ -103,22 +103,22 @@
 		if err := d.holder.Apply(now, rec.Offset, env); err != nil {
 			logline.Error(err, "control_record_skipped", "offset", rec.Offset)
 		}
-		for _, f := range d.folded {
-			f(rec.Offset, env)
+		for _, handler := range d.recordHandlers {
+			handler(rec.Offset, env)
 		}
 	}
 	if len(b.Records) == 0 || b.Records[len(b.Records)-1].Offset+1 >= b.Next {
 		d.holder.MarkCaughtUp()
 	}
-	d.refreshSplit(now)
+	d.applySplit(now)
 	if len(b.Records) > 0 {
-		d.refreshPeers()
+		d.updatePeers()
 	}
-	d.refreshParts()
+	d.updateAllocations()
 	return nil
 }
 
-func (d *rateDriver) trimmed(start platform.Offset) {
+func (d *rateDriver) handleTrim(start platform.Offset) {
 	d.mu.Lock()
 	d.holder.HandleTrim(start)
 	d.mu.Unlock()
@@ -135,10 +135,10 @@
 }
 
 // leave gives every lease back, at the end of a graceful shutdown.
-func (d *rateDriver) leave(ctx context.Context) {
+func (d *rateDriver) releaseLeases(ctx context.Context) {
 	d.mu.Lock()
 	r := d.holder.Leave()
 	d.limiter.SetAllocations(d.clock.now(), nil)
 	d.mu.Unlock()
-	d.append(ctx, r)
+	d.appendRecord(ctx, r)
 }
--- a/internal/entry/logtail.go
+++ b/internal/entry/logtail.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	tailLimit   = 1024
-	tailWait    = 5 * time.Second
-	tailTimeout = 10 * time.Second
+	tailBatchLimit = 1024
+	tailPollWait   = 5 * time.Second
+	tailTimeout    = 10 * time.Second
 	// After an outage every instance comes back to the log; the waits grow and
 	// are spread by half, so that they do not come back at once.
 	tailRetryMin = 100 * time.Millisecond
@@ -22,21 +22,21 @@
 )
 
 // follower is a fold of one stream of the log.
-type follower interface {
+type streamConsumer interface {
 	// next is the offset to read from.
-	next() platform.Offset
+	nextOffset() platform.Offset
 	// read takes an answer to a read from next on.
-	read(b platform.Batch) error
+	handleBatch(b platform.Batch) error
 	// trimmed tells that the records before start are lost.
-	trimmed(start platform.Offset)
+	handleTrim(start platform.Offset)
 }
 
 // tail feeds a stream to its follower until ctx ends.
-func tail(ctx context.Context, log platform.Log, stream string, f follower) {
+func tail(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) {
 	retries := backoff.NewExponentialBackOff()
 	retries.InitialInterval, retries.MaxInterval = tailRetryMin, tailRetryMax
 	for ctx.Err() == nil {
-		err := tailOnce(ctx, log, stream, f)
+		err := tailBatch(ctx, log, stream, consumer)
 		if err == nil {
 			retries.Reset()
 			continue
@@ -50,18 +50,18 @@
 	}
 }
 
-func tailOnce(ctx context.Context, log platform.Log, stream string, f follower) error {
+func tailBatch(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) error {
 	callCtx, cancel := context.WithTimeout(ctx, tailTimeout)
 	defer cancel()
-	batch, err := log.Read(callCtx, stream, f.next(), tailLimit, tailWait)
+	batch, err := log.Read(callCtx, stream, consumer.nextOffset(), tailBatchLimit, tailPollWait)
 	if errors.Is(err, platform.ErrTrimmed) {
-		f.trimmed(batch.Start)
+		consumer.handleTrim(batch.Start)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return f.read(batch)
+	return consumer.handleBatch(batch)
 }
 
 // sleep waits or returns early when ctx ends.
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	memberTick        = 75 * time.Millisecond
-	memberSendTimeout = 500 * time.Millisecond
-	heartbeatEvery    = 300 * time.Millisecond
-	heartbeatTimeout  = 500 * time.Millisecond
-	listTimeout       = 2 * time.Second
+	memberTickInterval  = 75 * time.Millisecond
+	memberSendTimeout   = 500 * time.Millisecond
+	heartbeatInterval   = 300 * time.Millisecond
+	heartbeatTimeout    = 500 * time.Millisecond
+	instanceListTimeout = 2 * time.Second
 	// listRowBytes is about what one row of the list takes beside its names.
-	listRowBytes = 70
+	listRowOverheadBytes = 70
 )
 
 // members runs the view of the other entry instances and of the targets that
@@ -43,20 +43,20 @@
 	view *membership.View
 	// incarnations by instance name, and when each address was last heard.
 	incarnations map[string]string
-	heard        map[string]time.Duration
+	lastHeard    map[string]time.Duration
 }
 
 func newMembers(c clock, node *peer.Node, list platform.InstanceLister, seeds []string) *members {
 	m := &members{
 		clock: c, node: node, lister: list,
 		seeds:        slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == node.Self().Address }),
-		incarnations: make(map[string]string), heard: make(map[string]time.Duration),
+		incarnations: make(map[string]string), lastHeard: make(map[string]time.Duration),
 	}
 	cfg := membership.Config{Self: node.Self(), StartMillis: c.wallMillis(), Seeds: m.seeds}
 	m.view = membership.New(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	node.Handle(wire.KindHeartbeat, m.handleBeat)
+	node.Handle(wire.KindHeartbeat, m.handleHeartbeat)
 	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberUpdates} {
-		node.Handle(kind, m.receive)
+		node.Handle(kind, m.handleMessage)
 	}
 	return m
 }
@@ -91,43 +91,43 @@
 
 // run ticks the view and sends heartbeats until ctx ends.
 func (m *members) run(ctx context.Context) {
-	nextBeat := time.Duration(0)
+	nextHeartbeat := time.Duration(0)
 	for ctx.Err() == nil {
 		now := m.clock.now()
 		m.mu.Lock()
 		m.view.Tick(now)
 		replaced := m.view.Replaced()
 		m.mu.Unlock()
-		m.work(ctx)
+		m.processReady(ctx)
 		if replaced {
 			logline.Info("instance_replaced", "instance", m.node.Self().Instance)
 			m.onReplaced()
 		}
-		if now >= nextBeat {
-			nextBeat = now + heartbeatEvery
-			m.beatAll(ctx)
+		if now >= nextHeartbeat {
+			nextHeartbeat = now + heartbeatInterval
+			m.exchangeHeartbeats(ctx)
 		}
-		sleep(ctx, memberTick)
+		sleep(ctx, memberTickInterval)
 	}
 }
 
 // work does what the view has ready.
-func (m *members) work(ctx context.Context) {
+func (m *members) processReady(ctx context.Context) {
 	m.mu.Lock()
 	ready := m.view.Ready()
 	m.mu.Unlock()
 	for _, msg := range ready.Messages {
-		go m.send(ctx, msg)
+		go m.sendMessage(ctx, msg)
 	}
 	if ready.ReadList && m.lister != nil {
-		go m.readList(ctx)
+		go m.refreshList(ctx)
 	}
 	for _, c := range ready.Changes {
-		m.note(c)
+		m.handleChange(c)
 	}
 }
 
-func (m *members) send(ctx context.Context, msg membership.Message) {
+func (m *members) sendMessage(ctx context.Context, msg membership.Message) {
 	ctx, cancel := context.WithTimeout(ctx, memberSendTimeout)
 	defer cancel()
 	_ = m.node.Send(ctx, msg.To, msg.Kind, msg.Body) // the view asks again
@@ -135,7 +135,7 @@
 
 // note logs a change. A later process under an instance's name tells that the
 // earlier one has ended: callers that wait for its answers hear so at once.
-func (m *members) note(c membership.Change) {
+func (m *members) handleChange(c membership.Change) {
 	if c.Target != nil {
 		logline.Info("target_known", "target", c.Target.Target, "draining", c.Target.Draining, "gone", c.Target.Gone, "incarnation", c.Target.Incarnation)
 		return
@@ -143,24 +143,24 @@
 	id := c.Member.Identity
 	logline.Info("peer_known", "peer", id.Address, "instance", id.Instance, "incarnation", id.Incarnation, "domain", id.Domain, "state", c.Member.State)
 	m.mu.Lock()
-	before := m.incarnations[id.Instance]
+	previous := m.incarnations[id.Instance]
 	m.incarnations[id.Instance] = id.Incarnation
 	m.mu.Unlock()
-	if before != "" && before != id.Incarnation {
-		m.claims.processEnded(before)
+	if previous != "" && previous != id.Incarnation {
+		m.claims.processEnded(previous)
 	}
 }
 
-func (m *members) readList(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+func (m *members) refreshList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, instanceListTimeout)
 	defer cancel()
-	asked := m.clock.now()
+	requestedAt := m.clock.now()
 	list, err := m.lister.Instances(ctx)
 	m.mu.Lock()
 	if err != nil {
 		m.view.HandleListError(m.clock.now())
 	} else {
-		m.view.HandleList(m.clock.now(), asked, list, listBytes(list))
+		m.view.HandleList(m.clock.now(), requestedAt, list, listBytes(list))
 	}
 	m.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -172,12 +172,12 @@
 func listBytes(l platform.InstanceList) int {
 	n := 0
 	for _, in := range l.Instances {
-		n += listRowBytes + len(in.ID) + len(in.Address) + len(in.Domain)
+		n += listRowOverheadBytes + len(in.ID) + len(in.Address) + len(in.Domain)
 	}
 	return n
 }
 
-func (m *members) receive(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (m *members) handleMessage(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	body, err := membership.Decode(f)
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	m.mu.Lock()
 	m.view.Receive(m.clock.now(), f.Kind, body)
 	m.mu.Unlock()
-	m.work(ctx)
+	m.processReady(ctx)
 	return nil, nil
 }
 
@@ -205,13 +205,13 @@
 
 // beatAll exchanges balances with the live peers and tells all drivers who is
 // live and leaving.
-func (m *members) beatAll(ctx context.Context) {
-	known := m.livePeers()
-	m.rates.setPeers(known)
-	m.poison.setPeers(known)
-	m.forget(known)
-	for _, p := range known {
-		go m.beat(ctx, p.Address)
+func (m *members) exchangeHeartbeats(ctx context.Context) {
+	peers := m.livePeers()
+	m.rates.setPeers(peers)
+	m.poison.setPeers(peers)
+	m.pruneLastHeard(peers)
+	for _, p := range peers {
+		go m.exchangeHeartbeat(ctx, p.Address)
 	}
 	m.updateDraining(func(name string) bool {
 		m.mu.Lock()
@@ -222,43 +222,43 @@
 
 // forget drops what was heard of addresses that are not known any more: the map
 // would grow with each replaced instance.
-func (m *members) forget(known []wire.Identity) {
+func (m *members) pruneLastHeard(peers []wire.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for addr := range m.heard {
-		if !slices.ContainsFunc(known, func(p wire.Identity) bool { return p.Address == addr }) {
-			delete(m.heard, addr)
+	for addr := range m.lastHeard {
+		if !slices.ContainsFunc(peers, func(p wire.Identity) bool { return p.Address == addr }) {
+			delete(m.lastHeard, addr)
 		}
 	}
 }
 
-func (m *members) beat(ctx context.Context, addr string) {
+func (m *members) exchangeHeartbeat(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	var ans wire.Heartbeat
-	if _, err := m.node.Call(ctx, addr, wire.KindHeartbeat, m.own(), &ans); err == nil {
-		m.take(ans)
+	var resp wire.Heartbeat
+	if _, err := m.node.Call(ctx, addr, wire.KindHeartbeat, m.heartbeat(), &resp); err == nil {
+		m.receiveHeartbeat(resp)
 	}
 }
 
 // own is this instance's heartbeat.
-func (m *members) own() wire.Heartbeat {
+func (m *members) heartbeat() wire.Heartbeat {
 	hints, share := m.rates.hints()
 	return wire.Heartbeat{From: m.node.Self(), RateShare: share, Hints: hints}
 }
 
-func (m *members) handleBeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (m *members) handleHeartbeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var hb wire.Heartbeat
 	if err := f.DecodeBody(&hb); err != nil {
 		return nil, err
 	}
-	m.take(hb)
-	return m.own(), nil
+	m.receiveHeartbeat(hb)
+	return m.heartbeat(), nil
 }
 
-func (m *members) take(hb wire.Heartbeat) {
+func (m *members) receiveHeartbeat(hb wire.Heartbeat) {
 	m.mu.Lock()
-	m.heard[hb.From.Address] = m.clock.now()
+	m.lastHeard[hb.From.Address] = m.clock.now()
 	m.mu.Unlock()
-	m.rates.takeHints(hb)
+	m.rates.handleHeartbeat(hb)
 }
--- a/internal/entry/thaw.go
+++ b/internal/entry/pauseguard.go
@@ -51,9 +51,9 @@
 func (g *pauseGuard) detectPause() {
 	g.mu.Lock()
 	now := g.now()
-	paused := now - g.lastTick
+	gap := now - g.lastTick
 	g.lastTick = now
-	if paused <= pauseThreshold {
+	if gap <= pauseThreshold {
 		g.mu.Unlock()
 		return
 	}
@@ -62,15 +62,15 @@
 		g.refreshed = make(chan struct{})
 	}
 	g.mu.Unlock()
-	logline.Info("paused", "for", paused)
+	logline.Info("paused", "for", gap)
 	g.refresh()
 }
 
 // confirmed takes in that an answer came to a question asked at that time.
-func (g *pauseGuard) handleAnswer(asked time.Duration) {
+func (g *pauseGuard) handleAnswer(requestedAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.refreshed != nil && asked >= g.resumedAt {
+	if g.refreshed != nil && requestedAt >= g.resumedAt {
 		close(g.refreshed)
 		g.refreshed = nil
 	}
--- a/internal/entry/thaw_test.go
+++ b/internal/entry/pauseguard_test.go
@@ -15,8 +15,8 @@
 func TestRequestsWaitForNewsAfterPause(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
-	asked := 0
-	g := newPauseGuard(func() time.Duration { return now }, func() { asked++ })
+	refreshes := 0
+	g := newPauseGuard(func() time.Duration { return now }, func() { refreshes++ })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // wait returns at once; what it left behind is looked at
 
@@ -26,7 +26,7 @@
 	now = 5 * time.Second
 	g.waitUntilFresh(ctx)
 	is.True(g.refreshed != nil)
-	is.Equal(asked, 1)
+	is.Equal(refreshes, 1)
 
 	g.handleAnswer(4 * time.Second)
 	is.True(g.refreshed != nil) // the question is older than the pause
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	leaseTick      = 100 * time.Millisecond
-	appendTimeout  = 3 * time.Second
-	rateAskTimeout = 200 * time.Millisecond
-	promiseTimeout = time.Second
+	leaseTickInterval  = 100 * time.Millisecond
+	appendTimeout      = 3 * time.Second
+	rateRequestTimeout = 200 * time.Millisecond
+	promiseTimeout     = time.Second
 	// floorPart is the part of each slot that its last holder may go on
 	// spending while it is cut off from everything.
-	floorPart = 0.25
+	floorFraction = 0.25
 )
 
 // fleet is what all instances must agree on for the rates to add up.
@@ -39,18 +39,18 @@
 	log   platform.Log
 	fleet fleetLayout
 
-	mu      sync.Mutex
-	holder  *lease.Holder
-	limiter *rate.Limiter
-	waiting map[rate.Ticket]chan rate.Outcome
-	known   map[string]bool
-	peers   []wire.Identity
-	heard   map[string]float64 // by address: the share a peer says it mints
-	heardAt map[string]time.Duration
-	folded  []func(platform.Offset, logrec.Envelope)
-	wake    wakeSignal
+	mu             sync.Mutex
+	holder         *lease.Holder
+	limiter        *rate.Limiter
+	waiters        map[rate.Ticket]chan rate.Outcome
+	accounts       map[string]bool
+	peers          []wire.Identity
+	peerShares     map[string]float64 // by address: the share a peer says it mints
+	heartbeatAt    map[string]time.Duration
+	recordHandlers []func(platform.Offset, logrec.Envelope)
+	wake           wakeSignal
 	// splitSeen is the version of the split that is in force here.
-	splitSeen int
+	splitVersion int
 	// logStart is the oldest offset that the log had kept at the last read.
 	logStart platform.Offset
 }
@@ -63,21 +63,21 @@
 		wanted = append(wanted, lease.MintSlot(self.Domain, slot))
 	}
 	d := &rateDriver{
-		clock:   c,
-		node:    node,
-		log:     log,
-		fleet:   f,
-		holder:  lease.NewHolder(lease.DefaultSettings(member, wanted)),
-		limiter: rate.New(rate.DefaultSettings(self.Incarnation)),
-		waiting: make(map[rate.Ticket]chan rate.Outcome),
-		known:   make(map[string]bool),
-		heard:   make(map[string]float64),
-		heardAt: make(map[string]time.Duration),
-		wake:    newWakeSignal(),
+		clock:       c,
+		node:        node,
+		log:         log,
+		fleet:       f,
+		holder:      lease.NewHolder(lease.DefaultSettings(member, wanted)),
+		limiter:     rate.New(rate.DefaultSettings(self.Incarnation)),
+		waiters:     make(map[rate.Ticket]chan rate.Outcome),
+		accounts:    make(map[string]bool),
+		peerShares:  make(map[string]float64),
+		heartbeatAt: make(map[string]time.Duration),
+		wake:        newWakeSignal(),
 	}
-	node.Handle(wire.KindRateRequest, d.handleAsk)
-	node.Handle(wire.KindRateReturn, d.handleReturn)
-	node.Handle(wire.KindLeasePromise, d.handlePromise)
+	node.Handle(wire.KindRateRequest, d.handleTokenRequest)
+	node.Handle(wire.KindRateReturn, d.handleTokenReturn)
+	node.Handle(wire.KindLeasePromise, d.handlePromiseRequest)
 	return d
 }
 
@@ -92,16 +92,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
-	accounts := s.Intent().Accounts
-	for _, a := range accounts {
+	configured := s.Intent().Accounts
+	for _, a := range configured {
 		d.limiter.SetAccount(now, a.Name, a.TokensPerSecond, a.BurstTokens)
-		d.known[a.Name] = true
+		d.accounts[a.Name] = true
 	}
-	for name := range d.known {
-		if _, ok := accounts[name]; !ok {
-			delete(d.known, name)
+	for name := range d.accounts {
+		if _, ok := configured[name]; !ok {
+			delete(d.accounts, name)
 			for _, o := range d.limiter.RemoveAccount(name) {
-				d.finish(o)
+				d.deliver(o)
 			}
 		}
 	}
@@ -116,29 +116,29 @@
 		return o
 	}
 	ch := make(chan rate.Outcome, 1)
-	d.waiting[o.Ticket] = ch
+	d.waiters[o.Ticket] = ch
 	d.mu.Unlock()
 	d.wake.notify()
 	select {
 	case o = <-ch:
 		return o
 	case <-ctx.Done():
-		return d.giveUp(account, o.Ticket, ctx.Err())
+		return d.cancelWait(account, o.Ticket, ctx.Err())
 	}
 }
 
 // giveUp ends the wait of a caller that left. Tokens that were debited for it
 // meanwhile go back.
-func (d *rateDriver) giveUp(account string, t rate.Ticket, cause error) rate.Outcome {
+func (d *rateDriver) cancelWait(account string, t rate.Ticket, cause error) rate.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if ch := d.waiting[t]; ch == nil {
+	if ch := d.waiters[t]; ch == nil {
 		return rate.Outcome{Err: cause}
 	} else if len(ch) > 0 {
 		o := <-ch
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
 	}
-	delete(d.waiting, t)
+	delete(d.waiters, t)
 	d.limiter.Cancel(account, t)
 	return rate.Outcome{Err: cause}
 }
@@ -158,13 +158,13 @@
 }
 
 // finish hands a decision to the request that waits for it. Callers hold mu.
-func (d *rateDriver) finish(o rate.Outcome) {
-	ch := d.waiting[o.Ticket]
+func (d *rateDriver) deliver(o rate.Outcome) {
+	ch := d.waiters[o.Ticket]
 	if ch == nil {
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
 		return
 	}
-	delete(d.waiting, o.Ticket)
+	delete(d.waiters, o.Ticket)
 	ch <- o
 }
 
@@ -182,7 +182,7 @@
 		}
 		if now := d.clock.now(); now >= nextLease {
 			d.tickLease(ctx)
-			nextLease = now + leaseTick
+			nextLease = now + leaseTickInterval
 		}
 		timer.Reset(d.tickRate(ctx, nextLease))
 	}
@@ -194,14 +194,14 @@
 	now := d.clock.now()
 	ready := d.limiter.Tick(now)
 	for _, o := range ready.Done {
-		d.finish(o)
+		d.deliver(o)
 	}
 	d.mu.Unlock()
 	for _, a := range ready.Asks {
-		go d.ask(ctx, a)
+		go d.requestTokens(ctx, a)
 	}
 	for _, r := range ready.Returns {
-		go d.giveBack(ctx, r)
+		go d.returnTokens(ctx, r)
 	}
 	next := nextLease
 	if ready.NextTick > 0 {
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -15,7 +15,7 @@
 
 // takeLease runs a holder, alone on its log, until it holds the lease, and
 // returns what it wrote.
-func takeLease(t *testing.T, m lease.Member, r lease.Resource) []platform.Record {
+func acquireLease(t *testing.T, m lease.Member, r lease.Resource) []platform.Record {
 	t.Helper()
 	is := is.New(t)
 	var records []platform.Record
@@ -40,45 +40,45 @@
 // Its next request is within its account's rate and needs that peer's tokens.
 // If it still assumed that all are equally poor it would ask them all for a
 // part, get only one part, and refuse the request.
-func TestAsksGoToThePeerThatTookALeaseLater(t *testing.T) {
+func TestTokenRequestsGoToPeerThatTookLeaseLater(t *testing.T) {
 	is := is.New(t)
 	self := wire.Identity{Instance: "a", Incarnation: "a-1", Domain: "d", Address: "127.0.0.1:1"}
-	poor := wire.Identity{Instance: "b", Incarnation: "b-1", Domain: "d", Address: "127.0.0.1:2"}
-	rich := wire.Identity{Instance: "c", Incarnation: "c-1", Domain: "d", Address: "127.0.0.1:3"}
+	noLease := wire.Identity{Instance: "b", Incarnation: "b-1", Domain: "d", Address: "127.0.0.1:2"}
+	newHolder := wire.Identity{Instance: "c", Incarnation: "c-1", Domain: "d", Address: "127.0.0.1:3"}
 	node := peer.NewNode(peer.Options{Self: self})
 	defer node.Close()
 	d := newRateDriver(newClock(), node, nil, fleetLayout{domains: []string{"d"}, slotsPerDomain: 1})
 	d.limiter.SetAccount(d.clock.now(), "acc", 1000, 1000)
-	d.setPeers([]wire.Identity{poor, rich})
+	d.setPeers([]wire.Identity{noLease, newHolder})
 
-	member := lease.Member{ID: rich.Incarnation, Domain: rich.Domain, Address: rich.Address}
-	records := takeLease(t, member, lease.MintSlot("d", 0))
-	is.NoErr(d.read(platform.Batch{Next: platform.Offset(len(records)), Records: records}))
+	member := lease.Member{ID: newHolder.Incarnation, Domain: newHolder.Domain, Address: newHolder.Address}
+	records := acquireLease(t, member, lease.MintSlot("d", 0))
+	is.NoErr(d.handleBatch(platform.Batch{Next: platform.Offset(len(records)), Records: records}))
 
 	now := d.clock.now() + time.Second
 	o := d.limiter.Admit(now, "acc", 100, time.Hour)
 	is.True(o.Waiting)
 	asks := d.limiter.Tick(now).Asks
 	is.Equal(len(asks), 1)
-	is.Equal(asks[0].Peer, rich.Address)
+	is.Equal(asks[0].Peer, newHolder.Address)
 	is.Equal(asks[0].Body.Items[0].Tokens, 101.0) // one more than the cost, against rounding
 }
 
 // Instances come back at other addresses all day. What was heard from an
 // address goes with the last peer there; else it would be kept until the end of
 // the process.
-func TestSharesOfGonePeersAreForgotten(t *testing.T) {
+func TestPeerSharesArePrunedWithPeers(t *testing.T) {
 	is := is.New(t)
-	stays := wire.Identity{Instance: "b", Domain: "d", Address: "127.0.0.1:2"}
-	goes := wire.Identity{Instance: "c", Domain: "d", Address: "127.0.0.1:3"}
+	remaining := wire.Identity{Instance: "b", Domain: "d", Address: "127.0.0.1:2"}
+	removed := wire.Identity{Instance: "c", Domain: "d", Address: "127.0.0.1:3"}
 	node := peer.NewNode(peer.Options{Self: wire.Identity{Instance: "a", Domain: "d", Address: "127.0.0.1:1"}})
 	defer node.Close()
 	d := newRateDriver(newClock(), node, nil, fleetLayout{domains: []string{"d"}, slotsPerDomain: 1})
-	d.setPeers([]wire.Identity{stays, goes})
-	for _, from := range []wire.Identity{stays, goes} {
-		d.takeHints(wire.Heartbeat{From: from, RateShare: 0.5})
+	d.setPeers([]wire.Identity{remaining, removed})
+	for _, from := range []wire.Identity{remaining, removed} {
+		d.handleHeartbeat(wire.Heartbeat{From: from, RateShare: 0.5})
 	}
-	d.setPeers([]wire.Identity{stays})
-	is.Equal(d.heard, map[string]float64{stays.Address: 0.5})
-	is.Equal(len(d.heardAt), 1)
+	d.setPeers([]wire.Identity{remaining})
+	is.Equal(d.peerShares, map[string]float64{remaining.Address: 0.5})
+	is.Equal(len(d.heartbeatAt), 1)
 }
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -12,22 +12,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peers = peers
-	d.forgetOthers()
-	d.refreshPeers()
+	d.prunePeerShares()
+	d.updatePeers()
 }
 
 // forgetOthers drops what was heard from addresses that are no peers any more:
 // instances come back at other addresses, and both maps would grow with each
 // restart in the fleet. Callers hold mu.
-func (d *rateDriver) forgetOthers() {
-	present := make(map[string]bool, len(d.peers))
+func (d *rateDriver) prunePeerShares() {
+	current := make(map[string]bool, len(d.peers))
 	for _, p := range d.peers {
-		present[p.Address] = true
+		current[p.Address] = true
 	}
-	for addr := range d.heardAt {
-		if !present[addr] {
-			delete(d.heardAt, addr)
-			delete(d.heard, addr)
+	for addr := range d.heartbeatAt {
+		if !current[addr] {
+			delete(d.heartbeatAt, addr)
+			delete(d.peerShares, addr)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 // refreshPeers tells the limiter what each peer mints: by the log, or by the
 // peer's own word where that is more. The log alone would leave an instance
 // that starts in an outage of the log without anybody to ask. Callers hold mu.
-func (d *rateDriver) refreshPeers() {
+func (d *rateDriver) updatePeers() {
 	list := make([]rate.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
 	for _, domain := range d.fleet.domains {
@@ -45,7 +45,7 @@
 		list = append(list, rate.Peer{
 			ID:         p.Address,
 			SameDomain: p.Domain == d.node.Self().Domain,
-			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
+			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.peerShares[p.Address]),
 
 			Factors: factors[p.Domain],
 		})
@@ -53,38 +53,38 @@
 	d.limiter.SetPeers(list)
 }
 
-func (d *rateDriver) ask(ctx context.Context, a rate.Ask) {
-	ctx, cancel := context.WithTimeout(ctx, rateAskTimeout)
+func (d *rateDriver) requestTokens(ctx context.Context, req rate.Ask) {
+	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	var grant wire.RateGrant
-	_, err := d.node.Call(ctx, a.Peer, wire.KindRateRequest, a.Body, &grant)
+	_, err := d.node.Call(ctx, req.Peer, wire.KindRateRequest, req.Body, &grant)
 	d.mu.Lock()
 	if err != nil {
-		d.limiter.AskFailed(d.clock.now(), a.ID)
+		d.limiter.AskFailed(d.clock.now(), req.ID)
 	} else {
-		d.limiter.HandleGrant(d.clock.now(), a.Peer, a.ID, grant)
+		d.limiter.HandleGrant(d.clock.now(), req.Peer, req.ID, grant)
 	}
 	d.mu.Unlock()
 	d.wake.notify()
 }
 
-func (d *rateDriver) giveBack(ctx context.Context, r rate.Return) {
-	ctx, cancel := context.WithTimeout(ctx, rateAskTimeout)
+func (d *rateDriver) returnTokens(ctx context.Context, r rate.Return) {
+	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	_ = d.node.Send(ctx, r.Peer, wire.KindRateReturn, r.Body)
 }
 
-func (d *rateDriver) handleAsk(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.RateRequest
-	if err := f.DecodeBody(&ask); err != nil {
+func (d *rateDriver) handleTokenRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+	var req wire.RateRequest
+	if err := f.DecodeBody(&req); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.limiter.HandleAsk(d.clock.now(), ask), nil
+	return d.limiter.HandleAsk(d.clock.now(), req), nil
 }
 
-func (d *rateDriver) handleReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (d *rateDriver) handleTokenReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var r wire.RateReturn
 	if err := f.DecodeBody(&r); err != nil {
 		return nil, err
@@ -105,20 +105,20 @@
 }
 
 // takeHints notes a peer's balances and what it mints.
-func (d *rateDriver) takeHints(hb wire.Heartbeat) {
+func (d *rateDriver) handleHeartbeat(hb wire.Heartbeat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	addr := hb.From.Address
-	d.heardAt[addr] = d.clock.now()
-	d.limiter.HandleHints(d.heardAt[addr], addr, hb.Hints)
-	if d.heard[addr] != hb.RateShare {
-		d.heard[addr] = hb.RateShare
-		d.refreshPeers()
+	d.heartbeatAt[addr] = d.clock.now()
+	d.limiter.HandleHints(d.heartbeatAt[addr], addr, hb.Hints)
+	if d.peerShares[addr] != hb.RateShare {
+		d.peerShares[addr] = hb.RateShare
+		d.updatePeers()
 	}
 }
 
 // share is the part of all rates that this instance mints now.
-func (d *rateDriver) share() float64 {
+func (d *rateDriver) mintedShare() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Share(d.clock.now())
--- a/internal/entry/rolloutdriver.go
+++ b/internal/entry/rolloutdriver.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	rolloutEvery = 500 * time.Millisecond
-	stateTimeout = time.Second
+	rolloutInterval    = 500 * time.Millisecond
+	targetStateTimeout = time.Second
 	// statePolls bounds how many targets are asked for their state at once.
-	statePolls = 32
+	maxConcurrentStatePolls = 32
 	// maxTrail bounds the entries about orders that the admin API shows;
 	// the log has the rest.
-	maxTrail = 512
+	maxAuditEntries = 512
 )
 
 // rolloutDriver brings targets to their wanted versions while this instance
@@ -35,85 +35,85 @@
 	settings rollout.Settings
 	intent   func() *config.Intent
 	// duty gives the fencing token while the lease may be used.
-	duty func() (platform.Offset, bool)
-	log  platform.Log
-	self string
-	http *http.Client
-
-	mu         sync.Mutex
-	ledger     *rollout.State
-	controller *rollout.Controller
-	token      platform.Offset
-	trail      []audit.Entry
+	fencingToken func() (platform.Offset, bool)
+	log          platform.Log
+	incarnation  string
+	httpClient   *http.Client
+
+	mu           sync.Mutex
+	orderState   *rollout.State
+	controller   *rollout.Controller
+	token        platform.Offset
+	auditEntries []audit.Entry
 }
 
-func newRolloutDriver(c clock, s rollout.Settings, log platform.Log, self string) *rolloutDriver {
+func newRolloutDriver(c clock, s rollout.Settings, log platform.Log, incarnation string) *rolloutDriver {
 	return &rolloutDriver{
-		clock: c, settings: s, log: log, self: self, ledger: rollout.NewState(),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		clock: c, settings: s, log: log, incarnation: incarnation, orderState: rollout.NewState(),
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 	}
 }
 
 // fold takes a record of the control stream, and the token of the duty's
 // newest lease at that place.
-func (d *rolloutDriver) fold(offset platform.Offset, e logrec.Envelope, newest platform.Offset) {
+func (d *rolloutDriver) applyRecord(offset platform.Offset, e logrec.Envelope, dutyToken platform.Offset) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger.Fence(int64(newest))
-	d.ledger.Apply(d.clock.now(), e)
+	d.orderState.Fence(int64(dutyToken))
+	d.orderState.Apply(d.clock.now(), e)
 	if entry, ok := rollout.AuditEntry(int64(offset), e); ok {
-		d.trail = audit.Append(d.trail, entry, maxTrail)
+		d.auditEntries = audit.Append(d.auditEntries, entry, maxAuditEntries)
 	}
 }
 
 // orders is the newest part of the audit trail of orders.
-func (d *rolloutDriver) orders() []audit.Entry {
+func (d *rolloutDriver) auditTrail() []audit.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.trail)
+	return slices.Clone(d.auditEntries)
 }
 
 func (d *rolloutDriver) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if token, held := d.duty(); held {
-			d.round(ctx, token)
+		if token, held := d.fencingToken(); held {
+			d.reconcile(ctx, token)
 		}
-		sleep(ctx, rolloutEvery)
+		sleep(ctx, rolloutInterval)
 	}
 }
 
 // round observes all targets, decides and acts.
-func (d *rolloutDriver) round(ctx context.Context, token platform.Offset) {
+func (d *rolloutDriver) reconcile(ctx context.Context, token platform.Offset) {
 	intent := d.intent()
 	if intent == nil {
 		return
 	}
 	goals := rollout.Goals(intent)
-	seen := d.observe(ctx, goals)
-	ready := d.decide(token, goals, seen)
+	observations := d.observeTargets(ctx, goals)
+	ready := d.planActions(token, goals, observations)
 	if ready.Stale {
 		logline.Info("rollout_stale", "token", token)
 	}
 	if len(ready.Records) > 0 {
-		go d.append(ctx, ready.Records)
+		go d.appendRecords(ctx, ready.Records)
 	}
-	for _, s := range ready.Orders {
-		go d.send(ctx, token, s)
+	for _, order := range ready.Orders {
+		go d.sendOrder(ctx, token, order)
 	}
 }
 
 // decide ticks the controller of this term. The lease of a former holder has
 // lapsed by the time this one takes it, so only its margin is waited out.
-func (d *rolloutDriver) decide(token platform.Offset, goals []rollout.Goal, seen map[string]rollout.Observation) rollout.Actions {
+func (d *rolloutDriver) planActions(token platform.Offset, goals []rollout.Goal, observations map[string]rollout.Observation) rollout.Actions {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
 	if d.controller == nil || d.token != token {
-		d.controller = rollout.NewController(d.settings, d.ledger, int64(token), now)
+		d.controller = rollout.NewController(d.settings, d.orderState, int64(token), now)
 		d.token = token
 		logline.Info("rollout_term", "token", token)
 	}
-	for target, o := range seen {
+	for target, o := range observations {
 		d.controller.Observe(target, o)
 	}
 	// The duty is checked again before each send; here it stands.
@@ -121,28 +121,28 @@
 }
 
 // observe asks all targets for their state.
-func (d *rolloutDriver) observe(ctx context.Context, goals []rollout.Goal) map[string]rollout.Observation {
+func (d *rolloutDriver) observeTargets(ctx context.Context, goals []rollout.Goal) map[string]rollout.Observation {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	seen := map[string]rollout.Observation{}
-	slots := make(chan struct{}, statePolls)
+	observations := map[string]rollout.Observation{}
+	semaphore := make(chan struct{}, maxConcurrentStatePolls)
 	for _, g := range goals {
 		for _, t := range g.Targets {
 			wg.Add(1)
-			slots <- struct{}{}
+			semaphore <- struct{}{}
 			go func() {
 				defer wg.Done()
-				defer func() { <-slots }()
-				if o, err := d.state(ctx, t.Address); err == nil {
+				defer func() { <-semaphore }()
+				if o, err := d.fetchState(ctx, t.Address); err == nil {
 					mu.Lock()
-					seen[t.Name] = o
+					observations[t.Name] = o
 					mu.Unlock()
 				}
 			}()
 		}
 	}
 	wg.Wait()
-	return seen
+	return observations
 }
 
 // targetState is a target's answer to GET /state.
@@ -154,28 +154,28 @@
 	Fence       int64  `json:"fence"`
 }
 
-func (d *rolloutDriver) state(ctx context.Context, address string) (rollout.Observation, error) {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+func (d *rolloutDriver) fetchState(ctx context.Context, address string) (rollout.Observation, error) {
+	ctx, cancel := context.WithTimeout(ctx, targetStateTimeout)
 	defer cancel()
-	asked := d.clock.now()
+	requestedAt := d.clock.now()
 	var s targetState
-	if err := getJSON(ctx, d.http, "http://"+address+"/state", &s); err != nil {
+	if err := getJSON(ctx, d.httpClient, "http://"+address+"/state", &s); err != nil {
 		return rollout.Observation{}, err
 	}
 	return rollout.Observation{
-		At: asked, Incarnation: s.Incarnation, Model: s.Model, Version: s.Version, Loading: s.Loading, Fence: s.Fence,
+		At: requestedAt, Incarnation: s.Incarnation, Model: s.Model, Version: s.Version, Loading: s.Loading, Fence: s.Fence,
 	}, nil
 }
 
 // append stores the records in order. Whatever becomes of it is settled by
 // the fold: what does not show up there is proposed again.
-func (d *rolloutDriver) append(ctx context.Context, records []rollout.Record) {
+func (d *rolloutDriver) appendRecords(ctx context.Context, records []rollout.Record) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	data := make([][]byte, 0, len(records))
 	for _, r := range records {
 		kind, body := r.Encode()
-		raw, err := logrec.Encode(kind, d.self, d.clock.wallMillis(), body)
+		raw, err := logrec.Encode(kind, d.incarnation, d.clock.wallMillis(), body)
 		if err != nil {
 			logline.Error(err, "rollout_record_failed")
 			return
@@ -188,7 +188,7 @@
 }
 
 // order is the body of POST /orders.
-type order struct {
+type orderRequest struct {
 	Op      string `json:"op"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -199,26 +199,26 @@
 // send gives one order. A process that was paused since the decision may have
 // lost the lease meanwhile, so the duty is checked again right here; the call
 // ends within the margin that the next holder waits out.
-func (d *rolloutDriver) send(ctx context.Context, token platform.Offset, s rollout.OutgoingOrder) {
+func (d *rolloutDriver) sendOrder(ctx context.Context, token platform.Offset, order rollout.OutgoingOrder) {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.MaxOrderDelay/2)
 	defer cancel()
-	body, err := json.Marshal(order{Op: "load", Model: s.Model, Version: s.Version, Fence: s.Fence, OrderID: s.ID.String()})
+	body, err := json.Marshal(orderRequest{Op: "load", Model: order.Model, Version: order.Version, Fence: order.Fence, OrderID: order.ID.String()})
 	if err != nil {
 		return
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address+"/orders", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Address+"/orders", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if now, held := d.duty(); !held || now != token {
+	if current, held := d.fencingToken(); !held || current != token {
 		return
 	}
-	resp, err := d.http.Do(req)
+	resp, err := d.httpClient.Do(req)
 	if err != nil {
-		logline.Error(err, "order_unanswered", "target", s.Target, "order", s.ID)
+		logline.Error(err, "order_unanswered", "target", order.Target, "order", order.ID)
 		return
 	}
 	drainBody(resp)
-	logline.Info("order_sent", "target", s.Target, "order", s.ID, "version", s.Version, "status", resp.StatusCode)
+	logline.Info("order_sent", "target", order.Target, "order", order.ID, "version", order.Version, "status", resp.StatusCode)
 }
--- a/internal/entry/rolloutdriver_test.go
+++ b/internal/entry/rolloutdriver_test.go
@@ -18,7 +18,7 @@
 )
 
 // rolloutBench is a driver with a log and two engines, over real sockets.
-type rolloutBench struct {
+type rolloutFixture struct {
 	t       *testing.T
 	log     platform.Log
 	driver  *rolloutDriver
@@ -28,10 +28,10 @@
 	next    platform.Offset
 }
 
-func newRolloutBench(t *testing.T) *rolloutBench {
+func newRolloutFixture(t *testing.T) *rolloutFixture {
 	service := httptest.NewServer(logsvc.New(logsvc.Config{}).Handler())
 	t.Cleanup(service.Close)
-	b := &rolloutBench{t: t, log: platform.NewHTTPLog(service.URL, nil), intent: &config.Intent{
+	b := &rolloutFixture{t: t, log: platform.NewHTTPLog(service.URL, nil), intent: &config.Intent{
 		Models:  map[string]config.Model{"m": {Name: "m", Version: "v1"}},
 		Pools:   map[string]config.Pool{"p": {Name: "p", Kind: config.KindEngine, Model: "m", ServingFloor: 1, MaxLoads: 1}},
 		Targets: map[string]config.Target{},
@@ -49,18 +49,18 @@
 	s.MaxOrderDelay, s.SoakTime, s.ResendInterval, s.ReproposeAfter = 100*time.Millisecond, 100*time.Millisecond, 10*time.Millisecond, 10*time.Millisecond
 	b.driver = newRolloutDriver(newClock(), s, b.log, "entry-1")
 	b.driver.intent = func() *config.Intent { return b.intent }
-	b.driver.duty = func() (platform.Offset, bool) { return 0, true }
+	b.driver.fencingToken = func() (platform.Offset, bool) { return 0, true }
 	return b
 }
 
 // until runs rounds and folds the log until the pool's state is as wanted.
-func (b *rolloutBench) until(ctx context.Context, wanted func(rollout.PoolState) bool) {
+func (b *rolloutFixture) runUntil(ctx context.Context, wanted func(rollout.PoolState) bool) {
 	b.t.Helper()
 	for !wanted(b.pool) {
 		if ctx.Err() != nil {
 			b.t.Fatalf("state is %+v", b.pool)
 		}
-		b.driver.round(ctx, 0)
+		b.driver.reconcile(ctx, 0)
 		batch, err := b.log.Read(ctx, platform.StreamControl, b.next, 100, 10*time.Millisecond)
 		if err != nil {
 			b.t.Fatal(err)
@@ -70,11 +70,11 @@
 			if err != nil {
 				b.t.Fatal(err)
 			}
-			b.driver.fold(r.Offset, e, 0)
+			b.driver.applyRecord(r.Offset, e, 0)
 			b.next = r.Offset + 1
 		}
 		b.driver.mu.Lock()
-		b.pool, _ = b.driver.ledger.Pool("p")
+		b.pool, _ = b.driver.orderState.Pool("p")
 		b.driver.mu.Unlock()
 	}
 }
@@ -85,17 +85,17 @@
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	b := newRolloutBench(t)
-	b.until(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v1" })
+	b := newRolloutFixture(t)
+	b.runUntil(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v1" })
 	wanted := *b.intent
 	wanted.Models = map[string]config.Model{"m": {Name: "m", Version: "v2"}}
 	b.intent = &wanted
-	b.until(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v2" })
+	b.runUntil(ctx, func(s rollout.PoolState) bool { return s.LastGood == "v2" })
 	for _, e := range b.engines {
 		is.Equal(e.State().Version, "v2")
 	}
 	issued := 0
-	for _, entry := range b.driver.orders() {
+	for _, entry := range b.driver.auditTrail() {
 		if entry.Kind == string(rollout.KindIssued) {
 			issued++
 			is.Equal(entry.Subjects[0].Before, "v1")
@@ -108,11 +108,11 @@
 
 // The instance loses the duty between its decision and the send, as after a
 // pause. The target gets nothing.
-func TestOrderIsNotSentWithoutTheDuty(t *testing.T) {
+func TestOrderNotSentWithoutDuty(t *testing.T) {
 	is := is.New(t)
-	b := newRolloutBench(t)
-	b.driver.duty = func() (platform.Offset, bool) { return 0, false }
-	b.driver.send(context.Background(), 0, rollout.OutgoingOrder{
+	b := newRolloutFixture(t)
+	b.driver.fencingToken = func() (platform.Offset, bool) { return 0, false }
+	b.driver.sendOrder(context.Background(), 0, rollout.OutgoingOrder{
 		Target: "a", Address: b.intent.Targets["a"].Address, Model: "m", Version: "v2", Fence: 9,
 	})
 	is.Equal(b.engines[0].State().Fence, int64(0))
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -80,7 +80,7 @@
 func (e *Entry) view(ready bool) stateView {
 	v := stateView{
 		Instance: e.settings.InstanceID, Incarnation: e.node.Self().Incarnation, Domain: e.settings.Domain,
-		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.share(),
+		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.mintedShare(),
 		Peers: e.members.peerViews(), Leases: e.rates.leaseViews(), Targets: e.pools.targetViews(), Claims: e.claims.view(), Poison: e.poison.view(),
 	}
 	intent := e.config.intent()
@@ -114,7 +114,7 @@
 		}
 		list = append(list, peerView{
 			Address: f.Identity.Address, Instance: f.Identity.Instance, Incarnation: f.Identity.Incarnation,
-			Domain: f.Identity.Domain, SilentMS: (now - m.heard[f.Identity.Address]).Milliseconds(),
+			Domain: f.Identity.Domain, SilentMS: (now - m.lastHeard[f.Identity.Address]).Milliseconds(),
 			Leaving: f.State == wire.MemberLeaving,
 		})
 	}
