--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -17,13 +17,13 @@
 	"github.com/mastictray/mastictray/internal/openai"
 )
 
-// adminServer answers operators: health, metrics and the admin API.
+// adminServer serves the health checks, the metrics and the admin API.
 type adminServer struct {
 	entry  *Entry
 	app    *iris.Application
 	http   *http.Server
 	tokens adminTokens
-	// ready is cleared when the process begins to drain.
+	// ready is false once the process drains.
 	ready atomic.Bool
 }
 
@@ -57,7 +57,7 @@
 	_ = a.http.Shutdown(ctx)
 }
 
-// require lets a call through whose token has the role.
+// requireRole rejects requests whose token does not have the role.
 func (a *adminServer) requireRole(required adminRole) iris.Handler {
 	return func(ctx iris.Context) {
 		if !a.tokens.allows(bearer(ctx.Request()), required) {
@@ -97,24 +97,25 @@
 	_ = ctx.JSON(entries)
 }
 
-// drain begins a graceful shutdown, as SIGTERM does.
+// handleDrain starts a graceful shutdown, as SIGTERM does.
 func (a *adminServer) handleDrain(ctx iris.Context) {
 	a.entry.Drain()
 	ctx.StatusCode(http.StatusAccepted)
 }
 
-// explainBody is a request whose placement is asked for.
+// explainRequest is the body of POST /admin/v1/explain: the caller request whose
+// placement is to be explained.
 type explainRequest struct {
 	Path    string          `json:"path"`
 	Account string          `json:"account"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// explain decides on a request without sending it.
+// handleExplain computes the placement of a request without sending it.
 func (a *adminServer) handleExplain(ctx iris.Context) {
 	var query explainRequest
 	if err := ctx.ReadJSON(&query); err != nil {
-		ctx.StopWithText(http.StatusBadRequest, "expected path, account and body as JSON\n")
+		ctx.StopWithText(http.StatusBadRequest, "invalid body: expected a JSON object with path, account and body\n")
 		return
 	}
 	req, err := parseBody(query.Path, query.Body)
--- a/internal/entry/admintokens.go
+++ b/internal/entry/admintokens.go
@@ -10,24 +10,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// adminRole is what a token may do.
+// adminRole determines what a token may do.
 type adminRole string
 
-// The roles. Operate includes read.
+// The roles. roleOperate includes roleRead.
 const (
 	roleRead    adminRole = "read"
 	roleOperate adminRole = "operate"
 )
 
-// adminTokens are the operators' tokens, by hash. Without any the admin API
-// can be read by everyone who reaches its listener and operated by nobody.
+// adminTokens holds the hashes of the operators' tokens. If no token file is
+// set, everyone who can connect to the admin listener has read access and nobody
+// can operate.
 type adminTokens struct {
 	anonymousRead bool
 	roleByHash    map[[sha256.Size]byte]adminRole
 }
 
-// loadAdminTokens reads a file of lines "role token". An empty name opens the
-// API for reading.
+// loadAdminTokens reads a file with lines of the form "role token". An empty file
+// name allows reads without a token.
 func loadAdminTokens(file string) (adminTokens, error) {
 	if file == "" {
 		return adminTokens{anonymousRead: true}, nil
@@ -53,8 +54,9 @@
 	return t, errors.Wrap(lines.Err(), "read admin tokens")
 }
 
-// allows compares over all hashes in constant time, so that the time of an
-// answer tells nothing about a token.
+// allows reports whether the token has the required role. It compares with all
+// hashes in constant time, so that the response time reveals nothing about the
+// tokens.
 func (t adminTokens) allows(token string, required adminRole) bool {
 	if t.anonymousRead {
 		return required == roleRead
--- a/internal/entry/claimdriver.go
+++ b/internal/entry/claimdriver.go
@@ -12,10 +12,11 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// claimTick bounds the sleep between two looks at due work.
+// maxClaimSleep is the maximum time between two calls of tick.
 const maxClaimSleep = 50 * time.Millisecond
 
-// claimDriver runs the claim machine of this instance.
+// claimDriver connects this instance's claim.Machine to the log, the peers and
+// the clock.
 type claimDriver struct {
 	ctx           context.Context
 	clock         clock
@@ -25,7 +26,7 @@
 
 	mu      sync.Mutex
 	machine *claim.Machine
-	waiters map[string]chan claim.Answer
+	waiters map[string]chan claim.Answer // by request ID
 	wake    wakeSignal
 }
 
@@ -45,7 +46,7 @@
 	return d
 }
 
-// begin asks for the right to run a keyed request and waits for the answer.
+// acquire claims the key of a request and waits for the decision.
 func (d *claimDriver) acquire(ctx context.Context, req claim.Request) (claim.Answer, error) {
 	ch := make(chan claim.Answer, 1)
 	d.mu.Lock()
@@ -64,7 +65,8 @@
 	}
 }
 
-// giveUp frees the key of a caller that left before its answer.
+// abandon releases the key of a request whose caller disconnected while its claim
+// was undecided.
 func (d *claimDriver) abandon(id string, cause error) (claim.Answer, error) {
 	d.mu.Lock()
 	delete(d.waiters, id)
@@ -74,14 +76,15 @@
 	return claim.Answer{}, cause
 }
 
-// dispatch is the last check before the first byte goes to a target.
+// beginDispatch must be called right before the first byte is sent to a target.
+// After an error the request must not be sent.
 func (d *claimDriver) beginDispatch(id string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.machine.BeginDispatch(d.clock.now(), id)
 }
 
-// cancel frees the key: nothing of the request reached a target.
+// cancel releases the key of a request of which nothing was sent to a target.
 func (d *claimDriver) cancel(id string) {
 	d.mu.Lock()
 	d.machine.Cancel(d.clock.now(), id)
@@ -89,7 +92,7 @@
 	d.wake.notify()
 }
 
-// finish records what became of a dispatched request.
+// recordResult stores the outcome of a dispatched request for replays.
 func (d *claimDriver) recordResult(id string, res claim.Result) {
 	d.mu.Lock()
 	err := d.machine.Finish(d.clock.now(), id, res)
@@ -100,8 +103,8 @@
 	d.wake.notify()
 }
 
-// holderGone tells that a process has ended for good: those who wait for its
-// results are answered at once.
+// processEnded records that the process with this incarnation has ended for good.
+// Requests that wait for its results are answered at once.
 func (d *claimDriver) processEnded(incarnation string) {
 	d.mu.Lock()
 	d.machine.ProcessEnded(d.clock.now(), incarnation)
@@ -109,7 +112,7 @@
 	d.wake.notify()
 }
 
-// run hands out the machine's due work until ctx ends.
+// run calls tick whenever work is due, until ctx ends.
 func (d *claimDriver) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -124,7 +127,8 @@
 	}
 }
 
-// step does the due work and returns how long to sleep.
+// tick delivers the decided answers, starts the due appends and returns the time
+// until the next tick.
 func (d *claimDriver) tick(ctx context.Context) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,9 +198,9 @@
 	return d.machine.Snapshot(platform.Offset(req.From), min(max(req.Limit, 1), claimSnapshotPageSize)).ToWire(), nil
 }
 
-// bootstrap takes a peer's fold in place of the records that the log has lost:
-// without it the keys of those records would count as unknown here until the
-// window has passed.
+// restoreFromPeers replaces the records that were trimmed from the log by the
+// claim state of a peer. Without it, this instance would treat the keys of those
+// records as unknown until the claim window has passed.
 func (d *claimDriver) restoreFromPeers() {
 	for _, addr := range d.peerAddresses() {
 		pages, err := d.fetchSnapshot(addr)
@@ -215,7 +219,7 @@
 	}
 }
 
-// pagesOf asks a peer for its whole fold, page by page.
+// fetchSnapshot reads a peer's whole claim state, page by page.
 func (d *claimDriver) fetchSnapshot(addr string) ([]claim.Page, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, claimSnapshotTimeout)
 	defer cancel()
--- a/internal/entry/configdriver.go
+++ b/internal/entry/configdriver.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// configAskEvery is how often a peer is asked for a newer configuration.
-	// It bounds how late a change comes to an instance that is cut off from
-	// the platform only.
+	// configPollInterval is the time between two requests for a newer
+	// configuration, each to one peer in turn. It bounds the delay of a change
+	// on an instance that is partitioned from the log but not from its peers.
 	configPollInterval   = 500 * time.Millisecond
 	configRequestTimeout = time.Second
 )
 
-// configDriver keeps the configuration in force: it follows the config stream
-// and asks peers, and takes whichever has the newer state.
+// configDriver keeps the current configuration. It reads the config stream, polls
+// peers, and adopts whichever state is newer.
 type configDriver struct {
 	ctx           context.Context
 	clock         clock
@@ -34,9 +34,10 @@
 	mu       sync.Mutex
 	follower *config.Follower
 	contacts *keys.ContactTracker
-	// askedLog is when the read that runs now was begun.
+	// logReadStart is when the current read of the log began.
 	logReadStart time.Duration
-	logStart     int64
+	// logStart is the oldest offset that the log retained at the last read.
+	logStart int64
 
 	state          atomic.Pointer[config.State]
 	ready          chan struct{}
@@ -60,13 +61,14 @@
 	return d
 }
 
-// onChange registers a function that is called with each new state, one call
-// at a time. Register before run.
+// onChange registers a function that is called with the new state whenever the
+// revision changes. Calls do not overlap. It must be called before the driver's
+// goroutines start.
 func (d *configDriver) onChange(f func(*config.State)) {
 	d.changeHandlers = append(d.changeHandlers, f)
 }
 
-// intent is the configuration in force, or nil before the first.
+// intent returns the current configuration, or nil if none is known yet.
 func (d *configDriver) intent() *config.Intent {
 	s := d.state.Load()
 	if s == nil {
@@ -75,7 +77,8 @@
 	return s.Intent()
 }
 
-// authorize checks a presented key against the configuration in force.
+// authorize checks a caller's key against the current configuration. It returns
+// the account and the ID of the key.
 func (d *configDriver) authorize(key string) (config.Account, string, error) {
 	intent := d.intent()
 	d.mu.Lock()
@@ -84,6 +87,7 @@
 	return keys.Authorize(intent, key, contact)
 }
 
+// spansDomains reports whether the targets are in more than one failure domain.
 func spansDomains(intent *config.Intent) bool {
 	first := ""
 	for _, t := range intent.Targets {
@@ -95,7 +99,8 @@
 	return false
 }
 
-// view is the state in force and the oldest offset that the log retains.
+// stateAndLogStart returns the current state and the oldest offset that the log
+// retains.
 func (d *configDriver) stateAndLogStart() (*config.State, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +114,8 @@
 	return platform.Offset(d.follower.Next())
 }
 
-// refresh asks the log and all peers for news at once, without waiting.
+// refresh starts a read of the log and requests to all peers, and returns without
+// waiting for the answers.
 func (d *configDriver) refresh() {
 	for _, addr := range d.peerAddresses() {
 		go d.requestFrom(d.ctx, addr)
@@ -135,7 +141,7 @@
 	return d.applyLogBatch(b, requestedAt)
 }
 
-// take folds an answer of the log to a read that was begun at asked.
+// applyLogBatch applies the result of a log read that began at requestedAt.
 func (d *configDriver) applyLogBatch(b platform.Batch, requestedAt time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +160,7 @@
 	d.follower.SkipTo(int64(start))
 }
 
-// publish puts the follower's state into force. Callers hold mu.
+// publish makes the follower's state the current one. The caller holds mu.
 func (d *configDriver) publish() {
 	current, previous := d.follower.State(), d.state.Load()
 	if current == nil || current == previous {
@@ -172,9 +178,9 @@
 	}
 }
 
-// askPeers asks one peer after another for a newer state until ctx ends. The
-// first round asks all at once: a starting instance takes whichever of the
-// log and the peers answers first.
+// pollPeers requests a newer state from one peer after another until ctx ends. The
+// first round goes to all peers at once, so that a starting instance can use the
+// first answer, be it from the log or from a peer.
 func (d *configDriver) pollPeers(ctx context.Context) {
 	for _, addr := range d.peerAddresses() {
 		go d.requestFrom(ctx, addr)
@@ -187,6 +193,7 @@
 	}
 }
 
+// requestFrom requests a newer state from one peer.
 func (d *configDriver) requestFrom(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, configRequestTimeout)
 	defer cancel()
@@ -204,8 +211,9 @@
 	d.guard.handleAnswer(requestedAt)
 }
 
-// adopt takes a peer's answer to a question of the time asked. What the peer
-// knew then is all that is certain: the process may have been paused since.
+// handleResponse handles a peer's response to a request sent at requestedAt. The
+// response counts as contact at that time, not at its arrival: the process may
+// have been paused in between.
 func (d *configDriver) handleResponse(from wire.Identity, resp wire.ConfigResponse, requestedAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,6 +241,8 @@
 	}
 }
 
+// handleRequest responds to a peer with the current state, if that is newer than
+// the peer's.
 func (d *configDriver) handleRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var req wire.ConfigRequest
 	if err := f.DecodeBody(&req); err != nil {
@@ -252,7 +262,8 @@
 	return resp, err
 }
 
-// logAgeMillis is how old the newest news from the log is; -1 for none yet.
+// logAgeMillis returns the time since this instance, or one whose data has reached
+// it, last read the log; -1 if there was no such read.
 func (d *configDriver) logAgeMillis() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,4 +1,6 @@
-// Package entry is the process on an entry instance: it takes callers'
-// requests, asks the decision packages what to do, and does it. All I/O of
-// the serving path is here; the decisions are in packages of their own.
+// Package entry implements the process that runs on an entry instance. It
+// accepts callers' requests and forwards them to targets. All I/O of the serving
+// path is in this package; the decisions (rates, leases, claims, placement and so
+// on) are made by packages that do no I/O. A driver connects each of those to the
+// log, the peers and the clock.
 package entry
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -21,7 +21,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Entry is one entry instance's process.
+// Entry is the process of one entry instance.
 type Entry struct {
 	settings *settings.Settings
 	clock    clock
@@ -43,12 +43,12 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// drain is closed when an operator asks for a graceful shutdown.
+	// drainRequested is closed to start a graceful shutdown.
 	drainRequested chan struct{}
 	drainOnce      sync.Once
 }
 
-// New builds the process from checked settings. Nothing listens yet.
+// New creates the process from validated settings. It opens no listener.
 func New(s *settings.Settings) (*Entry, error) {
 	secret, err := s.PeerSecret()
 	if err != nil {
@@ -70,13 +70,14 @@
 
 const maxIdlePlatformConns = 8
 
+// buildComponents creates the drivers and servers and connects them.
 func (e *Entry) buildComponents(sec security) {
 	s := e.settings
-	var list platform.InstanceLister
+	var lister platform.InstanceLister
 	if s.InstancesURL != "" {
-		list = platform.NewHTTPInstances(s.InstancesURL, e.platform)
+		lister = platform.NewHTTPInstances(s.InstancesURL, e.platform)
 	}
-	e.members = newMembers(e.clock, e.node, list, s.Peers)
+	e.members = newMembers(e.clock, e.node, lister, s.Peers)
 	e.rates = newRateDriver(e.clock, e.node, e.log, fleetLayout{domains: s.FleetDomains, slotsPerDomain: s.MintSlots})
 	e.members.rates = e.rates
 	e.config = newConfigDriver(e.ctx, e.clock, e.node, e.log, s.Domain, e.members.peerAddresses)
@@ -106,8 +107,8 @@
 	e.admin = newAdminServer(e, sec.admin)
 }
 
-// Run serves until ctx ends, then drains. It returns when the last stream is
-// out.
+// Run serves until ctx ends or Drain is called, then shuts down gracefully. It
+// returns when all responses have been sent or the drain timeout has passed.
 func (e *Entry) Run(ctx context.Context) error {
 	listeners, err := e.listen()
 	if err != nil {
@@ -139,9 +140,10 @@
 	return nil
 }
 
-// Drain begins a graceful shutdown; Run returns when it is over.
+// Drain starts a graceful shutdown, after which Run returns.
 func (e *Entry) Drain() { e.drainOnce.Do(func() { close(e.drainRequested) }) }
 
+// startBackground runs f in a goroutine that shutdown waits for.
 func (e *Entry) startBackground(f func()) {
 	e.wg.Add(1)
 	go func() {
@@ -150,7 +152,7 @@
 	}()
 }
 
-// listeners are the three sockets of the process.
+// listeners holds the three listening sockets of the process.
 type listeners struct{ caller, peer, admin net.Listener }
 
 func (e *Entry) listen() (listeners, error) {
@@ -159,22 +161,23 @@
 	for _, spec := range []struct {
 		name string
 		addr string
-		into *net.Listener
+		dst  *net.Listener
 	}{
 		{"peers", e.settings.PeerListen, &l.peer},
 		{"admin", e.settings.AdminListen, &l.admin},
 		{"callers", e.settings.CallerListen, &l.caller},
 	} {
-		if *spec.into, err = net.Listen("tcp", spec.addr); err != nil {
+		if *spec.dst, err = net.Listen("tcp", spec.addr); err != nil {
 			return l, errors.Wrapf(err, "listen for %s at %s", spec.name, spec.addr)
 		}
 	}
 	return l, nil
 }
 
-// shutdown drains: it stops being ready first and goes on accepting while the
-// balancer still sends, then takes no new requests, finishes every stream,
-// gives its leases back and ends.
+// shutdown stops the process gracefully. It first reports not ready and goes on
+// serving for BalancerLag, since the load balancer still sends requests. Then it
+// refuses new requests, waits for the responses in progress up to DrainTimeout,
+// releases the leases and stops all goroutines.
 func (e *Entry) shutdown() {
 	logline.Info("drain_started", "balancer_lag", e.settings.BalancerLag)
 	e.admin.ready.Store(false)
@@ -194,6 +197,7 @@
 	logline.Info("entry_stopped", "instance", e.settings.InstanceID)
 }
 
+// drainCallers refuses new requests and waits for those in progress.
 func (e *Entry) drainCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout)
 	defer cancel()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -28,7 +28,7 @@
 
 const testKey = "mt-test"
 
-// freePort is an address that nothing listens at.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	return l.Addr().String()
 }
 
-// publishTo appends a configuration with one account and one target.
+// publishConfig appends a configuration with one account and one target.
 func publishConfig(t *testing.T, log platform.Log, target string) {
 	t.Helper()
 	is := is.New(t)
@@ -54,8 +54,8 @@
 	is.NoErr(err)
 }
 
-// startEntry runs an entry in this process and returns its callers' address and
-// a function that shuts it down and waits for its end.
+// startEntry runs an entry in this process. It returns the address for callers and
+// a function that shuts the entry down and waits until Run returns.
 func startEntry(t *testing.T, logURL string) (caller string, stop func()) {
 	t.Helper()
 	is := is.New(t)
@@ -78,7 +78,8 @@
 	}
 }
 
-// ask sends one streamed request and reports whether its answer came whole.
+// sendRequest sends one streaming request and reports whether the response was
+// complete.
 func sendRequest(client *http.Client, address, prompt string) bool {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, prompt)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+chatPath, strings.NewReader(body))
@@ -95,9 +96,8 @@
 	return err == nil && resp.StatusCode == http.StatusOK && strings.Contains(string(raw), "[DONE]")
 }
 
-// An instance serves many callers at once and is shut down. Nothing of it is
-// left: a goroutine that stays behind in a process which is only asked to drain
-// would keep it from ending.
+// An instance that served many callers at once must leave no goroutine after its
+// shutdown. A leaked goroutine could keep a draining process from ending.
 func TestShutdownLeavesNoGoroutines(t *testing.T) {
 	is := is.New(t)
 	log := httptest.NewServer(logsvc.New(logsvc.Config{}).Handler())
@@ -109,28 +109,28 @@
 
 	caller, stop := startEntry(t, log.URL)
 	client := &http.Client{Transport: &http.Transport{}}
-	waitFor(t, "the first answer", func() bool { return sendRequest(client, caller, "hello") })
+	waitFor(t, "first response", func() bool { return sendRequest(client, caller, "hello") })
 	var wg sync.WaitGroup
 	for i := range 64 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			if !sendRequest(client, caller, strings.Repeat("x", 100*i)) {
-				t.Errorf("request %d got no whole answer", i)
+				t.Errorf("request %d: response failed or incomplete", i)
 			}
 		}()
 	}
 	wg.Wait()
 	client.CloseIdleConnections()
 	stop()
-	waitFor(t, "the entry's goroutines end", func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, "end of the entry's goroutines", func() bool { return runtime.NumGoroutine() <= before })
 	target.Close()
 	fake.Close()
 	log.Close()
 	is.True(!t.Failed())
 }
 
-// waitFor waits for a condition, far longer than it takes.
+// waitFor waits until cond is true. The timeout is far above the expected time.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -139,5 +139,5 @@
 		}
 	}
 	buf := make([]byte, 1<<20)
-	t.Fatalf("gave up waiting: %s\n%s", what, buf[:runtime.Stack(buf, true)])
+	t.Fatalf("timed out waiting for %s\n%s", what, buf[:runtime.Stack(buf, true)])
 }
--- a/internal/entry/httplog.go
+++ b/internal/entry/httplog.go
@@ -7,8 +7,8 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// discardLogger turns net/http's own messages into event lines, without the
-// request they speak of.
+// newHTTPErrorLogger returns a logger that writes the error messages of net/http
+// as log events. They carry no request ID.
 func newHTTPErrorLogger() *log.Logger { return log.New(httpErrorWriter{}, "", 0) }
 
 type httpErrorWriter struct{}
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -11,6 +11,8 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
+// handlePromiseRequest answers a peer that asks this instance not to acquire some
+// leases for a while.
 func (d *rateDriver) handlePromiseRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var req wire.LeasePromiseRequest
 	if err := f.DecodeBody(&req); err != nil {
@@ -21,7 +23,7 @@
 	return d.holder.HandlePromiseRequest(d.clock.now(), req), nil
 }
 
-// tickLease does the lease holder's due work.
+// tickLease starts the appends and promise requests that are due.
 func (d *rateDriver) tickLease(ctx context.Context) {
 	d.mu.Lock()
 	ready := d.holder.Tick(d.clock.now())
@@ -30,12 +32,13 @@
 	for _, r := range ready.Records {
 		go d.appendRecord(ctx, r)
 	}
-	for _, a := range ready.PromiseRequests {
-		go d.requestPromise(ctx, a)
+	for _, req := range ready.PromiseRequests {
+		go d.requestPromise(ctx, req)
 	}
 }
 
-// refreshParts tells the limiter what the leases allow. Callers hold mu.
+// updateAllocations passes the allocations of the held mint slots to the limiter.
+// The caller holds mu.
 func (d *rateDriver) updateAllocations() {
 	now := d.clock.now()
 	grants := d.holder.Grants(now)
@@ -48,6 +51,7 @@
 	d.limiter.SetAllocations(now, rate.AllocationsOf(slotGrants, d.fleet.slots(), floorFraction))
 }
 
+// appendRecord appends a lease record and passes the result to the holder.
 func (d *rateDriver) appendRecord(ctx context.Context, r lease.Record) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -60,6 +64,7 @@
 	d.mu.Unlock()
 }
 
+// requestPromise sends a promise request to another member.
 func (d *rateDriver) requestPromise(ctx context.Context, req lease.PromiseRequest) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
@@ -73,8 +78,8 @@
 	d.updateAllocations()
 }
 
-// valid reports whether this instance may act on a duty now, and with which
-// fencing token.
+// dutyToken returns the fencing token of a duty lease, and whether this instance
+// may act on the lease now.
 func (d *rateDriver) dutyToken(r lease.Resource) (platform.Offset, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,6 +105,7 @@
 		if err != nil {
 			logline.Error(err, "control_record_skipped", "offset", rec.Offset)
 		}
+		// An undecodable record is applied too, so that the offset advances.
 		if err := d.holder.Apply(now, rec.Offset, env); err != nil {
 			logline.Error(err, "control_record_skipped", "offset", rec.Offset)
 		}
@@ -125,8 +131,8 @@
 	logline.Info("control_trimmed", "start", start)
 }
 
-// checkpoint is the state of all leases, if it is known, and the oldest offset
-// that the log has kept of them.
+// checkpoint returns the state of all leases and the oldest offset that the
+// control stream retains. ok is false if the state is not known.
 func (d *rateDriver) checkpoint() (c lease.Checkpoint, logStart platform.Offset, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +140,7 @@
 	return c, d.logStart, ok
 }
 
-// leave gives every lease back, at the end of a graceful shutdown.
+// releaseLeases releases all leases at the end of a graceful shutdown.
 func (d *rateDriver) releaseLeases(ctx context.Context) {
 	d.mu.Lock()
 	r := d.holder.Leave()
--- a/internal/entry/logtail.go
+++ b/internal/entry/logtail.go
@@ -15,23 +15,24 @@
 	tailBatchLimit = 1024
 	tailPollWait   = 5 * time.Second
 	tailTimeout    = 10 * time.Second
-	// After an outage every instance comes back to the log; the waits grow and
-	// are spread by half, so that they do not come back at once.
+	// The retry delays grow from tailRetryMin to tailRetryMax and are randomized
+	// by 50%, so that the instances do not all return to the log at the same
+	// moment after an outage.
 	tailRetryMin = 100 * time.Millisecond
 	tailRetryMax = 2 * time.Second
 )
 
-// follower is a fold of one stream of the log.
+// streamConsumer applies the records of one stream of the log.
 type streamConsumer interface {
-	// next is the offset to read from.
+	// nextOffset returns the offset to read from.
 	nextOffset() platform.Offset
-	// read takes an answer to a read from next on.
+	// handleBatch handles the result of a read that began at nextOffset.
 	handleBatch(b platform.Batch) error
-	// trimmed tells that the records before start are lost.
+	// handleTrim is called if the log no longer has the records before start.
 	handleTrim(start platform.Offset)
 }
 
-// tail feeds a stream to its follower until ctx ends.
+// tail passes the records of a stream to its consumer until ctx ends.
 func tail(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) {
 	retries := backoff.NewExponentialBackOff()
 	retries.InitialInterval, retries.MaxInterval = tailRetryMin, tailRetryMax
@@ -50,6 +51,8 @@
 	}
 }
 
+// tailBatch reads the next records, waiting for up to tailPollWait if there are
+// none, and passes them to the consumer.
 func tailBatch(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) error {
 	callCtx, cancel := context.WithTimeout(ctx, tailTimeout)
 	defer cancel()
@@ -64,7 +67,7 @@
 	return consumer.handleBatch(batch)
 }
 
-// sleep waits or returns early when ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -20,12 +20,13 @@
 	heartbeatInterval   = 300 * time.Millisecond
 	heartbeatTimeout    = 500 * time.Millisecond
 	instanceListTimeout = 2 * time.Second
-	// listRowBytes is about what one row of the list takes beside its names.
+	// listRowOverheadBytes is the approximate size of one row of the instance
+	// list on the wire without the values of its strings.
 	listRowOverheadBytes = 70
 )
 
-// members runs the view of the other entry instances and of the targets that
-// are leaving, and exchanges rate balances with the live ones.
+// members keeps the view of the other entry instances and of the draining targets,
+// and exchanges heartbeats with the live instances.
 type members struct {
 	clock  clock
 	node   *peer.Node
@@ -34,21 +35,22 @@
 	poison *poisonDriver
 	claims *claimDriver
 	seeds  []string
-	// changed is told which targets are leaving, at every beat.
-	updateDraining func(leaving func(target string) bool)
-	// replaced is called when a later process has this instance's name.
+	// updateDraining is called at every heartbeat with a function that reports
+	// whether a target is draining.
+	updateDraining func(draining func(target string) bool)
+	// onReplaced is called when a later process runs under this instance's name.
 	onReplaced func()
 
-	mu   sync.Mutex
-	view *membership.View
-	// incarnations by instance name, and when each address was last heard.
-	incarnations map[string]string
-	lastHeard    map[string]time.Duration
+	mu           sync.Mutex
+	view         *membership.View
+	incarnations map[string]string // by instance name
+	// lastHeard holds the arrival time of the last heartbeat, by peer address.
+	lastHeard map[string]time.Duration
 }
 
-func newMembers(c clock, node *peer.Node, list platform.InstanceLister, seeds []string) *members {
+func newMembers(c clock, node *peer.Node, lister platform.InstanceLister, seeds []string) *members {
 	m := &members{
-		clock: c, node: node, lister: list,
+		clock: c, node: node, lister: lister,
 		seeds:        slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == node.Self().Address }),
 		incarnations: make(map[string]string), lastHeard: make(map[string]time.Duration),
 	}
@@ -61,7 +63,7 @@
 	return m
 }
 
-// addresses are the peers to talk to: those that are heard, and the seeds.
+// peerAddresses returns the addresses of the live peers and of the seeds.
 func (m *members) peerAddresses() []string {
 	list := slices.Clone(m.seeds)
 	for _, p := range m.livePeers() {
@@ -73,10 +75,10 @@
 	return list
 }
 
-// count is the number of live entry instances, this one included.
+// liveInstanceCount returns the number of live entry instances, this one included.
 func (m *members) liveInstanceCount() int { return len(m.livePeers()) + 1 }
 
-// known are the other instances that are heard and not leaving.
+// livePeers returns the other instances that are live and not leaving.
 func (m *members) livePeers() []wire.Identity {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +113,8 @@
 	}
 }
 
-// work does what the view has ready.
+// processReady sends the messages, reads the list and handles the changes that
+// the view has pending.
 func (m *members) processReady(ctx context.Context) {
 	m.mu.Lock()
 	ready := m.view.Ready()
@@ -130,18 +133,19 @@
 func (m *members) sendMessage(ctx context.Context, msg membership.Message) {
 	ctx, cancel := context.WithTimeout(ctx, memberSendTimeout)
 	defer cancel()
-	_ = m.node.Send(ctx, msg.To, msg.Kind, msg.Body) // the view asks again
+	_ = m.node.Send(ctx, msg.To, msg.Kind, msg.Body) // the view retries
 }
 
-// note logs a change. A later process under an instance's name tells that the
-// earlier one has ended: callers that wait for its answers hear so at once.
+// handleChange logs a change of a peer or a target. If a new process runs under an
+// instance's name, the previous one has ended, and requests that wait for its
+// results are answered at once.
 func (m *members) handleChange(c membership.Change) {
 	if c.Target != nil {
-		logline.Info("target_known", "target", c.Target.Target, "draining", c.Target.Draining, "gone", c.Target.Gone, "incarnation", c.Target.Incarnation)
+		logline.Info("target_changed", "target", c.Target.Target, "draining", c.Target.Draining, "gone", c.Target.Gone, "incarnation", c.Target.Incarnation)
 		return
 	}
 	id := c.Member.Identity
-	logline.Info("peer_known", "peer", id.Address, "instance", id.Instance, "incarnation", id.Incarnation, "domain", id.Domain, "state", c.Member.State)
+	logline.Info("peer_changed", "peer", id.Address, "instance", id.Instance, "incarnation", id.Incarnation, "domain", id.Domain, "state", c.Member.State)
 	m.mu.Lock()
 	previous := m.incarnations[id.Instance]
 	m.incarnations[id.Instance] = id.Incarnation
@@ -151,6 +155,7 @@
 	}
 }
 
+// refreshList reads the platform's list of instances into the view.
 func (m *members) refreshList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, instanceListTimeout)
 	defer cancel()
@@ -168,7 +173,7 @@
 	}
 }
 
-// listBytes is about the size of the list on the wire.
+// listBytes returns the approximate size of the list on the wire.
 func listBytes(l platform.InstanceList) int {
 	n := 0
 	for _, in := range l.Instances {
@@ -189,22 +194,22 @@
 	return nil, nil
 }
 
-// observed takes the incarnation that a target named in an answer.
+// observeIncarnation records the incarnation that a target stated in a response.
 func (m *members) observeIncarnation(target, incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
-// leave tells the peers that this instance drains.
+// announceLeave tells the peers that this instance is draining.
 func (m *members) announceLeave() {
 	m.mu.Lock()
 	m.view.Leave(m.clock.now())
 	m.mu.Unlock()
 }
 
-// beatAll exchanges balances with the live peers and tells all drivers who is
-// live and leaving.
+// exchangeHeartbeats passes the live peers and the draining targets to the
+// drivers and exchanges heartbeats with each peer.
 func (m *members) exchangeHeartbeats(ctx context.Context) {
 	peers := m.livePeers()
 	m.rates.setPeers(peers)
@@ -220,8 +225,8 @@
 	})
 }
 
-// forget drops what was heard of addresses that are not known any more: the map
-// would grow with each replaced instance.
+// pruneLastHeard removes the addresses that no live peer has any more. Otherwise
+// the map would grow with each replaced instance.
 func (m *members) pruneLastHeard(peers []wire.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,6 +237,8 @@
 	}
 }
 
+// exchangeHeartbeat sends this instance's heartbeat to a peer, which responds with
+// its own.
 func (m *members) exchangeHeartbeat(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -241,7 +248,7 @@
 	}
 }
 
-// own is this instance's heartbeat.
+// heartbeat returns this instance's current heartbeat.
 func (m *members) heartbeat() wire.Heartbeat {
 	hints, share := m.rates.hints()
 	return wire.Heartbeat{From: m.node.Self(), RateShare: share, Hints: hints}
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/mastictray/mastictray/internal/openai"
 )
 
-// entryMetrics are the process's counters; docs/operators/metrics.md has what
-// each means.
+// entryMetrics holds the counters and histograms of the process, which
+// docs/operators/metrics.md describes.
 type entryMetrics struct{ set *metrics.Set }
 
 func newEntryMetrics() *entryMetrics { return &entryMetrics{set: metrics.NewSet()} }
--- a/internal/entry/pauseguard.go
+++ b/internal/entry/pauseguard.go
@@ -10,36 +10,40 @@
 
 const (
 	pauseCheckInterval = 50 * time.Millisecond
-	// thawGap is the silence of the ticker after which the process counts as
-	// having been paused. It is far above a scheduling delay and below the
-	// time within which a withdrawn key must stop working.
+	// pauseThreshold is the time between two checks above which the process
+	// counts as having been paused. It is far above scheduling delays and below
+	// the time within which a withdrawn key must stop working.
 	pauseThreshold = time.Second
-	// thawWait bounds how long requests wait for news after a pause. When
-	// neither the log nor a peer answers by then, the instance is cut off and
-	// the accounts' key-cutoff decides.
+	// pauseRefreshTimeout bounds how long requests wait for current data after a
+	// pause. If neither the log nor a peer answers in time, the instance is
+	// partitioned, and the accounts' key-cutoff determines whether a key is
+	// accepted.
 	pauseRefreshTimeout = time.Second
 )
 
-// thawGuard notices that the process was paused. A paused process misses
-// withdrawals of keys and changes of configuration; without the guard its
-// first requests after the pause would run on what it knew before. Requests
-// wait until an answer to a question asked after the pause has come.
+// pauseGuard detects that the process was paused. During a pause the process misses
+// withdrawals of keys and changes of the configuration, and without the guard the
+// first requests afterwards would be served with outdated data. Requests wait until
+// the log or a peer has answered a query that was sent after the pause.
 type pauseGuard struct {
 	now func() time.Duration
-	// refresh asks for news; each answer ends in confirmed.
+	// refresh queries the log and the peers. handleAnswer is called with each
+	// answer.
 	refresh func()
 
 	mu        sync.Mutex
 	lastTick  time.Duration
 	resumedAt time.Duration
-	refreshed chan struct{} // closed by the confirmation; nil while fresh
+	// refreshed is closed when current data has arrived. It is nil unless requests
+	// have to wait.
+	refreshed chan struct{}
 }
 
 func newPauseGuard(now func() time.Duration, refresh func()) *pauseGuard {
 	return &pauseGuard{now: now, refresh: refresh, lastTick: now()}
 }
 
-// run ticks until ctx ends.
+// run checks for pauses periodically until ctx ends.
 func (g *pauseGuard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.detectPause()
@@ -47,7 +51,8 @@
 	}
 }
 
-// tick notes that the process runs and finds out whether it was paused.
+// detectPause checks whether the process was paused since the previous call and, if
+// so, starts a refresh.
 func (g *pauseGuard) detectPause() {
 	g.mu.Lock()
 	now := g.now()
@@ -66,7 +71,8 @@
 	g.refresh()
 }
 
-// confirmed takes in that an answer came to a question asked at that time.
+// handleAnswer records an answer to a query that was sent at requestedAt. If that was
+// after the pause, the waiting requests proceed.
 func (g *pauseGuard) handleAnswer(requestedAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,32 +82,32 @@
 	}
 }
 
-// wait returns when the process is up to date, or has waited long enough.
-// Every request calls it, so a pause is noticed by whichever goroutine runs
-// first after it.
+// waitUntilFresh returns when the process has current data, at once if it was not
+// paused and otherwise after pauseRefreshTimeout at the latest. Every request calls
+// it, so that whichever goroutine runs first after a pause detects it.
 func (g *pauseGuard) waitUntilFresh(ctx context.Context) {
 	g.detectPause()
 	g.mu.Lock()
-	news := g.refreshed
+	refreshed := g.refreshed
 	g.mu.Unlock()
-	if news == nil {
+	if refreshed == nil {
 		return
 	}
 	t := time.NewTimer(pauseRefreshTimeout)
 	defer t.Stop()
 	select {
-	case <-news:
+	case <-refreshed:
 	case <-t.C:
-		g.stopWaiting(news)
+		g.stopWaiting(refreshed)
 	case <-ctx.Done():
 	}
 }
 
-// giveUp lets requests through that would otherwise wait for nobody.
-func (g *pauseGuard) stopWaiting(news chan struct{}) {
+// stopWaiting lets requests proceed without current data.
+func (g *pauseGuard) stopWaiting(refreshed chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.refreshed == news {
+	if g.refreshed == refreshed {
 		g.refreshed = nil
 		logline.Info("paused_without_news")
 	}
--- a/internal/entry/pauseguard_test.go
+++ b/internal/entry/pauseguard_test.go
@@ -8,20 +8,20 @@
 	"github.com/matryer/is"
 )
 
-// A process is paused for five seconds in which a key was withdrawn. The first
-// request after the pause must wait: an answer to a question from before the
-// pause does not let it through, one asked after the pause does. Otherwise the
-// caller of the withdrawn key is served.
+// A key is withdrawn while the process is paused for five seconds. The first
+// request afterwards must wait until a query that was sent after the pause is
+// answered; an answer to an earlier query is not enough. Otherwise a request with
+// the withdrawn key would be served.
 func TestRequestsWaitForNewsAfterPause(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
 	refreshes := 0
 	g := newPauseGuard(func() time.Duration { return now }, func() { refreshes++ })
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // wait returns at once; what it left behind is looked at
+	cancel() // waitUntilFresh returns at once; the test checks the state it leaves
 
 	g.waitUntilFresh(ctx)
-	is.True(g.refreshed == nil) // no pause, no wait
+	is.True(g.refreshed == nil) // not paused
 
 	now = 5 * time.Second
 	g.waitUntilFresh(ctx)
@@ -29,7 +29,7 @@
 	is.Equal(refreshes, 1)
 
 	g.handleAnswer(4 * time.Second)
-	is.True(g.refreshed != nil) // the question is older than the pause
+	is.True(g.refreshed != nil) // the query was sent before the pause ended
 
 	g.handleAnswer(5 * time.Second)
 	is.True(g.refreshed == nil)
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -19,12 +19,13 @@
 	appendTimeout      = 3 * time.Second
 	rateRequestTimeout = 200 * time.Millisecond
 	promiseTimeout     = time.Second
-	// floorPart is the part of each slot that its last holder may go on
-	// spending while it is cut off from everything.
+	// floorFraction is the fraction of a mint slot that its last holder may go
+	// on issuing while it is partitioned and cannot renew the lease.
 	floorFraction = 0.25
 )
 
-// fleet is what all instances must agree on for the rates to add up.
+// fleetLayout is the division of the rates into mint slots. All instances must have
+// the same, or the shares would not add up to the accounts' rates.
 type fleetLayout struct {
 	domains        []string
 	slotsPerDomain int
@@ -32,7 +33,8 @@
 
 func (f fleetLayout) slots() int { return len(f.domains) * f.slotsPerDomain }
 
-// rateDriver runs the lease protocol and the rate limiter of this instance.
+// rateDriver connects this instance's lease holder and rate limiter to the log, the
+// peers and the clock.
 type rateDriver struct {
 	clock clock
 	node  *peer.Node
@@ -43,15 +45,15 @@
 	holder         *lease.Holder
 	limiter        *rate.Limiter
 	waiters        map[rate.Ticket]chan rate.Outcome
-	accounts       map[string]bool
+	accounts       map[string]bool // those that the limiter has
 	peers          []wire.Identity
-	peerShares     map[string]float64 // by address: the share a peer says it mints
-	heartbeatAt    map[string]time.Duration
+	peerShares     map[string]float64       // by address: the share that the peer reports to mint
+	heartbeatAt    map[string]time.Duration // by address: arrival of the last heartbeat
 	recordHandlers []func(platform.Offset, logrec.Envelope)
 	wake           wakeSignal
-	// splitSeen is the version of the split that is in force here.
+	// splitVersion is the version of the split that the limiter applies.
 	splitVersion int
-	// logStart is the oldest offset that the log had kept at the last read.
+	// logStart is the oldest offset that the log retained at the last read.
 	logStart platform.Offset
 }
 
@@ -81,13 +83,14 @@
 	return d
 }
 
-// Leases of duties that one instance of the fleet does at a time.
+// Leases of duties that only one instance of the fleet performs at a time.
 const (
 	dutyRollout  lease.Resource = "duty/rollout"
 	dutySnapshot lease.Resource = "duty/snapshot"
 )
 
-// setAccounts puts the accounts of a configuration into force.
+// setAccounts passes the accounts of a new configuration to the limiter and removes
+// those that it no longer has.
 func (d *rateDriver) setAccounts(s *config.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +110,8 @@
 	}
 }
 
-// admit debits the cost of a request, waiting a little for tokens to come.
+// admit debits the cost of a request. If tokens are missing it waits for them, at
+// most until the deadline.
 func (d *rateDriver) admit(ctx context.Context, account string, cost float64, deadline time.Duration) rate.Outcome {
 	d.mu.Lock()
 	o := d.limiter.Admit(d.clock.now(), account, cost, deadline)
@@ -127,8 +131,8 @@
 	}
 }
 
-// giveUp ends the wait of a caller that left. Tokens that were debited for it
-// meanwhile go back.
+// cancelWait removes the waiting request of a caller that disconnected. Tokens that
+// were debited for it in the meantime are returned.
 func (d *rateDriver) cancelWait(account string, t rate.Ticket, cause error) rate.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,21 +147,23 @@
 	return rate.Outcome{Err: cause}
 }
 
-// confirm reports, right before dispatch, whether the debit still stands.
+// reservationValid reports whether a request may still be dispatched on its
+// reservation. It is called right before the dispatch.
 func (d *rateDriver) reservationValid(r rate.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Confirm(d.clock.now(), r)
 }
 
-// settle ends a reservation with what the request used.
+// settle ends a reservation. used is the number of tokens that the request cost.
 func (d *rateDriver) settle(r *rate.Reservation, used float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limiter.Settle(d.clock.now(), r, used)
 }
 
-// finish hands a decision to the request that waits for it. Callers hold mu.
+// deliver passes a decision to the request that waits for it. If that request is
+// gone, its tokens are returned. The caller holds mu.
 func (d *rateDriver) deliver(o rate.Outcome) {
 	ch := d.waiters[o.Ticket]
 	if ch == nil {
@@ -188,7 +194,8 @@
 	}
 }
 
-// tickRate does the limiter's due work and returns how long to sleep.
+// tickRate delivers the limiter's decisions, sends its messages and returns the time
+// until the next tick.
 func (d *rateDriver) tickRate(ctx context.Context, nextLease time.Duration) time.Duration {
 	d.mu.Lock()
 	now := d.clock.now()
@@ -197,8 +204,8 @@
 		d.deliver(o)
 	}
 	d.mu.Unlock()
-	for _, a := range ready.Asks {
-		go d.requestTokens(ctx, a)
+	for _, ask := range ready.Asks {
+		go d.requestTokens(ctx, ask)
 	}
 	for _, r := range ready.Returns {
 		go d.returnTokens(ctx, r)
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -13,8 +13,8 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// takeLease runs a holder, alone on its log, until it holds the lease, and
-// returns what it wrote.
+// acquireLease runs a holder on a log of its own until it holds the lease, and
+// returns the records that it wrote.
 func acquireLease(t *testing.T, m lease.Member, r lease.Resource) []platform.Record {
 	t.Helper()
 	is := is.New(t)
@@ -22,7 +22,7 @@
 	h := lease.NewHolder(lease.DefaultSettings(m, []lease.Resource{r}))
 	h.MarkCaughtUp()
 	for now := time.Second; !h.Valid(now, r); now += 100 * time.Millisecond {
-		is.True(now < time.Minute) // a free lease is taken
+		is.True(now < time.Minute) // a free lease must be acquired
 		for _, rec := range h.Tick(now).Records {
 			data, err := logrec.Encode(rec.Kind, m.ID, 0, rec.Body)
 			is.NoErr(err)
@@ -36,10 +36,10 @@
 	return records
 }
 
-// An instance without a lease knows its peers before one of them takes one.
-// Its next request is within its account's rate and needs that peer's tokens.
-// If it still assumed that all are equally poor it would ask them all for a
-// part, get only one part, and refuse the request.
+// An instance without a lease knows its peers before one of them acquires a mint
+// slot. Its next request is within the account's rate but needs that peer's
+// tokens. If the instance still assumed that all peers mint the same share, it would
+// ask each for a part of the tokens, get only one part and refuse the request.
 func TestTokenRequestsGoToPeerThatTookLeaseLater(t *testing.T) {
 	is := is.New(t)
 	self := wire.Identity{Instance: "a", Incarnation: "a-1", Domain: "d", Address: "127.0.0.1:1"}
@@ -61,12 +61,12 @@
 	asks := d.limiter.Tick(now).Asks
 	is.Equal(len(asks), 1)
 	is.Equal(asks[0].Peer, newHolder.Address)
-	is.Equal(asks[0].Body.Items[0].Tokens, 101.0) // one more than the cost, against rounding
+	is.Equal(asks[0].Body.Items[0].Tokens, 101.0) // the cost plus one token against rounding
 }
 
-// Instances come back at other addresses all day. What was heard from an
-// address goes with the last peer there; else it would be kept until the end of
-// the process.
+// Instances regularly restart with other addresses. The share reported from an
+// address must be removed together with the peer; otherwise the maps would grow until
+// the process ends.
 func TestPeerSharesArePrunedWithPeers(t *testing.T) {
 	is := is.New(t)
 	remaining := wire.Identity{Instance: "b", Domain: "d", Address: "127.0.0.1:2"}
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// setPeers replaces the peers that are asked for tokens.
+// setPeers replaces the peers that can be asked for tokens.
 func (d *rateDriver) setPeers(peers []wire.Identity) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -16,9 +16,9 @@
 	d.updatePeers()
 }
 
-// forgetOthers drops what was heard from addresses that are no peers any more:
-// instances come back at other addresses, and both maps would grow with each
-// restart in the fleet. Callers hold mu.
+// prunePeerShares removes the addresses that no peer has any more. Instances
+// restart with other addresses, so both maps would otherwise grow with each
+// restart in the fleet. The caller holds mu.
 func (d *rateDriver) prunePeerShares() {
 	current := make(map[string]bool, len(d.peers))
 	for _, p := range d.peers {
@@ -32,9 +32,10 @@
 	}
 }
 
-// refreshPeers tells the limiter what each peer mints: by the log, or by the
-// peer's own word where that is more. The log alone would leave an instance
-// that starts in an outage of the log without anybody to ask. Callers hold mu.
+// updatePeers passes to the limiter the share of all rates that each peer mints:
+// the one in the log or the one that the peer itself reports, whichever is larger.
+// With the log alone, an instance that starts during an outage of the log would
+// know no peer to ask. The caller holds mu.
 func (d *rateDriver) updatePeers() {
 	list := make([]rate.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
@@ -46,13 +47,13 @@
 			ID:         p.Address,
 			SameDomain: p.Domain == d.node.Self().Domain,
 			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.peerShares[p.Address]),
-
-			Factors: factors[p.Domain],
+			Factors:    factors[p.Domain],
 		})
 	}
 	d.limiter.SetPeers(list)
 }
 
+// requestTokens asks a peer for tokens.
 func (d *rateDriver) requestTokens(ctx context.Context, req rate.Ask) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
@@ -68,6 +69,7 @@
 	d.wake.notify()
 }
 
+// returnTokens tells a peer what became of the tokens that it granted.
 func (d *rateDriver) returnTokens(ctx context.Context, r rate.Return) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
@@ -95,7 +97,7 @@
 	return nil, nil
 }
 
-// hints are this instance's balances and its part of all rates, for
+// hints returns this instance's largest balances and its share of all rates, for
 // heartbeats.
 func (d *rateDriver) hints() (wire.RateHints, float64) {
 	d.mu.Lock()
@@ -104,7 +106,8 @@
 	return d.limiter.Hints(now), d.limiter.Share(now)
 }
 
-// takeHints notes a peer's balances and what it mints.
+// handleHeartbeat records the balances and the share of all rates that a peer
+// reports.
 func (d *rateDriver) handleHeartbeat(hb wire.Heartbeat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,7 +120,7 @@
 	}
 }
 
-// share is the part of all rates that this instance mints now.
+// mintedShare returns the share of all rates that this instance mints now.
 func (d *rateDriver) mintedShare() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/rolloutdriver.go
+++ b/internal/entry/rolloutdriver.go
@@ -20,28 +20,30 @@
 const (
 	rolloutInterval    = 500 * time.Millisecond
 	targetStateTimeout = time.Second
-	// statePolls bounds how many targets are asked for their state at once.
+	// maxConcurrentStatePolls bounds the concurrent GET /state requests.
 	maxConcurrentStatePolls = 32
-	// maxTrail bounds the entries about orders that the admin API shows;
-	// the log has the rest.
+	// maxAuditEntries bounds the audit entries about orders that the admin API
+	// shows. Older ones are only in the log.
 	maxAuditEntries = 512
 )
 
-// rolloutDriver brings targets to their wanted versions while this instance
-// holds the duty. On every instance it folds what the control stream says
-// about orders, so that the next holder can go on.
+// rolloutDriver brings targets to their configured weights versions while this
+// instance holds dutyRollout. On every instance it applies the rollout records of
+// the control stream, so that the next holder can continue.
 type rolloutDriver struct {
 	clock    clock
 	settings rollout.Settings
 	intent   func() *config.Intent
-	// duty gives the fencing token while the lease may be used.
+	// fencingToken returns the token of the dutyRollout lease, and whether the
+	// lease may be used now.
 	fencingToken func() (platform.Offset, bool)
 	log          platform.Log
 	incarnation  string
 	httpClient   *http.Client
 
-	mu           sync.Mutex
-	orderState   *rollout.State
+	mu         sync.Mutex
+	orderState *rollout.State
+	// controller is that of the current term, which has the fencing token token.
 	controller   *rollout.Controller
 	token        platform.Offset
 	auditEntries []audit.Entry
@@ -54,8 +56,8 @@
 	}
 }
 
-// fold takes a record of the control stream, and the token of the duty's
-// newest lease at that place.
+// applyRecord applies a record of the control stream. dutyToken is the fencing
+// token of dutyRollout as of that record.
 func (d *rolloutDriver) applyRecord(offset platform.Offset, e logrec.Envelope, dutyToken platform.Offset) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,13 +68,15 @@
 	}
 }
 
-// orders is the newest part of the audit trail of orders.
+// auditTrail returns the newest audit entries about orders.
 func (d *rolloutDriver) auditTrail() []audit.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.auditEntries)
 }
 
+// run calls reconcile periodically while this instance holds the duty, until ctx
+// ends.
 func (d *rolloutDriver) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if token, held := d.fencingToken(); held {
@@ -82,7 +86,8 @@
 	}
 }
 
-// round observes all targets, decides and acts.
+// reconcile polls the state of all targets, appends the records and sends the orders
+// that the controller decides on.
 func (d *rolloutDriver) reconcile(ctx context.Context, token platform.Offset) {
 	intent := d.intent()
 	if intent == nil {
@@ -102,8 +107,9 @@
 	}
 }
 
-// decide ticks the controller of this term. The lease of a former holder has
-// lapsed by the time this one takes it, so only its margin is waited out.
+// planActions runs the controller of the current term. When this instance acquires
+// the lease, that of the former holder has already expired, so that a new
+// controller only waits until no order of the former holder can still arrive.
 func (d *rolloutDriver) planActions(token platform.Offset, goals []rollout.Goal, observations map[string]rollout.Observation) rollout.Actions {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,11 +122,13 @@
 	for target, o := range observations {
 		d.controller.Observe(target, o)
 	}
-	// The duty is checked again before each send; here it stands.
+	// sendOrder checks the lease again before each order, so that it counts as
+	// valid here.
 	return d.controller.Tick(now, now+1, goals)
 }
 
-// observe asks all targets for their state.
+// observeTargets polls the state of all targets. Targets that do not answer are
+// missing in the result.
 func (d *rolloutDriver) observeTargets(ctx context.Context, goals []rollout.Goal) map[string]rollout.Observation {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -145,7 +153,7 @@
 	return observations
 }
 
-// targetState is a target's answer to GET /state.
+// targetState is the response of a target to GET /state.
 type targetState struct {
 	Incarnation string `json:"incarnation"`
 	Model       string `json:"model"`
@@ -167,8 +175,8 @@
 	}, nil
 }
 
-// append stores the records in order. Whatever becomes of it is settled by
-// the fold: what does not show up there is proposed again.
+// appendRecords appends the records in order. Errors need no handling: the
+// controller proposes a record again if it is not read back from the log.
 func (d *rolloutDriver) appendRecords(ctx context.Context, records []rollout.Record) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -187,7 +195,7 @@
 	}
 }
 
-// order is the body of POST /orders.
+// orderRequest is the body of POST /orders.
 type orderRequest struct {
 	Op      string `json:"op"`
 	Model   string `json:"model"`
@@ -196,9 +204,10 @@
 	OrderID string `json:"order_id"`
 }
 
-// send gives one order. A process that was paused since the decision may have
-// lost the lease meanwhile, so the duty is checked again right here; the call
-// ends within the margin that the next holder waits out.
+// sendOrder sends one order to its target. If the process was paused since the
+// decision it may have lost the lease, so the lease is checked again right before
+// the request. The timeout is half of MaxOrderDelay, the time for which the next
+// holder waits before it sends orders.
 func (d *rolloutDriver) sendOrder(ctx context.Context, token platform.Offset, order rollout.OutgoingOrder) {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.MaxOrderDelay/2)
 	defer cancel()
--- a/internal/entry/snapshotter.go
+++ b/internal/entry/snapshotter.go
@@ -15,17 +15,18 @@
 const snapshotCheckInterval = time.Second
 
 const (
-	// checkpointEvery and checkpointRecords bound what a starting instance
-	// folds of the control stream. The log has to keep its records for
-	// several times checkpointEvery.
+	// A checkpoint is written after checkpointInterval or after
+	// checkpointRecordInterval records, whichever comes first. They bound the
+	// part of the control stream that a starting instance has to apply. The log
+	// must retain records for several times checkpointInterval.
 	checkpointInterval       = 5 * time.Minute
 	checkpointRecordInterval = 4096
 )
 
 // snapshotter writes snapshots of the configuration and checkpoints of the
-// leases into their streams, on the instance that holds the duty. Two
-// instances that both assume to hold it cost a needless record, nothing else:
-// neither record changes a state.
+// leases to their streams on the instance that holds dutySnapshot. If two
+// instances both believe to hold it, the only cost is a superfluous record, since
+// neither kind of record changes a state.
 type snapshotter struct {
 	clock       clock
 	config      *configDriver
@@ -33,10 +34,12 @@
 	log         platform.Log
 	incarnation string
 
-	// seen is the newest snapshot known, since when it is known.
+	// newestSnapshot is the SnapshotNext of the newest known snapshot, or -1.
+	// newestSince is when it appeared; 0 if it was there at the start.
 	newestSnapshot int64
 	newestSince    time.Duration
-	// through and writtenAt are the last checkpoint of this instance.
+	// checkpointNext is the NextOffset of the last checkpoint that this instance
+	// wrote, at checkpointAt.
 	checkpointNext platform.Offset
 	checkpointAt   time.Duration
 }
@@ -52,7 +55,7 @@
 	}
 }
 
-// snapshot writes the configuration when it is due.
+// writeSnapshotIfDue writes a snapshot of the configuration if one is due.
 func (s *snapshotter) writeSnapshotIfDue(ctx context.Context) {
 	state, logStart := s.config.stateAndLogStart()
 	if state == nil || !config.SnapshotDue(state, config.DefaultSnapshotPolicy, s.snapshotAge(state), logStart) {
@@ -62,8 +65,8 @@
 	s.appendRecords(ctx, platform.StreamConfig, records, err)
 }
 
-// snapshotAge is how long the newest snapshot has been known to be the newest;
-// one that was there at the start counts as very old.
+// snapshotAge returns the time since this instance saw the newest snapshot appear.
+// A snapshot that was there at the start counts as very old.
 func (s *snapshotter) snapshotAge(state *config.State) time.Duration {
 	now := s.clock.now()
 	if s.newestSnapshot >= 0 && state.SnapshotNext != s.newestSnapshot {
@@ -76,7 +79,7 @@
 	return now - s.newestSince
 }
 
-// checkpoint writes the state of the leases when it is due.
+// writeCheckpointIfDue writes a checkpoint of the leases if one is due.
 func (s *snapshotter) writeCheckpointIfDue(ctx context.Context) {
 	now := s.clock.now()
 	c, logStart, ok := s.rates.checkpoint()
@@ -88,17 +91,18 @@
 	s.appendRecords(ctx, platform.StreamControl, [][]byte{record}, err)
 }
 
-// checkpointDue says whether to write a checkpoint now, of the records below
-// next, when the log has those from start on.
+// checkpointDue reports whether to write a checkpoint now. The checkpoint would
+// cover the records below next; the log retains those from logStart on.
 func (s *snapshotter) checkpointDue(now time.Duration, next, logStart platform.Offset) bool {
 	if s.checkpointAt == 0 || now-s.checkpointAt >= checkpointInterval || next-s.checkpointNext >= checkpointRecordInterval {
 		return true
 	}
-	// A log that keeps less than checkpointEvery drops the newest checkpoint
-	// before the next is written. An instance that starts in between cannot
-	// tell held slots from free ones and takes none: a part of every account's
-	// rate is missing for minutes. A checkpoint that is renewed when it comes
-	// into the older half of what the log keeps is always there.
+	// A log that retains less than checkpointInterval trims the newest
+	// checkpoint before the next one is written. An instance that starts in
+	// between cannot tell held slots from free ones and takes none, so that a
+	// part of every account's rate is missing for minutes. Therefore a
+	// checkpoint is also due when the last one falls into the older half of the
+	// retained records.
 	return logStart > 0 && s.checkpointNext-logStart < (next-logStart)/2
 }
 
--- a/internal/entry/snapshotter_test.go
+++ b/internal/entry/snapshotter_test.go
@@ -9,9 +9,9 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// An instance that starts finds a checkpoint in what the log has kept, however
-// little that is. Otherwise it would hold no slot of the rates until the next
-// one, and its part of every account's rate would be missing.
+// A starting instance must find a checkpoint in the log, however short the
+// retention is. Without one it takes no mint slot until the next checkpoint is
+// written, and its share of every account's rate is missing.
 func TestCheckpointRenewedBeforeLogTrim(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -24,11 +24,11 @@
 	}{
 		{"none written yet", 0, 0, 1, 5, 0, true},
 		{"just written, nothing trimmed", 1, 10, 2, 30, 0, false},
-		{"long ago", 1, 10, 1 + checkpointInterval, 11, 0, true},
-		{"many records", 1, 10, 2, 10 + checkpointRecordInterval, 0, true},
-		{"in the newer half of what is kept", 1, 106, 2, 110, 100, false},
-		{"in the older half of what is kept", 1, 104, 2, 110, 100, true},
-		{"dropped", 1, 90, 2, 110, 100, true},
+		{"interval passed", 1, 10, 1 + checkpointInterval, 11, 0, true},
+		{"many records since", 1, 10, 2, 10 + checkpointRecordInterval, 0, true},
+		{"in the newer half of the retained records", 1, 106, 2, 110, 100, false},
+		{"in the older half of the retained records", 1, 104, 2, 110, 100, true},
+		{"trimmed", 1, 90, 2, 110, 100, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := &snapshotter{checkpointAt: x.written, checkpointNext: x.through}
--- a/internal/entry/splitdriver.go
+++ b/internal/entry/splitdriver.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// splitEvery is how often the split of the rates over the domains is
-	// looked at.
+	// splitInterval is the time between two checks of the split of the rates over
+	// the domains.
 	splitInterval = 30 * time.Second
-	// heardFresh is how old a heartbeat may be for its domain to count as
-	// heard.
+	// maxHeartbeatAge is the age up to which a heartbeat shows that its domain is
+	// reachable.
 	maxHeartbeatAge = 15 * time.Second
 )
 
-// refreshSplit puts what the log says of the split into force. It runs before
-// the next renewal is written, because that says that it was done. Callers hold
-// mu.
+// applySplit applies the split in the log to the limiter. It must run before the
+// next renewal is written, since a renewal states that the split has been applied.
+// The caller holds mu.
 func (d *rateDriver) applySplit(now time.Duration) {
 	v := d.holder.Table().SplitVersion()
 	if v == d.splitVersion {
@@ -31,8 +31,9 @@
 	d.updatePeers()
 }
 
-// runSplit lets the split follow the demand, on the instance that holds the
-// duty. Two that both assume to hold it cost a void record, nothing else.
+// runSplit adapts the split to the demand on the instance that holds dutySnapshot.
+// If two instances both believe to hold it, the only cost is a record that is
+// ignored.
 func (d *rateDriver) runSplit(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, splitInterval)
@@ -46,8 +47,9 @@
 	}
 }
 
-// planSplit is the change that the demand asks for; none while a domain is not
-// heard, since what it asks for is not known.
+// planSplit returns the change of the split that the demand requires. It returns no
+// change while there is no recent heartbeat from some domain, since the demand there
+// is unknown.
 func (d *rateDriver) planSplit() lease.Split {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// stateView is what the admin API shows of the process.
+// stateView is the response body of GET /admin/v1/state.
 type stateView struct {
 	Instance    string        `json:"instance"`
 	Incarnation string        `json:"incarnation"`
@@ -28,7 +28,7 @@
 	Name            string  `json:"name"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	BurstTokens     float64 `json:"burst_tokens"`
-	// Keys are the ids of the keys that work.
+	// Keys are the IDs of the account's keys that are not withdrawn.
 	Keys []string `json:"keys"`
 }
 
@@ -39,7 +39,7 @@
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation,omitempty"`
 	Version     string `json:"version,omitempty"`
-	// RejectedBy names the rules that keep new work off the target.
+	// RejectedBy names the rules for which the target gets no new requests.
 	RejectedBy []string `json:"rejected_by,omitempty"`
 }
 
@@ -65,18 +65,18 @@
 	HeldBytes int `json:"held_bytes"`
 }
 
-// poisonView counts requests that crash their targets, since the start.
+// poisonView describes poison requests. The counters start with the process.
 type poisonView struct {
-	// Suspects is the fingerprints remembered now.
+	// Suspects is the number of fingerprints that are suspects now.
 	Suspects int   `json:"suspects"`
 	Crashes  int64 `json:"crashes"`
-	// Quarantined, Isolated and Cleared are verdicts given.
+	// Quarantined, Isolated and Cleared count the verdicts.
 	Quarantined int64 `json:"quarantined"`
 	Isolated    int64 `json:"isolated"`
 	Cleared     int64 `json:"cleared"`
 }
 
-// view collects the state of the process.
+// view returns the state of the process.
 func (e *Entry) view(ready bool) stateView {
 	v := stateView{
 		Instance: e.settings.InstanceID, Incarnation: e.node.Self().Incarnation, Domain: e.settings.Domain,
--- a/internal/entry/wake.go
+++ b/internal/entry/wake.go
@@ -1,7 +1,7 @@
 package entry
 
-// wake ends the sleep of a loop early. Several calls before the loop looks
-// count as one.
+// wakeSignal ends the wait of a loop early. Notifications that arrive before the
+// loop receives from the channel are merged into one.
 type wakeSignal chan struct{}
 
 func newWakeSignal() wakeSignal { return make(wakeSignal, 1) }
