--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -28,8 +28,8 @@
 
 const testKey = "mt-test"
 
-// freePort is an address that nothing listens at.
-func freePort(t *testing.T) string {
+// freeAddress returns an address on which nothing listens.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,8 +39,8 @@
 	return l.Addr().String()
 }
 
-// publishTo appends a configuration with one account and one target.
-func publishTo(t *testing.T, log platform.Log, target string) {
+// publishConfig appends a configuration with one account and one target.
+func publishConfig(t *testing.T, log platform.Log, target string) {
 	t.Helper()
 	is := is.New(t)
 	files := fmt.Sprintf("[account \"a\"]\ntokens-per-second = 1000000\nburst-tokens = 1000000\n"+
@@ -54,15 +54,15 @@
 	is.NoErr(err)
 }
 
-// startEntry runs an entry in this process and returns its callers' address and
-// a function that shuts it down and waits for its end.
+// startEntry runs an entry in this process. It returns the address for callers and
+// a function that shuts the entry down and waits until Run returns.
 func startEntry(t *testing.T, logURL string) (caller string, stop func()) {
 	t.Helper()
 	is := is.New(t)
 	secret := filepath.Join(t.TempDir(), "secret")
 	is.NoErr(os.WriteFile(secret, []byte("a secret of the fleet"), 0o600))
 	s := &settings.Settings{
-		InstanceID: "i", Domain: "d", CallerListen: freePort(t), PeerListen: freePort(t), AdminListen: freePort(t),
+		InstanceID: "i", Domain: "d", CallerListen: freeAddress(t), PeerListen: freeAddress(t), AdminListen: freeAddress(t),
 		LogURL: logURL, PeerSecretFile: secret, FleetDomains: []string{"d"}, MintSlots: 1,
 		MaxBodyBytes: 1 << 20, MaxHeaderBytes: 1 << 16, MaxConnections: 1000,
 		IdleTimeout: time.Minute, ReadTimeout: time.Minute, DrainTimeout: time.Minute,
@@ -70,16 +70,17 @@
 	e, err := New(s)
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- e.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- e.Run(ctx) }()
 	return s.CallerListen, func() {
 		cancel()
-		is.NoErr(<-ended)
+		is.NoErr(<-result)
 	}
 }
 
-// ask sends one streamed request and reports whether its answer came whole.
-func ask(client *http.Client, address, prompt string) bool {
+// sendRequest sends one streaming request and reports whether the response was
+// complete.
+func sendRequest(client *http.Client, address, prompt string) bool {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, prompt)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+chatPath, strings.NewReader(body))
 	if err != nil {
@@ -95,42 +96,41 @@
 	return err == nil && resp.StatusCode == http.StatusOK && strings.Contains(string(raw), "[DONE]")
 }
 
-// An instance serves many callers at once and is shut down. Nothing of it is
-// left: a goroutine that stays behind in a process which is only asked to drain
-// would keep it from ending.
+// An instance that served many callers at once must leave no goroutine after its
+// shutdown. A leaked goroutine could keep a draining process from ending.
 func TestShutdownLeavesNoGoroutines(t *testing.T) {
 	is := is.New(t)
 	log := httptest.NewServer(logsvc.New(logsvc.Config{}).Handler())
 	fake := engine.New(engine.Config{Model: "m", Version: "1", PieceBytes: 1024, CachePieces: 64, PrefillTPS: 1e9, DecodeTPS: 1e9, Exit: func(int) {}})
 	target := httptest.NewServer(fake.Handler())
-	publishTo(t, platform.NewHTTPLog(log.URL, nil), strings.TrimPrefix(target.URL, "http://"))
+	publishConfig(t, platform.NewHTTPLog(log.URL, nil), strings.TrimPrefix(target.URL, "http://"))
 	http.DefaultClient.CloseIdleConnections()
 	before := runtime.NumGoroutine()
 
 	caller, stop := startEntry(t, log.URL)
 	client := &http.Client{Transport: &http.Transport{}}
-	waitFor(t, "the first answer", func() bool { return ask(client, caller, "hello") })
+	waitFor(t, "first response", func() bool { return sendRequest(client, caller, "hello") })
 	var wg sync.WaitGroup
 	for i := range 64 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if !ask(client, caller, strings.Repeat("x", 100*i)) {
-				t.Errorf("request %d got no whole answer", i)
+			if !sendRequest(client, caller, strings.Repeat("x", 100*i)) {
+				t.Errorf("request %d: response failed or incomplete", i)
 			}
 		}()
 	}
 	wg.Wait()
 	client.CloseIdleConnections()
 	stop()
-	waitFor(t, "the entry's goroutines end", func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, "end of the entry's goroutines", func() bool { return runtime.NumGoroutine() <= before })
 	target.Close()
 	fake.Close()
 	log.Close()
 	is.True(!t.Failed())
 }
 
-// waitFor waits for a condition, far longer than it takes.
+// waitFor waits until cond is true. The timeout is far above the expected time.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -139,5 +139,5 @@
 		}
 	}
 	buf := make([]byte, 1<<20)
-	t.Fatalf("gave up waiting: %s\n%s", what, buf[:runtime.Stack(buf, true)])
+	t.Fatalf("timed out waiting for %s\n%s", what, buf[:runtime.Stack(buf, true)])
 }
--- a/internal/entry/logtail.go
+++ b/internal/entry/logtail.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	tailLimit   = 1024
-	tailWait    = 5 * time.Second
-	tailTimeout = 10 * time.Second
-	// After an outage every instance comes back to the log; the waits grow and
-	// are spread by half, so that they do not come back at once.
+	tailBatchLimit = 1024
+	tailPollWait   = 5 * time.Second
+	tailTimeout    = 10 * time.Second
+	// The retry delays grow from tailRetryMin to tailRetryMax and are randomized
+	// by 50%, so that the instances do not all return to the log at the same
+	// moment after an outage.
 	tailRetryMin = 100 * time.Millisecond
 	tailRetryMax = 2 * time.Second
 )
 
-// follower is a fold of one stream of the log.
-type follower interface {
-	// next is the offset to read from.
-	next() platform.Offset
-	// read takes an answer to a read from next on.
-	read(b platform.Batch) error
-	// trimmed tells that the records before start are lost.
-	trimmed(start platform.Offset)
+// streamConsumer applies the records of one stream of the log.
+type streamConsumer interface {
+	// nextOffset returns the offset to read from.
+	nextOffset() platform.Offset
+	// handleBatch handles the result of a read that began at nextOffset.
+	handleBatch(b platform.Batch) error
+	// handleTrim is called if the log no longer has the records before start.
+	handleTrim(start platform.Offset)
 }
 
-// tail feeds a stream to its follower until ctx ends.
-func tail(ctx context.Context, log platform.Log, stream string, f follower) {
+// tail passes the records of a stream to its consumer until ctx ends.
+func tail(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) {
 	retries := backoff.NewExponentialBackOff()
 	retries.InitialInterval, retries.MaxInterval = tailRetryMin, tailRetryMax
 	for ctx.Err() == nil {
-		err := tailOnce(ctx, log, stream, f)
+		err := tailBatch(ctx, log, stream, consumer)
 		if err == nil {
 			retries.Reset()
 			continue
@@ -50,21 +51,23 @@
 	}
 }
 
-func tailOnce(ctx context.Context, log platform.Log, stream string, f follower) error {
+// tailBatch reads the next records, waiting for up to tailPollWait if there are
+// none, and passes them to the consumer.
+func tailBatch(ctx context.Context, log platform.Log, stream string, consumer streamConsumer) error {
 	callCtx, cancel := context.WithTimeout(ctx, tailTimeout)
 	defer cancel()
-	batch, err := log.Read(callCtx, stream, f.next(), tailLimit, tailWait)
+	batch, err := log.Read(callCtx, stream, consumer.nextOffset(), tailBatchLimit, tailPollWait)
 	if errors.Is(err, platform.ErrTrimmed) {
-		f.trimmed(batch.Start)
+		consumer.handleTrim(batch.Start)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return f.read(batch)
+	return consumer.handleBatch(batch)
 }
 
-// sleep waits or returns early when ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	memberTick        = 75 * time.Millisecond
-	memberSendTimeout = 500 * time.Millisecond
-	heartbeatEvery    = 300 * time.Millisecond
-	heartbeatTimeout  = 500 * time.Millisecond
-	listTimeout       = 2 * time.Second
-	// listRowBytes is about what one row of the list takes beside its names.
-	listRowBytes = 70
+	memberTickInterval  = 75 * time.Millisecond
+	memberSendTimeout   = 500 * time.Millisecond
+	heartbeatInterval   = 300 * time.Millisecond
+	heartbeatTimeout    = 500 * time.Millisecond
+	instanceListTimeout = 2 * time.Second
+	// listRowOverheadBytes is the approximate size of one row of the instance
+	// list on the wire without the values of its strings.
+	listRowOverheadBytes = 70
 )
 
-// members runs the view of the other entry instances and of the targets that
-// are leaving, and exchanges rate balances with the live ones.
+// members keeps the view of the other entry instances and of the draining targets,
+// and exchanges heartbeats with the live instances.
 type members struct {
 	clock  clock
 	node   *peer.Node
-	list   platform.InstanceLister
+	lister platform.InstanceLister
 	rates  *rateDriver
 	poison *poisonDriver
 	claims *claimDriver
 	seeds  []string
-	// changed is told which targets are leaving, at every beat.
-	changed func(leaving func(target string) bool)
-	// replaced is called when a later process has this instance's name.
-	replaced func()
+	// updateDraining is called at every heartbeat with a function that reports
+	// whether a target is draining.
+	updateDraining func(draining func(target string) bool)
+	// onReplaced is called when a later process runs under this instance's name.
+	onReplaced func()
 
-	mu   sync.Mutex
-	view *membership.View
-	// incarnations by instance name, and when each address was last heard.
-	incarnations map[string]string
-	heard        map[string]time.Duration
+	mu           sync.Mutex
+	view         *membership.View
+	incarnations map[string]string // by instance name
+	// lastHeard holds the arrival time of the last heartbeat, by peer address.
+	lastHeard map[string]time.Duration
 }
 
-func newMembers(c clock, node *peer.Node, list platform.InstanceLister, seeds []string) *members {
+func newMembers(c clock, node *peer.Node, lister platform.InstanceLister, seeds []string) *members {
 	m := &members{
-		clock: c, node: node, list: list,
+		clock: c, node: node, lister: lister,
 		seeds:        slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == node.Self().Address }),
-		incarnations: make(map[string]string), heard: make(map[string]time.Duration),
+		incarnations: make(map[string]string), lastHeard: make(map[string]time.Duration),
 	}
 	cfg := membership.Config{Self: node.Self(), StartMillis: c.wallMillis(), Seeds: m.seeds}
 	m.view = membership.New(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	node.Handle(wire.KindHeartbeat, m.handleBeat)
+	node.Handle(wire.KindHeartbeat, m.handleHeartbeat)
 	for _, kind := range []wire.Kind{wire.KindMemberPing, wire.KindMemberPong, wire.KindMemberUpdates} {
-		node.Handle(kind, m.receive)
+		node.Handle(kind, m.handleMessage)
 	}
 	return m
 }
 
-// addresses are the peers to talk to: those that are heard, and the seeds.
-func (m *members) addresses() []string {
+// peerAddresses returns the addresses of the live peers and of the seeds.
+func (m *members) peerAddresses() []string {
 	list := slices.Clone(m.seeds)
-	for _, p := range m.known() {
+	for _, p := range m.livePeers() {
 		if !slices.Contains(list, p.Address) {
 			list = append(list, p.Address)
 		}
@@ -73,11 +75,11 @@
 	return list
 }
 
-// count is the number of live entry instances, this one included.
-func (m *members) count() int { return len(m.known()) + 1 }
+// liveInstanceCount returns the number of live entry instances, this one included.
+func (m *members) liveInstanceCount() int { return len(m.livePeers()) + 1 }
 
-// known are the other instances that are heard and not leaving.
-func (m *members) known() []wire.Identity {
+// livePeers returns the other instances that are live and not leaving.
+func (m *members) livePeers() []wire.Identity {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []wire.Identity
@@ -91,76 +93,79 @@
 
 // run ticks the view and sends heartbeats until ctx ends.
 func (m *members) run(ctx context.Context) {
-	nextBeat := time.Duration(0)
+	nextHeartbeat := time.Duration(0)
 	for ctx.Err() == nil {
 		now := m.clock.now()
 		m.mu.Lock()
 		m.view.Tick(now)
 		replaced := m.view.Replaced()
 		m.mu.Unlock()
-		m.work(ctx)
+		m.processReady(ctx)
 		if replaced {
 			logline.Info("instance_replaced", "instance", m.node.Self().Instance)
-			m.replaced()
+			m.onReplaced()
 		}
-		if now >= nextBeat {
-			nextBeat = now + heartbeatEvery
-			m.beatAll(ctx)
+		if now >= nextHeartbeat {
+			nextHeartbeat = now + heartbeatInterval
+			m.exchangeHeartbeats(ctx)
 		}
-		sleep(ctx, memberTick)
+		sleep(ctx, memberTickInterval)
 	}
 }
 
-// work does what the view has ready.
-func (m *members) work(ctx context.Context) {
+// processReady sends the messages, reads the list and handles the changes that
+// the view has pending.
+func (m *members) processReady(ctx context.Context) {
 	m.mu.Lock()
 	ready := m.view.Ready()
 	m.mu.Unlock()
 	for _, msg := range ready.Messages {
-		go m.send(ctx, msg)
+		go m.sendMessage(ctx, msg)
 	}
-	if ready.ReadList && m.list != nil {
-		go m.readList(ctx)
+	if ready.ReadList && m.lister != nil {
+		go m.refreshList(ctx)
 	}
 	for _, c := range ready.Changes {
-		m.note(c)
+		m.handleChange(c)
 	}
 }
 
-func (m *members) send(ctx context.Context, msg membership.Message) {
+func (m *members) sendMessage(ctx context.Context, msg membership.Message) {
 	ctx, cancel := context.WithTimeout(ctx, memberSendTimeout)
 	defer cancel()
-	_ = m.node.Send(ctx, msg.To, msg.Kind, msg.Body) // the view asks again
+	_ = m.node.Send(ctx, msg.To, msg.Kind, msg.Body) // the view retries
 }
 
-// note logs a change. A later process under an instance's name tells that the
-// earlier one has ended: callers that wait for its answers hear so at once.
-func (m *members) note(c membership.Change) {
+// handleChange logs a change of a peer or a target. If a new process runs under an
+// instance's name, the previous one has ended, and requests that wait for its
+// results are answered at once.
+func (m *members) handleChange(c membership.Change) {
 	if c.Target != nil {
-		logline.Info("target_known", "target", c.Target.Target, "draining", c.Target.Draining, "gone", c.Target.Gone, "incarnation", c.Target.Incarnation)
+		logline.Info("target_changed", "target", c.Target.Target, "draining", c.Target.Draining, "gone", c.Target.Gone, "incarnation", c.Target.Incarnation)
 		return
 	}
 	id := c.Member.Identity
-	logline.Info("peer_known", "peer", id.Address, "instance", id.Instance, "incarnation", id.Incarnation, "domain", id.Domain, "state", c.Member.State)
+	logline.Info("peer_changed", "peer", id.Address, "instance", id.Instance, "incarnation", id.Incarnation, "domain", id.Domain, "state", c.Member.State)
 	m.mu.Lock()
-	before := m.incarnations[id.Instance]
+	previous := m.incarnations[id.Instance]
 	m.incarnations[id.Instance] = id.Incarnation
 	m.mu.Unlock()
-	if before != "" && before != id.Incarnation {
-		m.claims.holderGone(before)
+	if previous != "" && previous != id.Incarnation {
+		m.claims.processEnded(previous)
 	}
 }
 
-func (m *members) readList(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+// refreshList reads the platform's list of instances into the view.
+func (m *members) refreshList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, instanceListTimeout)
 	defer cancel()
-	asked := m.clock.now()
-	list, err := m.list.Instances(ctx)
+	requestedAt := m.clock.now()
+	list, err := m.lister.Instances(ctx)
 	m.mu.Lock()
 	if err != nil {
 		m.view.HandleListError(m.clock.now())
 	} else {
-		m.view.HandleList(m.clock.now(), asked, list, listBytes(list))
+		m.view.HandleList(m.clock.now(), requestedAt, list, listBytes(list))
 	}
 	m.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -168,16 +173,16 @@
 	}
 }
 
-// listBytes is about the size of the list on the wire.
+// listBytes returns the approximate size of the list on the wire.
 func listBytes(l platform.InstanceList) int {
 	n := 0
 	for _, in := range l.Instances {
-		n += listRowBytes + len(in.ID) + len(in.Address) + len(in.Domain)
+		n += listRowOverheadBytes + len(in.ID) + len(in.Address) + len(in.Domain)
 	}
 	return n
 }
 
-func (m *members) receive(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (m *members) handleMessage(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	body, err := membership.Decode(f)
 	if err != nil {
 		return nil, err
@@ -185,80 +190,82 @@
 	m.mu.Lock()
 	m.view.Receive(m.clock.now(), f.Kind, body)
 	m.mu.Unlock()
-	m.work(ctx)
+	m.processReady(ctx)
 	return nil, nil
 }
 
-// observed takes the incarnation that a target named in an answer.
-func (m *members) observed(target, incarnation string) {
+// observeIncarnation records the incarnation that a target stated in a response.
+func (m *members) observeIncarnation(target, incarnation string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
-// leave tells the peers that this instance drains.
-func (m *members) leave() {
+// announceLeave tells the peers that this instance is draining.
+func (m *members) announceLeave() {
 	m.mu.Lock()
 	m.view.Leave(m.clock.now())
 	m.mu.Unlock()
 }
 
-// beatAll exchanges balances with the live peers and tells all drivers who is
-// live and leaving.
-func (m *members) beatAll(ctx context.Context) {
-	known := m.known()
-	m.rates.setPeers(known)
-	m.poison.setPeers(known)
-	m.forget(known)
-	for _, p := range known {
-		go m.beat(ctx, p.Address)
+// exchangeHeartbeats passes the live peers and the draining targets to the
+// drivers and exchanges heartbeats with each peer.
+func (m *members) exchangeHeartbeats(ctx context.Context) {
+	peers := m.livePeers()
+	m.rates.setPeers(peers)
+	m.poison.setPeers(peers)
+	m.pruneLastHeard(peers)
+	for _, p := range peers {
+		go m.exchangeHeartbeat(ctx, p.Address)
 	}
-	m.changed(func(name string) bool {
+	m.updateDraining(func(name string) bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return m.view.Draining(name)
 	})
 }
 
-// forget drops what was heard of addresses that are not known any more: the map
-// would grow with each replaced instance.
-func (m *members) forget(known []wire.Identity) {
+// pruneLastHeard removes the addresses that no live peer has any more. Otherwise
+// the map would grow with each replaced instance.
+func (m *members) pruneLastHeard(peers []wire.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for addr := range m.heard {
-		if !slices.ContainsFunc(known, func(p wire.Identity) bool { return p.Address == addr }) {
-			delete(m.heard, addr)
+	for addr := range m.lastHeard {
+		if !slices.ContainsFunc(peers, func(p wire.Identity) bool { return p.Address == addr }) {
+			delete(m.lastHeard, addr)
 		}
 	}
 }
 
-func (m *members) beat(ctx context.Context, addr string) {
+// exchangeHeartbeat sends this instance's heartbeat to a peer, which responds with
+// its own.
+func (m *members) exchangeHeartbeat(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	var ans wire.Heartbeat
-	if _, err := m.node.Call(ctx, addr, wire.KindHeartbeat, m.own(), &ans); err == nil {
-		m.take(ans)
+	var resp wire.Heartbeat
+	if _, err := m.node.Call(ctx, addr, wire.KindHeartbeat, m.heartbeat(), &resp); err == nil {
+		m.receiveHeartbeat(resp)
 	}
 }
 
-// own is this instance's heartbeat.
-func (m *members) own() wire.Heartbeat {
+// heartbeat returns this instance's current heartbeat.
+func (m *members) heartbeat() wire.Heartbeat {
 	hints, share := m.rates.hints()
 	return wire.Heartbeat{From: m.node.Self(), RateShare: share, Hints: hints}
 }
 
-func (m *members) handleBeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (m *members) handleHeartbeat(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var hb wire.Heartbeat
 	if err := f.DecodeBody(&hb); err != nil {
 		return nil, err
 	}
-	m.take(hb)
-	return m.own(), nil
+	m.receiveHeartbeat(hb)
+	return m.heartbeat(), nil
 }
 
-func (m *members) take(hb wire.Heartbeat) {
+func (m *members) receiveHeartbeat(hb wire.Heartbeat) {
 	m.mu.Lock()
-	m.heard[hb.From.Address] = m.clock.now()
+	m.lastHeard[hb.From.Address] = m.clock.now()
 	m.mu.Unlock()
-	m.rates.takeHints(hb)
+	m.rates.handleHeartbeat(hb)
 }
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	leaseTick      = 100 * time.Millisecond
-	appendTimeout  = 3 * time.Second
-	rateAskTimeout = 200 * time.Millisecond
-	promiseTimeout = time.Second
-	// floorPart is the part of each slot that its last holder may go on
-	// spending while it is cut off from everything.
-	floorPart = 0.25
+	leaseTickInterval  = 100 * time.Millisecond
+	appendTimeout      = 3 * time.Second
+	rateRequestTimeout = 200 * time.Millisecond
+	promiseTimeout     = time.Second
+	// floorFraction is the fraction of a mint slot that its last holder may go
+	// on issuing while it is partitioned and cannot renew the lease.
+	floorFraction = 0.25
 )
 
-// fleet is what all instances must agree on for the rates to add up.
-type fleet struct {
+// fleetLayout is the division of the rates into mint slots. All instances must have
+// the same, or the shares would not add up to the accounts' rates.
+type fleetLayout struct {
 	domains        []string
 	slotsPerDomain int
 }
 
-func (f fleet) slots() int { return len(f.domains) * f.slotsPerDomain }
+func (f fleetLayout) slots() int { return len(f.domains) * f.slotsPerDomain }
 
-// rateDriver runs the lease protocol and the rate limiter of this instance.
+// rateDriver connects this instance's lease holder and rate limiter to the log, the
+// peers and the clock.
 type rateDriver struct {
 	clock clock
 	node  *peer.Node
 	log   platform.Log
-	fleet fleet
-
-	mu      sync.Mutex
-	holder  *lease.Holder
-	limiter *rate.Limiter
-	waiting map[rate.Ticket]chan rate.Outcome
-	known   map[string]bool
-	peers   []wire.Identity
-	heard   map[string]float64 // by address: the share a peer says it mints
-	heardAt map[string]time.Duration
-	folded  []func(platform.Offset, logrec.Envelope)
-	wake    wake
-	// splitSeen is the version of the split that is in force here.
-	splitSeen int
-	// logStart is the oldest offset that the log had kept at the last read.
+	fleet fleetLayout
+
+	mu             sync.Mutex
+	holder         *lease.Holder
+	limiter        *rate.Limiter
+	waiters        map[rate.Ticket]chan rate.Outcome
+	accounts       map[string]bool // those that the limiter has
+	peers          []wire.Identity
+	peerShares     map[string]float64       // by address: the share that the peer reports to mint
+	heartbeatAt    map[string]time.Duration // by address: arrival of the last heartbeat
+	recordHandlers []func(platform.Offset, logrec.Envelope)
+	wake           wakeSignal
+	// splitVersion is the version of the split that the limiter applies.
+	splitVersion int
+	// logStart is the oldest offset that the log retained at the last read.
 	logStart platform.Offset
 }
 
-func newRateDriver(c clock, node *peer.Node, log platform.Log, f fleet) *rateDriver {
+func newRateDriver(c clock, node *peer.Node, log platform.Log, f fleetLayout) *rateDriver {
 	self := node.Self()
 	member := lease.Member{ID: self.Incarnation, Domain: self.Domain, Address: self.Address}
 	wanted := []lease.Resource{dutyRollout, dutySnapshot}
@@ -63,51 +65,53 @@
 		wanted = append(wanted, lease.MintSlot(self.Domain, slot))
 	}
 	d := &rateDriver{
-		clock:   c,
-		node:    node,
-		log:     log,
-		fleet:   f,
-		holder:  lease.NewHolder(lease.DefaultSettings(member, wanted)),
-		limiter: rate.New(rate.DefaultSettings(self.Incarnation)),
-		waiting: make(map[rate.Ticket]chan rate.Outcome),
-		known:   make(map[string]bool),
-		heard:   make(map[string]float64),
-		heardAt: make(map[string]time.Duration),
-		wake:    newWake(),
+		clock:       c,
+		node:        node,
+		log:         log,
+		fleet:       f,
+		holder:      lease.NewHolder(lease.DefaultSettings(member, wanted)),
+		limiter:     rate.New(rate.DefaultSettings(self.Incarnation)),
+		waiters:     make(map[rate.Ticket]chan rate.Outcome),
+		accounts:    make(map[string]bool),
+		peerShares:  make(map[string]float64),
+		heartbeatAt: make(map[string]time.Duration),
+		wake:        newWakeSignal(),
 	}
-	node.Handle(wire.KindRateRequest, d.handleAsk)
-	node.Handle(wire.KindRateReturn, d.handleReturn)
-	node.Handle(wire.KindLeasePromise, d.handlePromise)
+	node.Handle(wire.KindRateRequest, d.handleTokenRequest)
+	node.Handle(wire.KindRateReturn, d.handleTokenReturn)
+	node.Handle(wire.KindLeasePromise, d.handlePromiseRequest)
 	return d
 }
 
-// Leases of duties that one instance of the fleet does at a time.
+// Leases of duties that only one instance of the fleet performs at a time.
 const (
 	dutyRollout  lease.Resource = "duty/rollout"
 	dutySnapshot lease.Resource = "duty/snapshot"
 )
 
-// setAccounts puts the accounts of a configuration into force.
+// setAccounts passes the accounts of a new configuration to the limiter and removes
+// those that it no longer has.
 func (d *rateDriver) setAccounts(s *config.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.now()
-	accounts := s.Intent().Accounts
-	for _, a := range accounts {
+	configured := s.Intent().Accounts
+	for _, a := range configured {
 		d.limiter.SetAccount(now, a.Name, a.TokensPerSecond, a.BurstTokens)
-		d.known[a.Name] = true
+		d.accounts[a.Name] = true
 	}
-	for name := range d.known {
-		if _, ok := accounts[name]; !ok {
-			delete(d.known, name)
+	for name := range d.accounts {
+		if _, ok := configured[name]; !ok {
+			delete(d.accounts, name)
 			for _, o := range d.limiter.RemoveAccount(name) {
-				d.finish(o)
+				d.deliver(o)
 			}
 		}
 	}
 }
 
-// admit debits the cost of a request, waiting a little for tokens to come.
+// admit debits the cost of a request. If tokens are missing it waits for them, at
+// most until the deadline.
 func (d *rateDriver) admit(ctx context.Context, account string, cost float64, deadline time.Duration) rate.Outcome {
 	d.mu.Lock()
 	o := d.limiter.Admit(d.clock.now(), account, cost, deadline)
@@ -116,55 +120,57 @@
 		return o
 	}
 	ch := make(chan rate.Outcome, 1)
-	d.waiting[o.Ticket] = ch
+	d.waiters[o.Ticket] = ch
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 	select {
 	case o = <-ch:
 		return o
 	case <-ctx.Done():
-		return d.giveUp(account, o.Ticket, ctx.Err())
+		return d.cancelWait(account, o.Ticket, ctx.Err())
 	}
 }
 
-// giveUp ends the wait of a caller that left. Tokens that were debited for it
-// meanwhile go back.
-func (d *rateDriver) giveUp(account string, t rate.Ticket, cause error) rate.Outcome {
+// cancelWait removes the waiting request of a caller that disconnected. Tokens that
+// were debited for it in the meantime are returned.
+func (d *rateDriver) cancelWait(account string, t rate.Ticket, cause error) rate.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if ch := d.waiting[t]; ch == nil {
+	if ch := d.waiters[t]; ch == nil {
 		return rate.Outcome{Err: cause}
 	} else if len(ch) > 0 {
 		o := <-ch
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
 	}
-	delete(d.waiting, t)
+	delete(d.waiters, t)
 	d.limiter.Cancel(account, t)
 	return rate.Outcome{Err: cause}
 }
 
-// confirm reports, right before dispatch, whether the debit still stands.
-func (d *rateDriver) confirm(r rate.Reservation) bool {
+// reservationValid reports whether a request may still be dispatched on its
+// reservation. It is called right before the dispatch.
+func (d *rateDriver) reservationValid(r rate.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Confirm(d.clock.now(), r)
 }
 
-// settle ends a reservation with what the request used.
+// settle ends a reservation. used is the number of tokens that the request cost.
 func (d *rateDriver) settle(r *rate.Reservation, used float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limiter.Settle(d.clock.now(), r, used)
 }
 
-// finish hands a decision to the request that waits for it. Callers hold mu.
-func (d *rateDriver) finish(o rate.Outcome) {
-	ch := d.waiting[o.Ticket]
+// deliver passes a decision to the request that waits for it. If that request is
+// gone, its tokens are returned. The caller holds mu.
+func (d *rateDriver) deliver(o rate.Outcome) {
+	ch := d.waiters[o.Ticket]
 	if ch == nil {
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
 		return
 	}
-	delete(d.waiting, o.Ticket)
+	delete(d.waiters, o.Ticket)
 	ch <- o
 }
 
@@ -182,26 +188,27 @@
 		}
 		if now := d.clock.now(); now >= nextLease {
 			d.tickLease(ctx)
-			nextLease = now + leaseTick
+			nextLease = now + leaseTickInterval
 		}
 		timer.Reset(d.tickRate(ctx, nextLease))
 	}
 }
 
-// tickRate does the limiter's due work and returns how long to sleep.
+// tickRate delivers the limiter's decisions, sends its messages and returns the time
+// until the next tick.
 func (d *rateDriver) tickRate(ctx context.Context, nextLease time.Duration) time.Duration {
 	d.mu.Lock()
 	now := d.clock.now()
 	ready := d.limiter.Tick(now)
 	for _, o := range ready.Done {
-		d.finish(o)
+		d.deliver(o)
 	}
 	d.mu.Unlock()
-	for _, a := range ready.Asks {
-		go d.ask(ctx, a)
+	for _, ask := range ready.Asks {
+		go d.requestTokens(ctx, ask)
 	}
 	for _, r := range ready.Returns {
-		go d.giveBack(ctx, r)
+		go d.returnTokens(ctx, r)
 	}
 	next := nextLease
 	if ready.NextTick > 0 {
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -7,35 +7,36 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// setPeers replaces the peers that are asked for tokens.
+// setPeers replaces the peers that can be asked for tokens.
 func (d *rateDriver) setPeers(peers []wire.Identity) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peers = peers
-	d.forgetOthers()
-	d.refreshPeers()
+	d.prunePeerShares()
+	d.updatePeers()
 }
 
-// forgetOthers drops what was heard from addresses that are no peers any more:
-// instances come back at other addresses, and both maps would grow with each
-// restart in the fleet. Callers hold mu.
-func (d *rateDriver) forgetOthers() {
-	present := make(map[string]bool, len(d.peers))
+// prunePeerShares removes the addresses that no peer has any more. Instances
+// restart with other addresses, so both maps would otherwise grow with each
+// restart in the fleet. The caller holds mu.
+func (d *rateDriver) prunePeerShares() {
+	current := make(map[string]bool, len(d.peers))
 	for _, p := range d.peers {
-		present[p.Address] = true
+		current[p.Address] = true
 	}
-	for addr := range d.heardAt {
-		if !present[addr] {
-			delete(d.heardAt, addr)
-			delete(d.heard, addr)
+	for addr := range d.heartbeatAt {
+		if !current[addr] {
+			delete(d.heartbeatAt, addr)
+			delete(d.peerShares, addr)
 		}
 	}
 }
 
-// refreshPeers tells the limiter what each peer mints: by the log, or by the
-// peer's own word where that is more. The log alone would leave an instance
-// that starts in an outage of the log without anybody to ask. Callers hold mu.
-func (d *rateDriver) refreshPeers() {
+// updatePeers passes to the limiter the share of all rates that each peer mints:
+// the one in the log or the one that the peer itself reports, whichever is larger.
+// With the log alone, an instance that starts during an outage of the log would
+// know no peer to ask. The caller holds mu.
+func (d *rateDriver) updatePeers() {
 	list := make([]rate.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
 	for _, domain := range d.fleet.domains {
@@ -45,46 +46,47 @@
 		list = append(list, rate.Peer{
 			ID:         p.Address,
 			SameDomain: p.Domain == d.node.Self().Domain,
-			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.heard[p.Address]),
-
-			Factors: factors[p.Domain],
+			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.peerShares[p.Address]),
+			Factors:    factors[p.Domain],
 		})
 	}
 	d.limiter.SetPeers(list)
 }
 
-func (d *rateDriver) ask(ctx context.Context, a rate.Ask) {
-	ctx, cancel := context.WithTimeout(ctx, rateAskTimeout)
+// requestTokens asks a peer for tokens.
+func (d *rateDriver) requestTokens(ctx context.Context, req rate.Ask) {
+	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	var grant wire.RateGrant
-	_, err := d.node.Call(ctx, a.Peer, wire.KindRateRequest, a.Body, &grant)
+	_, err := d.node.Call(ctx, req.Peer, wire.KindRateRequest, req.Body, &grant)
 	d.mu.Lock()
 	if err != nil {
-		d.limiter.AskFailed(d.clock.now(), a.ID)
+		d.limiter.AskFailed(d.clock.now(), req.ID)
 	} else {
-		d.limiter.HandleGrant(d.clock.now(), a.Peer, a.ID, grant)
+		d.limiter.HandleGrant(d.clock.now(), req.Peer, req.ID, grant)
 	}
 	d.mu.Unlock()
-	d.wake.kick()
+	d.wake.notify()
 }
 
-func (d *rateDriver) giveBack(ctx context.Context, r rate.Return) {
-	ctx, cancel := context.WithTimeout(ctx, rateAskTimeout)
+// returnTokens tells a peer what became of the tokens that it granted.
+func (d *rateDriver) returnTokens(ctx context.Context, r rate.Return) {
+	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	_ = d.node.Send(ctx, r.Peer, wire.KindRateReturn, r.Body)
 }
 
-func (d *rateDriver) handleAsk(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var ask wire.RateRequest
-	if err := f.DecodeBody(&ask); err != nil {
+func (d *rateDriver) handleTokenRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+	var req wire.RateRequest
+	if err := f.DecodeBody(&req); err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.limiter.HandleAsk(d.clock.now(), ask), nil
+	return d.limiter.HandleAsk(d.clock.now(), req), nil
 }
 
-func (d *rateDriver) handleReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (d *rateDriver) handleTokenReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var r wire.RateReturn
 	if err := f.DecodeBody(&r); err != nil {
 		return nil, err
@@ -95,7 +97,7 @@
 	return nil, nil
 }
 
-// hints are this instance's balances and its part of all rates, for
+// hints returns this instance's largest balances and its share of all rates, for
 // heartbeats.
 func (d *rateDriver) hints() (wire.RateHints, float64) {
 	d.mu.Lock()
@@ -104,21 +106,22 @@
 	return d.limiter.Hints(now), d.limiter.Share(now)
 }
 
-// takeHints notes a peer's balances and what it mints.
-func (d *rateDriver) takeHints(hb wire.Heartbeat) {
+// handleHeartbeat records the balances and the share of all rates that a peer
+// reports.
+func (d *rateDriver) handleHeartbeat(hb wire.Heartbeat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	addr := hb.From.Address
-	d.heardAt[addr] = d.clock.now()
-	d.limiter.HandleHints(d.heardAt[addr], addr, hb.Hints)
-	if d.heard[addr] != hb.RateShare {
-		d.heard[addr] = hb.RateShare
-		d.refreshPeers()
+	d.heartbeatAt[addr] = d.clock.now()
+	d.limiter.HandleHints(d.heartbeatAt[addr], addr, hb.Hints)
+	if d.peerShares[addr] != hb.RateShare {
+		d.peerShares[addr] = hb.RateShare
+		d.updatePeers()
 	}
 }
 
-// share is the part of all rates that this instance mints now.
-func (d *rateDriver) share() float64 {
+// mintedShare returns the share of all rates that this instance mints now.
+func (d *rateDriver) mintedShare() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Share(d.clock.now())
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// stateView is what the admin API shows of the process.
+// stateView is the response body of GET /admin/v1/state.
 type stateView struct {
 	Instance    string        `json:"instance"`
 	Incarnation string        `json:"incarnation"`
@@ -28,7 +28,7 @@
 	Name            string  `json:"name"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	BurstTokens     float64 `json:"burst_tokens"`
-	// Keys are the ids of the keys that work.
+	// Keys are the IDs of the account's keys that are not withdrawn.
 	Keys []string `json:"keys"`
 }
 
@@ -39,7 +39,7 @@
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation,omitempty"`
 	Version     string `json:"version,omitempty"`
-	// RejectedBy names the rules that keep new work off the target.
+	// RejectedBy names the rules for which the target gets no new requests.
 	RejectedBy []string `json:"rejected_by,omitempty"`
 }
 
@@ -65,23 +65,23 @@
 	HeldBytes int `json:"held_bytes"`
 }
 
-// poisonView counts requests that crash their targets, since the start.
+// poisonView describes poison requests. The counters start with the process.
 type poisonView struct {
-	// Suspects is the fingerprints remembered now.
+	// Suspects is the number of fingerprints that are suspects now.
 	Suspects int   `json:"suspects"`
 	Crashes  int64 `json:"crashes"`
-	// Quarantined, Isolated and Cleared are verdicts given.
+	// Quarantined, Isolated and Cleared count the verdicts.
 	Quarantined int64 `json:"quarantined"`
 	Isolated    int64 `json:"isolated"`
 	Cleared     int64 `json:"cleared"`
 }
 
-// view collects the state of the process.
+// view returns the state of the process.
 func (e *Entry) view(ready bool) stateView {
 	v := stateView{
 		Instance: e.settings.InstanceID, Incarnation: e.node.Self().Incarnation, Domain: e.settings.Domain,
-		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.share(),
-		Peers: e.members.peerViews(), Leases: e.rates.view(), Targets: e.pools.view(), Claims: e.claims.view(), Poison: e.poison.view(),
+		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.mintedShare(),
+		Peers: e.members.peerViews(), Leases: e.rates.leaseViews(), Targets: e.pools.targetViews(), Claims: e.claims.view(), Poison: e.poison.view(),
 	}
 	intent := e.config.intent()
 	if intent == nil {
@@ -114,14 +114,14 @@
 		}
 		list = append(list, peerView{
 			Address: f.Identity.Address, Instance: f.Identity.Instance, Incarnation: f.Identity.Incarnation,
-			Domain: f.Identity.Domain, SilentMS: (now - m.heard[f.Identity.Address]).Milliseconds(),
+			Domain: f.Identity.Domain, SilentMS: (now - m.lastHeard[f.Identity.Address]).Milliseconds(),
 			Leaving: f.State == wire.MemberLeaving,
 		})
 	}
 	return list
 }
 
-func (d *rateDriver) view() []leaseView {
+func (d *rateDriver) leaseViews() []leaseView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []leaseView
@@ -135,21 +135,21 @@
 	return list
 }
 
-func (p *pools) view() []targetView {
+func (p *pools) targetViews() []targetView {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	var list []targetView
 	for _, pool := range p.engines {
-		list = append(list, pool.view()...)
+		list = append(list, pool.targetViews()...)
 	}
 	for _, pool := range p.services {
-		list = append(list, pool.view()...)
+		list = append(list, pool.targetViews()...)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
 }
 
-func (p *enginePool) view() []targetView {
+func (p *enginePool) targetViews() []targetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []targetView
@@ -163,7 +163,7 @@
 	return list
 }
 
-func (p *servicePool) view() []targetView {
+func (p *servicePool) targetViews() []targetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []targetView
