--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -16,7 +16,7 @@
 	return g.peers
 }
 
-func announced(name string, revision int64, alive ...string) Announced {
+func announcementOf(name string, revision int64, alive ...string) Announced {
 	return Announced{Announcement: Announcement{Instance: name, Incarnation: "1", Domain: "d1", Alive: alive}, Revision: revision}
 }
 
@@ -24,27 +24,27 @@
 // before there are others, and its record is the first one of the topic. The
 // others have to find it all the same, or it serves alone with the whole rate
 // of each account.
-func TestFirstRecordOfTheTopicIsFound(t *testing.T) {
+func TestAnnouncementAtOffsetZeroIsFound(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.True(p.known["a"] != nil)
 	alone := newTestPeers("a")
-	alone.take(0, []Announced{announced("a", 0)})
-	is.Equal(alone.announcePause(0), announceEvery)
+	alone.applyAnnouncements(0, []Announced{announcementOf("a", 0)})
+	is.Equal(alone.announceDelay(0), fastAnnounceInterval)
 }
 
 // A machine is gone for good. Its record stays in the store; read again, it
 // must not bring the instance back to life, and with it a part of the rates.
-func TestRecordOfAGonePeerDoesNotBringItBack(t *testing.T) {
+func TestOldAnnouncementDoesNotRestoreExpiredPeer(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
-	p.expire(goneAfter + time.Second)
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
+	p.expirePeers(peerExpiry + time.Second)
 	is.Equal(len(p.known), 0)
-	p.take(goneAfter+2*time.Second, []Announced{announced("a", 0), announced("b", 1)})
+	p.applyAnnouncements(peerExpiry+2*time.Second, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.Equal(len(p.known), 0)
-	p.take(goneAfter+3*time.Second, []Announced{announced("b", 5)}) // it was only away
+	p.applyAnnouncements(peerExpiry+3*time.Second, []Announced{announcementOf("b", 5)}) // it was only away
 	is.Equal(len(p.known), 1)
 }
 
@@ -52,18 +52,18 @@
 // not take them for gone as it wakes. Alone in its count it would spend the whole
 // rate of each account beside all others, for as long as they are not announced
 // again.
-func TestWokenInstanceKeepsItsPeers(t *testing.T) {
+func TestSuspendedInstanceKeepsItsPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1), announced("c", 2)})
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1), announcementOf("c", 2)})
 	p.g.suspension.tick(100 * time.Millisecond)
-	p.look(100 * time.Millisecond)
-	p.look(8 * time.Second)
+	p.expireUnlessSuspended(100 * time.Millisecond)
+	p.expireUnlessSuspended(8 * time.Second)
 	is.Equal(len(p.known), 2)
 	p.known["b"].updatedAt = 8500 * time.Millisecond
-	for now := 8 * time.Second; now < 11*time.Second; now += exchangeEvery {
+	for now := 8 * time.Second; now < 11*time.Second; now += exchangeInterval {
 		p.g.suspension.tick(now)
-		p.look(now)
+		p.expireUnlessSuspended(now)
 	}
 	is.Equal(len(p.known), 1) // c is gone indeed
 }
@@ -72,55 +72,55 @@
 // instance of the other half announces whom it hears. This one keeps them in
 // its count, or each half would spend the whole rate of each account; and it
 // announces its own half in turn.
-func TestOtherHalfIsKnownByItsFirst(t *testing.T) {
+func TestPartitionedPeersAreKeptByAnnouncements(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("b", 1), announced("c", 2), announced("d", 3)})
+	p.applyAnnouncements(0, []Announced{announcementOf("b", 1), announcementOf("c", 2), announcementOf("d", 3)})
 	now := 5 * time.Second
 	p.known["b"].updatedAt = now
-	is.True(p.announcesOthers(now))
-	is.Equal(p.overdue(now), map[string]int64{"c": 5000, "d": 5000})
-	p.take(now, []Announced{announced("b", 1), announced("c", 9, "d"), announced("d", 3)})
-	now += goneAfter - time.Second
+	is.True(p.mustAnnounceOthers(now))
+	is.Equal(p.overduePeers(now), map[string]int64{"c": 5000, "d": 5000})
+	p.applyAnnouncements(now, []Announced{announcementOf("b", 1), announcementOf("c", 9, "d"), announcementOf("d", 3)})
+	now += peerExpiry - time.Second
 	p.known["b"].updatedAt = now
-	p.expire(now)
+	p.expirePeers(now)
 	is.Equal(len(p.known), 3)
-	is.Equal(p.overdue(now)["d"], (goneAfter - time.Second).Milliseconds())
+	is.Equal(p.overduePeers(now)["d"], (peerExpiry - time.Second).Milliseconds())
 }
 
 // The second instance hears the first one, which looks into the store for the
 // silent third: it makes no calls itself, and keeps what it is told. Once the
 // first one hears the third, the second has to tell of itself.
-func TestOthersLeaveTheStoreToTheFirst(t *testing.T) {
+func TestOnlyFirstRankedSearchesForSilentPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
-	p.take(0, []Announced{announced("a", 1), announced("c", 2)})
-	now := goneAfter
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 1), announcementOf("c", 2)})
+	now := peerExpiry
 	p.known["a"].updatedAt = now
-	p.takeOverdue(now, map[string]int64{"c": 100})
-	is.True(!p.announcesOthers(now))
-	is.Equal(p.announcePause(now), othersAnnounceEvery)
-	p.expire(now + time.Second)
+	p.applyOverdueReport(now, map[string]int64{"c": 100})
+	is.True(!p.mustAnnounceOthers(now))
+	is.Equal(p.announceDelay(now), otherAnnounceInterval)
+	p.expirePeers(now + time.Second)
 	is.Equal(len(p.known), 2)
-	now += goneAfter/2 + time.Second
+	now += peerExpiry/2 + time.Second
 	p.known["a"].updatedAt = now // and no report of the third any more
-	is.True(p.announcesOthers(now))
+	is.True(p.mustAnnounceOthers(now))
 }
 
 // Guards against two calls more to the store by each of hundreds of instances that
 // start together: while the first announcement is answered, no peer has reported.
-func TestInstanceAnnouncesOnceAtItsStart(t *testing.T) {
+func TestInstanceAnnouncesOnceAtStart(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
 	is.True(p.announceDue(0))
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
-	p.announceAt = p.announcePause(0)
-	is.Equal(p.announceAt, announceEvery) // as long as it is alone
-	now := announceEvery
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
+	p.announceAt = p.announceDelay(0)
+	is.Equal(p.announceAt, fastAnnounceInterval) // as long as it is alone
+	now := fastAnnounceInterval
 	p.known["a"].updatedAt = now
 	is.True(!p.announceDue(now))
-	is.Equal(p.announceAt, othersAnnounceEvery)
+	is.Equal(p.announceAt, otherAnnounceInterval)
 	p.known["a"].updatedAt = never
-	is.True(!p.announceDue(now + announceEvery)) // it may report yet
-	is.True(p.announceDue(now + 2*announceEvery))
+	is.True(!p.announceDue(now + fastAnnounceInterval)) // it may report yet
+	is.True(p.announceDue(now + 2*fastAnnounceInterval))
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -15,7 +15,7 @@
 
 // attempt sends the request to one target and relays what comes.
 func (g *Gateway) attempt(ctx context.Context, c *call, l *leg, s *relay) outcome {
-	c.tried, c.choice = l.target.ID, l.choice
+	c.lastTarget, c.choice = l.target.ID, l.choice
 	c.placedAt = g.clock.Now()
 	conn, err := g.targets.Get(ctx, l.target.Address, g.freshFor(c))
 	if err != nil {
@@ -28,7 +28,7 @@
 		g.logAttempt(c, l, "not_sent", err)
 		return notSent
 	}
-	c.sent++
+	c.sendCount++
 	l.sent(conn.Close, g.mobility(c))
 	stop := context.AfterFunc(ctx, conn.Close)
 	result, err := g.exchange(ctx, c, l, s, conn)
@@ -103,12 +103,12 @@
 		g.limits.observe(c.placedAt, l.target.Incarnation(), verdict.Limit)
 	}
 	if verdict.Weights > 0 && c.Prompt != nil {
-		g.engineOf(c).served(l.target.Incarnation(), c.Prompt.Model, verdict.Weights)
+		g.enginePoolOf(c).served(l.target.Incarnation(), c.Prompt.Model, verdict.Weights)
 	}
 	switch {
 	case verdict.NotRun:
 		if c.service.Engine != nil {
-			g.engineOf(c).refused(l.target.Incarnation())
+			g.enginePoolOf(c).refused(l.target.Incarnation())
 		}
 		return notRun, errors.Newf("status %d, not run", resp.StatusCode)
 	case !verdict.Genuine:
@@ -121,7 +121,7 @@
 
 // worthRepeating says that a failure of the target may be tried elsewhere.
 func (g *Gateway) worthRepeating(ctx context.Context, c *call) bool {
-	return ctx.Err() == nil && c.route.Repeatable() && c.sent < c.route.MaxAttempts && !c.wrote &&
+	return ctx.Err() == nil && c.route.Repeatable() && c.sendCount < c.route.MaxAttempts && !c.headWritten &&
 		g.budget(c.service.Name).Available() >= 1
 }
 
@@ -139,10 +139,10 @@
 // tryTime is how long an attempt may stay without an answer before another
 // target is tried; 0 for as long as the request may.
 func (g *Gateway) tryTime(c *call) time.Duration {
-	if c.service.Engine != nil || !c.route.Repeatable() || c.sent >= c.route.MaxAttempts {
+	if c.service.Engine != nil || !c.route.Repeatable() || c.sendCount >= c.route.MaxAttempts {
 		return 0
 	}
-	return max(minTryTime, min(c.route.LatencyObjective*tryObjectives, g.left(c)/2))
+	return max(minTryTime, min(c.route.LatencyObjective*tryObjectives, g.timeLeft(c)/2))
 }
 
 const (
@@ -165,7 +165,7 @@
 // outgoing is what goes with the request to the target.
 func (g *Gateway) outgoing(c *call, l *leg, s *relay) Outgoing {
 	o := Outgoing{
-		Target: l.target.ID, Account: accountName(c), Left: g.left(c), Urgency: urgency(c),
+		Target: l.target.ID, Account: accountName(c), Left: g.timeLeft(c), Urgency: urgency(c),
 		FetchFrom: l.source, LastEventID: s.resumeAfter(),
 	}
 	if c.Prompt != nil {
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -90,7 +90,7 @@
 			out = append(out, address)
 		case !reads:
 			store.index.StopFollowing()
-			if now-store.answeredAt > goneAfter {
+			if now-store.answeredAt > peerExpiry {
 				store.index.MarkUnreachable()
 			}
 		}
@@ -121,7 +121,7 @@
 	if store == nil {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, cacheEventsWait+orderTimeout)
+	call, cancel := context.WithTimeout(ctx, cacheEventsWait+targetCallTimeout)
 	defer cancel()
 	news, err := s.g.control.CacheEvents(call, address, store.since, cacheEventsWait)
 	if err != nil {
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -82,7 +82,7 @@
 }
 
 func (s *callerServer) answerReady(w http.ResponseWriter, _ *http.Request) {
-	if !s.g.ready() {
+	if !s.g.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/gateway/configtransfer_test.go
+++ b/internal/gateway/configtransfer_test.go
@@ -14,19 +14,19 @@
 
 // oldConfig is an instance with version 1 whose last contact with the store was made
 // some time ago; its peer has another version.
-func oldConfig(age time.Duration, peerHas int64) *probed {
-	p := startOn(&memoryStore{newest: 2, targets: onVersions(2)}, "a")
-	c := withRoutes(1, 3)
+func newOutdatedGateway(age time.Duration, peerHas int64) *testGateway {
+	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(2)}, "a")
+	c := configWithRoutes(1, 3)
 	p.table.Store(routing.NewTable(c))
-	p.contacts = contactsOf(p.clock.Now() - age)
-	p.configs.report(peerHas, "b")
+	p.contacts = contactAt(p.clock.Now() - age)
+	p.configs.recordReport(peerHas, "b")
 	return p
 }
 
 // route looks up a request's route, and gives the reason and status of a refusal.
-func (p *probed) route(host, path string) (string, int) {
+func (p *testGateway) matchRequest(host, path string) (string, int) {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
-	refusal := p.routeCall(&call{Request: &Request{Host: host, Path: path}, r: r})
+	refusal := p.matchRoute(&call{Request: &Request{Host: host, Path: path}, r: r})
 	if refusal == nil {
 		return "", 0
 	}
@@ -36,7 +36,7 @@
 // Guards against requests that run as a replaced configuration allows, at an
 // instance that knows of the newer one, and against 404 for routes that only the
 // newer one has.
-func TestOutdatedConfigurationIsNotUsedBeyondItsBound(t *testing.T) {
+func TestOutdatedConfigIsRefusedAfterItsBound(t *testing.T) {
 	const bound = 2 * time.Second // of startOn
 	for name, c := range map[string]struct {
 		age     time.Duration
@@ -56,7 +56,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			reason, status := oldConfig(c.age, c.peerHas).route("host-0.example", c.path)
+			reason, status := newOutdatedGateway(c.age, c.peerHas).matchRequest("host-0.example", c.path)
 			is.Equal(reason, c.reason)
 			is.Equal(status, c.status)
 		})
@@ -65,35 +65,35 @@
 
 // Guards against instances that refuse callers for stale keys after they have the
 // newest configuration: their peers' contact with the store is theirs too.
-func TestPeersContactCountsOnceTheirConfigurationIsHere(t *testing.T) {
+func TestPeerContactCountsOnceItsConfigIsActive(t *testing.T) {
 	is := is.New(t)
-	p := startOn(&memoryStore{newest: 2, targets: onVersions(2)}, "a")
-	p.contacts = contactsOf(p.clock.Now() - 5*time.Second)
+	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(2)}, "a")
+	p.contacts = contactAt(p.clock.Now() - 5*time.Second)
 	for _, a := range []wire.ExchangeResponse{{ConfigVersion: 2, StoreContactAgeMillis: 900}, {ConfigVersion: 3, StoreContactAgeMillis: 100}} {
-		p.takeAnswer(p.clock.Now(), wire.Identity{Instance: "b"}, 0, a)
+		p.applyExchangeResponse(p.clock.Now(), wire.Identity{Instance: "b"}, 0, a)
 	}
-	is.True(p.sinceContact() >= 5*time.Second)
+	is.True(p.contactAge() >= 5*time.Second)
 	p.mu.Lock()
-	p.putInForce(p.load(withRoutes(3, 4)), "b")
+	p.activateConfig(p.prepareConfig(configWithRoutes(3, 4)), "b")
 	p.mu.Unlock()
-	is.True(p.sinceContact() < 2*time.Second)
+	is.True(p.contactAge() < 2*time.Second)
 }
 
 // Guards against requests that are refused by the limits of one configuration and
 // logged with another: the engineer on call looks for the cause in the wrong one.
-func TestRequestIsAdmittedByTheConfigurationInForce(t *testing.T) {
+func TestRequestIsAdmittedByActiveConfig(t *testing.T) {
 	is := is.New(t)
-	p := oldConfig(0, 1)
-	limited := withRoutes(2, 3)
+	p := newOutdatedGateway(0, 1)
+	limited := configWithRoutes(2, 3)
 	limited.Accounts = []routing.Account{{Name: "acc", KeyHashes: []string{routing.HashKey("key")}, Rate: 1, Burst: 1}}
 	c := &call{Request: &Request{Host: "host-0.example", Path: "/p0/", Key: "key"}, r: httptest.NewRequest(http.MethodGet, "/p0/", nil)}
 	p.settings.KeyCutoff = time.Minute
-	is.Equal(p.routeCall(c), nil)
+	is.Equal(p.matchRoute(c), nil)
 	is.Equal(p.authorize(c), nil)
 	p.mu.Lock()
-	p.putInForce(p.load(limited), "b") // while the body comes in
+	p.activateConfig(p.prepareConfig(limited), "b") // while the body comes in
 	p.mu.Unlock()
-	refusal := p.admitCurrent(c)
+	refusal := p.admitWithCurrentConfig(c)
 	is.Equal(refusal.Reason, "over_rate") // its bucket is empty at first
 	is.Equal(c.table.Config().Version, int64(2))
 }
--- a/internal/gateway/crashcount.go
+++ b/internal/gateway/crashcount.go
@@ -87,7 +87,7 @@
 	defer g.mu.Unlock()
 	n := g.crashes.add(g.clock.Now(), c.fingerprint)
 	g.crashes.unreported = append(g.crashes.unreported, c.fingerprint)
-	logline.Info("crash_counted", "request", c.ID, "target", c.tried, "crashes", n, "of", maxCrashes)
+	logline.Info("crash_counted", "request", c.ID, "target", c.lastTarget, "crashes", n, "of", maxCrashes)
 }
 
 // connectionLost says that an attempt ended with its connection, as when its
--- a/internal/gateway/enginemove.go
+++ b/internal/gateway/enginemove.go
@@ -23,14 +23,14 @@
 
 func (g *Gateway) mobility(c *call) mobility {
 	m := mobility{repeatable: c.route.Repeatable()}
-	last := c.sent >= c.route.MaxAttempts
+	last := c.sendCount >= c.route.MaxAttempts
 	budget := g.budget(c.service.Name)
 	reserve := moveReserve * g.retryReserve(g.peers.fleetSize())
 	m.resumable = func() bool {
-		if !m.repeatable || last || g.closing.Load() || !g.mayResume(c) || !budget.TakeRetryAbove(reserve) {
+		if !m.repeatable || last || g.draining.Load() || !g.mayResume(c) || !budget.TakeRetryAbove(reserve) {
 			return false
 		}
-		c.prepaid.Store(true)
+		c.retryCharged.Store(true)
 		return true
 	}
 	return m
@@ -40,7 +40,7 @@
 // key may have been withdrawn, or its route moved, since it was sent.
 func (g *Gateway) mayResume(c *call) bool {
 	t := g.table.Load()
-	if t == nil || g.feeds.cut() {
+	if t == nil || g.feeds.anyUnreachable() {
 		return false
 	}
 	route, ok := t.Match(c.Host, c.Path)
--- a/internal/gateway/enginepeers.go
+++ b/internal/gateway/enginepeers.go
@@ -34,7 +34,7 @@
 func (p *enginePool) setPeers(delay time.Duration, peers map[string]load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.SetMaxTargetBacklog(engineWindow + delay - exchangeEvery)
+	p.dispatcher.SetMaxTargetBacklog(engineWindow + delay - exchangeInterval)
 	for i := range p.pool.Len() {
 		t := p.pool.Target(i)
 		l := peers[t.Name]
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -16,21 +16,21 @@
 
 // exchangeAll publishes this instance's state and starts the exchanges that are
 // due.
-func (p *peers) exchangeAll(ctx context.Context) {
-	state, spent := p.g.state()
-	message := p.g.message()
+func (p *peers) publishAndExchange(ctx context.Context) {
+	state, spent := p.g.publishedState()
+	message := p.g.exchangeRequest()
 	p.mu.Lock()
 	now := p.g.clock.Now()
-	p.look(now)
-	state.OverdueInstances = p.overdue(now)
-	p.table.SetStaleAfter(p.freshFor())
+	p.expireUnlessSuspended(now)
+	state.OverdueInstances = p.overduePeers(now)
+	p.table.SetStaleAfter(p.updateMaxAge())
 	p.table.Publish(now, state, spent)
 	p.planCalls(now)
 	message.Hub = p.plan.Hub
 	for _, c := range p.plan.Calls {
 		s := p.known[c.Name]
-		s.calling, s.calledAt = true, now
-		go p.exchange(ctx, s, c.Follow, message)
+		s.callInFlight, s.calledAt = true, now
+		go p.exchangeWith(ctx, s, c.Follow, message)
 	}
 	p.mu.Unlock()
 }
@@ -39,30 +39,30 @@
 func (p *peers) planCalls(now time.Duration) {
 	view, fleet := make([]hubs.Peer, 0, len(p.known)), 1+len(p.known)
 	for _, s := range p.known {
-		fleet = max(fleet, s.fleet)
-		fresh := p.fresh(now, s)
+		fleet = max(fleet, s.fleetSize)
+		fresh := p.isFresh(now, s)
 		view = append(view, hubs.Peer{
-			Instance: s.instance(), Fresh: fresh, CallInFlight: s.calling, CallLate: s.calling && now-s.calledAt > lateAfter,
-			Reachable: !s.state.Leaving && now-s.failedAt > retryFailed && (fresh || s.updatedAt == never),
+			Instance: s.hubInstance(), Fresh: fresh, CallInFlight: s.callInFlight, CallLate: s.callInFlight && now-s.calledAt > lateCallThreshold,
+			Reachable: !s.state.Leaving && now-s.failedAt > failedPeerBackoff && (fresh || s.updatedAt == never),
 		})
 	}
 	was := p.plan
-	p.plan = hubs.PlanCalls(p.instance(), view, fleet, p.turn)
-	p.turn++
+	p.plan = hubs.PlanCalls(p.hubInstance(), view, fleet, p.round)
+	p.round++
 	if was.Hub != p.plan.Hub || was.Mesh != p.plan.Mesh {
-		logline.Info("hub_role", "hub", p.plan.Hub, "mesh", p.plan.Mesh, "known", len(p.known), "reporting", p.reportingLocked(now))
+		logline.Info("hub_role", "hub", p.plan.Hub, "mesh", p.plan.Mesh, "known", len(p.known), "reporting", p.reportingCountLocked(now))
 	}
 }
 
 // exchange makes one call to a peer.
-func (p *peers) exchange(ctx context.Context, s *peerState, follow bool, m wire.Exchange) {
+func (p *peers) exchangeWith(ctx context.Context, s *peerState, follow bool, m wire.Exchange) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	p.mu.Lock()
 	asked := p.g.clock.Now()
-	m.BaseVersion, m.ExpectedReceiver = s.sent, replica.OriginID(s.Incarnation)
+	m.BaseVersion, m.ExpectedReceiver = s.ackedVersion, replica.OriginID(s.Incarnation)
 	m.Updates = p.table.UpdatesSince(asked, m.BaseVersion, replica.ScopeFollowers, m.ExpectedReceiver)
-	m.Follow, m.ReceivedCursor = follow, s.received
+	m.Follow, m.ReceivedCursor = follow, s.receivedCursor
 	sent, address := p.table.Cursor().Version, s.Address
 	p.mu.Unlock()
 	var answer wire.ExchangeResponse
@@ -73,31 +73,31 @@
 	if err != nil {
 		p.g.metrics.exchangeFailed(err)
 	}
-	lacking := err == nil && p.takeUpdates(asked, from.Instance, answer.Updates, false)
+	lacking := err == nil && p.mergeUpdates(asked, from.Instance, answer.Updates, false)
 	p.mu.Lock()
-	s.calling = false
+	s.callInFlight = false
 	switch {
 	case err != nil:
 		s.failedAt = p.g.clock.Now()
 	case from.Incarnation != s.Incarnation:
-		s.failedAt, s.sent, s.received = never, 0, wire.UpdateCursor{}
+		s.failedAt, s.ackedVersion, s.receivedCursor = never, 0, wire.UpdateCursor{}
 	default:
-		s.failedAt, s.sent = never, sent
+		s.failedAt, s.ackedVersion = never, sent
 		if answer.NeedsResync {
-			s.sent = 0
+			s.ackedVersion = 0
 		}
 		if follow {
-			s.received = answer.Cursor
+			s.receivedCursor = answer.Cursor
 		}
 		if lacking {
-			s.received = wire.UpdateCursor{}
+			s.receivedCursor = wire.UpdateCursor{}
 		}
-		s.state.Leaving, s.fleet = answer.Leaving, answer.FleetSize
-		p.noteConfig(s, answer.ConfigVersion)
+		s.state.Leaving, s.fleetSize = answer.Leaving, answer.FleetSize
+		p.recordPeerConfig(s, answer.ConfigVersion)
 	}
 	p.mu.Unlock()
 	if err == nil {
-		p.g.takeAnswer(asked, from, m.RegistrationsOffset, answer)
+		p.g.applyExchangeResponse(asked, from, m.RegistrationsOffset, answer)
 	}
 }
 
@@ -115,13 +115,13 @@
 }
 
 // noteConfig takes in which configuration a peer has. The caller holds p.mu.
-func (p *peers) noteConfig(s *peerState, version int64) {
-	s.config = max(s.config, version)
-	p.g.configs.report(version, s.Instance)
+func (p *peers) recordPeerConfig(s *peerState, version int64) {
+	s.configVersion = max(s.configVersion, version)
+	p.g.configs.recordReport(version, s.Instance)
 }
 
 // serve answers a peer's message.
-func (p *peers) serve(_ context.Context, from wire.Identity, f wire.Frame) (any, error) {
+func (p *peers) handleExchange(_ context.Context, from wire.Identity, f wire.Frame) (any, error) {
 	var m wire.Exchange
 	if err := f.DecodeBody(&m); err != nil {
 		return nil, err
@@ -131,9 +131,9 @@
 	// one, also where it knows their origins from others.
 	lacking := m.BaseVersion > 0 && m.ExpectedReceiver != replica.OriginID(p.g.self.Incarnation)
 	if !lacking {
-		lacking = p.takeUpdates(now, from.Instance, m.Updates, m.Follow && !m.Hub)
+		lacking = p.mergeUpdates(now, from.Instance, m.Updates, m.Follow && !m.Hub)
 	}
-	answer := p.g.answer(now, from, m)
+	answer := p.g.exchangeResponse(now, from, m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	answer.NeedsResync, answer.FleetSize = lacking, 1+len(p.known)
@@ -146,25 +146,25 @@
 
 // takeUpdates takes in updates that came from an instance, with ages that count
 // back from a time. Lacking says that some build on others that are not here.
-func (p *peers) takeUpdates(from time.Duration, via string, updates []wire.InstanceUpdate, passOn bool) (lacking bool) {
+func (p *peers) mergeUpdates(from time.Duration, via string, updates []wire.InstanceUpdate, passOn bool) (lacking bool) {
 	if len(updates) == 0 {
 		return false
 	}
-	p.taking.Lock()
-	defer p.taking.Unlock()
+	p.mergeMu.Lock()
+	defer p.mergeMu.Unlock()
 	p.mu.Lock()
 	now := p.g.clock.Now()
 	changes, lacking := p.table.Merge(from, updates, passOn)
 	for i := range changes {
-		p.note(now, via, &changes[i])
+		p.applyChange(now, via, &changes[i])
 	}
 	p.mu.Unlock()
-	p.g.takeChanges(now, changes)
+	p.g.applyPeerChanges(now, changes)
 	return lacking
 }
 
 // note takes in the update of a peer. The caller holds p.mu.
-func (p *peers) note(now time.Duration, via string, c *replica.Change) {
+func (p *peers) applyChange(now time.Duration, via string, c *replica.Change) {
 	id := c.Identity
 	if id.Instance == p.g.self.Instance {
 		return // an earlier process of this instance
@@ -174,31 +174,31 @@
 		return // an earlier process of that one
 	}
 	if s == nil || s.Incarnation != id.Incarnation {
-		if now-c.At > p.freshFor() {
+		if now-c.At > p.updateMaxAge() {
 			return
 		}
-		s = newState(now, Announced{Announcement: Announcement{
+		s = newPeerState(now, Announced{Announcement: Announcement{
 			Instance: id.Instance, Incarnation: id.Incarnation, Address: id.Address, Domain: id.Domain,
 		}})
 		p.known[id.Instance] = s
 		logline.Sampled("peer_met", "peer", id.Instance, "address", id.Address, "incarnation", id.Incarnation, "via", via)
 	}
 	s.updatedAt, s.via, s.state, s.Capacity = c.At, via, c.State, c.State.Capacity
-	p.noteConfig(s, c.State.ConfigVersion)
-	p.takeOverdue(now, c.State.OverdueInstances)
+	p.recordPeerConfig(s, c.State.ConfigVersion)
+	p.applyOverdueReport(now, c.State.OverdueInstances)
 }
 
 // apply puts what is known of the peers into force here.
-func (p *peers) apply() {
+func (p *peers) applyToGateway() {
 	now := p.g.clock.Now()
 	loads := map[string]load{}
 	loading := map[string]bool{}
 	p.mu.Lock()
-	fleet, silence, delay := p.sizeLocked(), p.freshFor(), p.updateTime()
-	names, found := p.serving(), p.read
+	fleet, silence, delay := p.fleetSizeLocked(), p.updateMaxAge(), p.propagationTime()
+	names, found := p.servingInstances(), p.announcementsRead
 	reporting, silent := 0, map[string]int{}
 	for _, s := range p.known {
-		if !p.fresh(now, s) {
+		if !p.isFresh(now, s) {
 			continue
 		}
 		reporting++
@@ -215,15 +215,15 @@
 	}
 	p.mu.Unlock()
 	p.g.limits.setFleet(names, found)
-	p.g.takePeers(now, fleet, silence, delay, loads, loading)
-	p.g.suspect(agreed(silent, reporting))
+	p.g.applyFleetState(now, fleet, silence, delay, loads, loading)
+	p.g.suspectTargets(confirmedSilent(silent, reporting))
 }
 
 // serving are the instances that may be serving, without those that leave. The caller
 // holds p.mu.
-func (p *peers) serving() []string {
+func (p *peers) servingInstances() []string {
 	names := make([]string, 0, 1+len(p.known))
-	if !p.g.closing.Load() {
+	if !p.g.draining.Load() {
 		names = append(names, p.g.self.Instance)
 	}
 	for name, s := range p.known {
@@ -237,16 +237,16 @@
 const (
 	// minWitnesses is the peers that must have found a target silent. One may
 	// be cut off from it by itself.
-	minWitnesses = 2
+	minSilenceReporters = 2
 	// witnessShare is that number in large fleets, as a part of the peers that
 	// report: a few machines that share a broken link must not decide for all.
-	witnessShare = 0.07
+	silenceReporterFraction = 0.07
 )
 
 // agreed lists the targets that enough of the peers have found silent.
-func agreed(silent map[string]int, reporting int) []string {
+func confirmedSilent(silent map[string]int, reporting int) []string {
 	var ids []string
-	need := max(minWitnesses, int(witnessShare*float64(reporting)))
+	need := max(minSilenceReporters, int(silenceReporterFraction*float64(reporting)))
 	for id, n := range silent {
 		if n >= need {
 			ids = append(ids, id)
@@ -257,17 +257,17 @@
 
 // sentPrompt notes a prompt that a target has prefilled, and the pieces that it
 // saves under the scope, for the peers.
-func (p *peers) sentPrompt(pl *placed, scope string, saved []prefix.Hash) {
+func (p *peers) publishPrompt(pl *placed, scope string, saved []prefix.Hash) {
 	m := wire.PrefilledPrompt{
-		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: numbers(pl.send.Request.Placement.Chain), CachedTokens: pl.took(),
-		CacheScope: scope, SavedPieces: numbers(saved),
+		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: hashesToUint64(pl.send.Request.Placement.Chain), CachedTokens: pl.took(),
+		CacheScope: scope, SavedPieces: hashesToUint64(saved),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.AddEvent(wire.InstanceEvent{Prompt: &m})
 }
 
-func numbers(hashes []prefix.Hash) []uint64 {
+func hashesToUint64(hashes []prefix.Hash) []uint64 {
 	out := make([]uint64, len(hashes))
 	for i, h := range hashes {
 		out[i] = uint64(h)
@@ -275,7 +275,7 @@
 	return out
 }
 
-func hashes(numbers []uint64) []prefix.Hash {
+func hashesFromUint64(numbers []uint64) []prefix.Hash {
 	out := make([]prefix.Hash, len(numbers))
 	for i, n := range numbers {
 		out[i] = prefix.Hash(n)
@@ -284,7 +284,7 @@
 }
 
 // crashed notes a request that broke off, for the peers.
-func (p *peers) crashed(fingerprint uint64) {
+func (p *peers) publishCrash(fingerprint uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.AddEvent(wire.InstanceEvent{CrashFingerprint: fingerprint})
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	benchFleet   = 195
-	benchTargets = 78
+	benchInstances = 195
+	benchTargets   = 78
 	// benchPrompts is the prompts that a fleet sends in a pause of a follower.
 	benchPrompts = 100
 )
 
 // benchSender is a hub that knows a fleet.
-type benchSender struct {
+type benchHub struct {
 	table   *replica.Table
 	origins []*replica.Table
-	turn    int
+	round   int
 }
 
-func newBenchSender() *benchSender {
-	s := &benchSender{table: replica.New(wire.Identity{Instance: "hub", Incarnation: "hub"}, time.Hour)}
-	for i := range benchFleet {
+func newBenchHub() *benchHub {
+	s := &benchHub{table: replica.New(wire.Identity{Instance: "hub", Incarnation: "hub"}, time.Hour)}
+	for i := range benchInstances {
 		id := wire.Identity{
 			Instance: fmt.Sprintf("edge-%03d", i), Incarnation: fmt.Sprintf("0197-%03d", i), Address: "10.0.0.1:7600", Domain: fmt.Sprintf("d%d", i%5),
 		}
@@ -36,41 +36,41 @@
 }
 
 // next is what has changed of all instances in a pause.
-func (s *benchSender) next(now time.Duration, since uint64) []wire.InstanceUpdate {
-	s.turn++
+func (s *benchHub) publishRound(now time.Duration, since uint64) []wire.InstanceUpdate {
+	s.round++
 	for i, o := range s.origins {
-		target := fmt.Sprintf("t%02d", (i+s.turn)%benchTargets)
-		for n := i; n < benchPrompts; n += benchFleet {
-			o.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.turn % 50)}, CachedTokens: 1000}})
+		target := fmt.Sprintf("t%02d", (i+s.round)%benchTargets)
+		for n := i; n < benchPrompts; n += benchInstances {
+			o.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.round % 50)}, CachedTokens: 1000}})
 		}
 		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
-			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.turn)})
+			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.round)})
 		s.table.Merge(now, o.UpdatesSince(now, 0, replica.ScopeFollowers, 0)[:1], false)
 	}
 	return s.table.UpdatesSince(now, since, replica.ScopeAll, 0)
 }
 
-func newBenchGateway() *probed {
+func newBenchGateway() *testGateway {
 	var versions []int64
 	for range benchTargets {
 		versions = append(versions, 2)
 	}
-	store := &memoryStore{newest: 2, targets: onVersions(versions...)}
+	store := &memoryStore{newest: 2, targets: targetsOnVersions(versions...)}
 	for i := range store.targets {
 		store.targets[i].ID, store.targets[i].StartedMs, store.targets[i].State = fmt.Sprintf("t%02d", i), 1, directory.Ready
 	}
-	return startOn(store, "edge-self")
+	return startTestGateway(store, "edge-self")
 }
 
 // BenchmarkFollowerMessage is one answer of a hub in a large fleet: decoded and
 // put into force.
 func BenchmarkFollowerMessage(b *testing.B) {
-	p, s := newBenchGateway(), newBenchSender()
+	p, s := newBenchGateway(), newBenchHub()
 	since := uint64(0)
 	b.ReportAllocs()
 	for range b.N {
 		b.StopTimer()
-		updates := s.next(p.clock.Now(), since)
+		updates := s.publishRound(p.clock.Now(), since)
 		since = s.table.Cursor().Version
 		f, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates})
 		if err != nil {
@@ -82,19 +82,19 @@
 		if err := f.DecodeBody(&answer); err != nil {
 			b.Fatal(err)
 		}
-		p.peers.takeUpdates(p.clock.Now(), "hub", answer.Updates, false)
-		p.peers.apply()
+		p.peers.mergeUpdates(p.clock.Now(), "hub", answer.Updates, false)
+		p.peers.applyToGateway()
 	}
 }
 
 // BenchmarkHubAnswer is one answer to a follower.
 func BenchmarkHubAnswer(b *testing.B) {
-	s := newBenchSender()
+	s := newBenchHub()
 	since := uint64(0)
 	b.ReportAllocs()
 	for range b.N {
 		b.StopTimer()
-		s.next(time.Second, since)
+		s.publishRound(time.Second, since)
 		b.StartTimer()
 		updates := s.table.UpdatesSince(time.Second, since, replica.ScopeAll, 0)
 		if _, err := wire.NewFrame(1, wire.KindExchange, wire.ExchangeResponse{Updates: updates}); err != nil {
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -20,23 +20,23 @@
 var ErrTooLarge = errors.New("store: answer too large")
 
 // OperatorNews is what operators wrote.
-type OperatorNews struct {
+type OperatorUpdate struct {
 	// Config is the newest configuration, or nil when there is no newer one.
 	Config *routing.Config
 	// Versions are weights versions that were named.
 	Versions []routing.WeightsVersion
 	// Next is where to read on.
-	Next int64
+	NextOffset int64
 }
 
 // OperatorFeed reads what operators write.
 type OperatorFeed interface {
 	// Newest reads the newest configuration and versions. It fails with ErrTooLarge
 	// when the answer has more bytes than limit; 0 sets none.
-	Newest(ctx context.Context, limit int64) (OperatorNews, error)
+	Newest(ctx context.Context, limit int64) (OperatorUpdate, error)
 	// Since reads on from an offset and waits up to wait for news. It fails
 	// with ErrTrimmed when the store has dropped some.
-	Since(ctx context.Context, from int64, wait time.Duration) (OperatorNews, error)
+	Since(ctx context.Context, from int64, wait time.Duration) (OperatorUpdate, error)
 }
 
 // RegistrationFeed reads the targets' registrations.
--- a/internal/gateway/feedstate.go
+++ b/internal/gateway/feedstate.go
@@ -11,20 +11,20 @@
 
 // feedStates say which feeds of the store this instance does not reach. Peers
 // get a report, so that they do not wait for its updates.
-type feedStates struct {
-	mu                       sync.Mutex
-	operators, registrations bool
+type feedReachability struct {
+	mu                                             sync.Mutex
+	operatorsUnreachable, registrationsUnreachable bool
 }
 
 // cut says that some feed is not reached.
-func (s *feedStates) cut() bool {
+func (s *feedReachability) anyUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.operators || s.registrations
+	return s.operatorsUnreachable || s.registrationsUnreachable
 }
 
 // awaitTurn waits until the feed is to be read; false when ctx ended.
-func (g *Gateway) awaitTurn(ctx context.Context, turn *feedturn.Scheduler, view func() feedturn.View) bool {
+func (g *Gateway) awaitRead(ctx context.Context, turn *feedturn.Scheduler, view func() feedturn.View) bool {
 	for ctx.Err() == nil {
 		read, wait := turn.Next(g.clock.Now(), view())
 		if read {
@@ -37,13 +37,13 @@
 
 // tookTurn takes in how a read ended. The log gets a line when the feed is lost
 // or regained.
-func (g *Gateway) tookTurn(ctx context.Context, turn *feedturn.Scheduler, lost *bool, feed string, err error) {
+func (g *Gateway) recordRead(ctx context.Context, turn *feedturn.Scheduler, lost *bool, feed string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	was := turn.LastReadFailed()
 	if err != nil {
-		turn.ReadFailed(g.clock.Now(), g.peers.fleetSize(), g.source())
+		turn.ReadFailed(g.clock.Now(), g.peers.fleetSize(), g.newRand())
 	} else {
 		turn.ReadSucceeded(g.clock.Now())
 	}
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -11,15 +11,15 @@
 )
 
 // state is what this instance publishes: its state, and what it has admitted.
-func (g *Gateway) state() (wire.InstanceState, map[string]float64) {
+func (g *Gateway) publishedState() (wire.InstanceState, map[string]float64) {
 	m := wire.InstanceState{
-		Capacity: g.settings.Capacity, Leaving: g.closing.Load(), StoreUnreachable: g.feeds.cut(), OrderLease: g.heldRecord(),
+		Capacity: g.settings.Capacity, Leaving: g.draining.Load(), StoreUnreachable: g.feeds.anyUnreachable(), OrderLease: g.heldLeaseRecord(),
 		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.answering(),
 		TargetLimits: g.limits.reports(),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.LoadingTargets = g.ordered
+	m.LoadingTargets = g.orderedTargets
 	for _, pool := range g.engines {
 		for id, l := range pool.loads() {
 			m.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
@@ -30,7 +30,7 @@
 }
 
 // heldRecord is the record of the lease for orders while this instance holds it.
-func (g *Gateway) heldRecord() *wire.OrderLeaseRecord {
+func (g *Gateway) heldLeaseRecord() *wire.OrderLeaseRecord {
 	record, held := g.lease.heldRecord(g.clock.Now())
 	if !held {
 		return nil
@@ -48,14 +48,14 @@
 }
 
 // message is the part of a message to peers that is the same for all.
-func (g *Gateway) message() wire.Exchange {
+func (g *Gateway) exchangeRequest() wire.Exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return wire.Exchange{From: g.self, ConfigVersion: g.configVersion(), RegistrationsOffset: g.registrations.next}
+	return wire.Exchange{From: g.self, ConfigVersion: g.configVersion(), RegistrationsOffset: g.registrations.nextOffset}
 }
 
 // takeChanges puts what other instances have published into force.
-func (g *Gateway) takeChanges(now time.Duration, changes []replica.Change) {
+func (g *Gateway) applyPeerChanges(now time.Duration, changes []replica.Change) {
 	reports := make([]quota.Report, 0, len(changes))
 	g.mu.Lock()
 	for i := range changes {
@@ -76,45 +76,45 @@
 			g.cache.reported(stores)
 		}
 		if orders := changes[i].State.OrderLease; orders != nil {
-			g.lease.read(now, fromWireLease(*orders))
+			g.lease.handleRead(now, fromWireLease(*orders))
 		}
 		for _, e := range changes[i].Events {
 			if e.Prompt != nil {
-				g.takePrompt(pools, e.Prompt)
+				g.applyPrefilledPrompt(pools, e.Prompt)
 			}
 		}
 	}
 }
 
 // takePrompt takes in a prompt that a target has prefilled for another instance.
-func (g *Gateway) takePrompt(pools []*enginePool, s *wire.PrefilledPrompt) {
+func (g *Gateway) applyPrefilledPrompt(pools []*enginePool, s *wire.PrefilledPrompt) {
 	if len(s.SavedPieces) > 0 {
-		g.cache.saved(s.CacheScope, hashes(s.SavedPieces))
+		g.cache.saved(s.CacheScope, hashesFromUint64(s.SavedPieces))
 	}
-	chain := hashes(s.SharedPieces)
+	chain := hashesFromUint64(s.SharedPieces)
 	for _, pool := range pools {
 		pool.noteCached(directory.Incarnation{ID: s.Target, StartedMs: s.Born}, chain, s.CachedTokens)
 	}
 }
 
 // answer answers a peer's message.
-func (g *Gateway) answer(now time.Duration, from wire.Identity, m wire.Exchange) wire.ExchangeResponse {
-	reads := g.peers.readsForDomain()
+func (g *Gateway) exchangeResponse(now time.Duration, from wire.Identity, m wire.Exchange) wire.ExchangeResponse {
+	reads := g.peers.isDomainReader()
 	g.mu.Lock()
 	answer := wire.ExchangeResponse{
-		StoreContactAgeMillis: -1, OperatorsOffset: g.operatorsNext, Leaving: g.closing.Load(), ConfigVersion: g.configVersion(),
+		StoreContactAgeMillis: -1, OperatorsOffset: g.operatorsOffset, Leaving: g.draining.Load(), ConfigVersion: g.configVersion(),
 	}
-	if age := g.contactAge(); age < startAge {
+	if age := g.contactAgeLocked(); age < noContactAge {
 		answer.StoreContactAgeMillis = age.Milliseconds() + 1
 	}
 	for model, v := range g.versions {
-		for _, n := range v.since(now - g.settings.WeightsBound) {
+		for _, n := range v.newestDueAndLater(now - g.settings.WeightsBound) {
 			answer.Weights = append(answer.Weights, wire.NamedWeights{
-				Model: model, Version: n.version, AgeMillis: (now - n.at).Milliseconds(), Observed: !n.estimated,
+				Model: model, Version: n.version, AgeMillis: (now - n.namedAt).Milliseconds(), Observed: !n.estimated,
 			})
 		}
 	}
-	answer.Registrations = g.targetNews(now, m.RegistrationsOffset, reads || m.Follow)
+	answer.Registrations = g.registrationChanges(now, m.RegistrationsOffset, reads || m.Follow)
 	g.mu.Unlock()
 	return answer
 }
@@ -123,30 +123,30 @@
 // peer knew when it answered, this instance knows now: so the peer's contact
 // with the store counts as one of its own, made that much before it asked, as soon
 // as the peer's configuration is here too.
-func (g *Gateway) takeAnswer(asked time.Duration, from wire.Identity, place int64, a wire.ExchangeResponse) {
-	g.takeTargetNews(asked, place, a.Registrations)
+func (g *Gateway) applyExchangeResponse(asked time.Duration, from wire.Identity, place int64, a wire.ExchangeResponse) {
+	g.applyRegistrationChanges(asked, place, a.Registrations)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, v := range a.Weights {
-		g.nameVersion(routing.WeightsVersion{Model: v.Model, Version: v.Version}, g.namedAt(asked, v), from.Instance, !v.Observed)
+		g.recordNamedVersion(routing.WeightsVersion{Model: v.Model, Version: v.Version}, g.reportedNamedAt(asked, v), from.Instance, !v.Observed)
 	}
 	contact := configContact{
-		version: a.ConfigVersion, at: asked - time.Duration(a.StoreContactAgeMillis)*time.Millisecond, next: a.OperatorsOffset,
+		version: a.ConfigVersion, at: asked - time.Duration(a.StoreContactAgeMillis)*time.Millisecond, nextOffset: a.OperatorsOffset,
 	}
 	switch own := g.configVersion(); {
 	case a.StoreContactAgeMillis < 0 || a.ConfigVersion == 0:
 	case own >= a.ConfigVersion:
-		g.takeContact(contact)
+		g.recordStoreContact(contact)
 	default:
-		g.configs.contact(contact)
+		g.configs.addPeerContact(contact)
 	}
 }
 
 // takeContact takes a contact of a peer with the store for an own one: all that the
 // peer knew by it is here. The caller holds g.mu.
-func (g *Gateway) takeContact(c configContact) {
+func (g *Gateway) recordStoreContact(c configContact) {
 	g.contacts.LogRead(c.at)
-	g.operatorsNext = max(g.operatorsNext, c.next)
+	g.operatorsOffset = max(g.operatorsOffset, c.nextOffset)
 }
 
 // namedAt is when a version was named by a peer's report. The peer took its age
@@ -154,17 +154,17 @@
 // only what is earlier for sure counts: two peers that took the earliest possible
 // each time would make a version older with each exchange, by 0.8 s in 4 s at 2
 // ms a way. The caller holds g.mu.
-func (g *Gateway) namedAt(asked time.Duration, v wire.NamedWeights) time.Duration {
+func (g *Gateway) reportedNamedAt(asked time.Duration, v wire.NamedWeights) time.Duration {
 	age := time.Duration(v.AgeMillis) * time.Millisecond
 	known := g.versionsOf(v.Model)
-	if known.observed(v.Version) || !v.Observed && known.knows(v.Version) {
+	if known.isObserved(v.Version) || !v.Observed && known.contains(v.Version) {
 		return g.clock.Now() - age
 	}
 	return asked - age
 }
 
 // suspect tells each pool of targets that peers have found silent.
-func (g *Gateway) suspect(ids []string) {
+func (g *Gateway) suspectTargets(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
@@ -175,16 +175,16 @@
 
 // takePeers puts the peers' loads and the size of the fleet into force.
 // Their updates come with a delay.
-func (g *Gateway) takePeers(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]load, loading map[string]bool) {
+func (g *Gateway) applyFleetState(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]load, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.quota.SetFleetSize(now, fleet, silence)
 	g.shareReserves(fleet)
 	for _, f := range g.crashes.unreported {
-		g.peers.crashed(f)
+		g.peers.publishCrash(f)
 	}
 	g.crashes.unreported = nil
-	g.loadingNow = with(loading, g.ordered)
+	g.loadingTargets = union(loading, g.orderedTargets)
 	g.updateRollout()
 	for _, pool := range g.engines {
 		pool.setPeers(delay, loads)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -27,10 +27,10 @@
 
 // forward sends the request to targets until one has answered.
 func (g *Gateway) forward(ctx context.Context, c *call) *Refusal {
-	name := c.route.ChooseService(g.source())
+	name := c.route.ChooseService(g.newRand())
 	service, ok := c.table.Service(name)
 	if !ok {
-		return unavailable("no_service", notReadyRetry)
+		return unavailableRefusal("no_service", notReadyRetryAfter)
 	}
 	c.service = service
 	g.budget(name).AddRequest()
@@ -58,7 +58,7 @@
 			}
 			return g.giveUp(ctx, c, s, nil)
 		case unknown:
-			c.ran = true
+			c.mayHaveRun = true
 		}
 		if !g.mayRepeat(ctx, c) {
 			return g.giveUp(ctx, c, s, nil)
@@ -72,30 +72,30 @@
 
 // mayRepeat says whether the request may be sent to another target.
 func (g *Gateway) mayRepeat(ctx context.Context, c *call) bool {
-	if ctx.Err() != nil || c.sent >= max(1, c.route.MaxAttempts) {
+	if ctx.Err() != nil || c.sendCount >= max(1, c.route.MaxAttempts) {
 		return false
 	}
-	if c.ran && !c.route.Repeatable() {
+	if c.mayHaveRun && !c.route.Repeatable() {
 		return false
 	}
-	return c.prepaid.Swap(false) || g.budget(c.service.Name).TakeRetry()
+	return c.retryCharged.Swap(false) || g.budget(c.service.Name).TakeRetry()
 }
 
 // recheck looks again at what may have changed while the request waited: the
 // configuration, the key, and the time, which does not stand still while the
 // machine is suspended.
 func (g *Gateway) recheck(c *call) *Refusal {
-	if c.due > 0 && g.clock.Now() >= c.due {
+	if c.deadline > 0 && g.clock.Now() >= c.deadline {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
 	}
 	if t := g.table.Load(); t != c.table {
 		route, ok := t.Match(c.Host, c.Path)
 		if !ok {
-			return g.unknown(http.StatusNotFound, "no_route")
+			return g.unknownRefusal(http.StatusNotFound, "no_route")
 		}
 		c.table, c.route = t, route
 		if !routesTo(c) {
-			return unavailable("route_moved", movedRetry)
+			return unavailableRefusal("route_moved", movedRetry)
 		}
 	}
 	return g.authorize(c)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -43,21 +43,21 @@
 	contacts *keys.ContactTracker
 	// operatorsNext is where to read on in what operators write; unread before that was
 	// read.
-	operatorsNext int64
+	operatorsOffset int64
 	// versions are the newest weights named, and when this instance learnt
 	// of each.
 	versions map[string]*namedVersions
 	// oldest is the oldest version that may serve, by service and model.
-	oldest        map[string]int64
+	oldestServing map[string]int64
 	quota         *quota.Limiter
 	directory     *directory.Directory
-	registrations registrationFeed
+	registrations registrationState
 	engines       map[string]*enginePool
 	services      map[string]*servicePool
-	budgets       map[string]*overload.SharedRetryBudget
+	retryBudgets  map[string]*overload.SharedRetryBudget
 	crashes       crashCounts
 
-	feeds feedStates
+	feeds feedReachability
 	peers *peers
 	// configs brings configurations here from peers, and from here to them.
 	configs *configTransfer
@@ -66,63 +66,63 @@
 	limits *targetLimits
 	lease  *sharedLease
 	// leaseLog is where the lease is kept.
-	leaseLog *leaseLog
-	planner  *weights.Planner
+	leaseStore *leaseStore
+	planner    *weights.Planner
 	// ordered are the targets that load by this instance's orders.
-	ordered       []string
-	versionRecord versionRecord
-	suspension    suspension
+	orderedTargets []string
+	versionRecord  versionRecord
+	suspension     suspension
 	// wall is the time of day.
-	wall func() time.Time
+	wallClock func() time.Time
 	// ordersHeldAt is when a peer last reported that it holds the lease for orders.
 	// Only the loop of rollouts uses it.
-	ordersHeldAt time.Duration
+	leaseHeldByPeerAt time.Duration
 	// quietSince is since when no rollout is to be done; never while there is.
 	// Only the loop of rollouts uses it.
-	quietSince time.Duration
+	rolloutIdleSince time.Duration
 	// loadingNow are those of all instances.
-	loadingNow map[string]bool
+	loadingTargets map[string]bool
 
-	closing atomic.Bool
-	callers *callerServer
+	draining atomic.Bool
+	callers  *callerServer
 }
 
 // unknownFleet is the size that the fleet is taken to have until its instances
 // were read once. A process that starts while the store fails would otherwise
 // spend the whole rate of each account, beside all others.
-const unknownFleet = 16
+const unknownFleetSize = 16
 
 // New builds the process. Nothing listens yet.
 func New(s Settings, d Dialect, store Store, control TargetControl) *Gateway {
 	c := clock.New()
 	g := &Gateway{
-		settings: s, clock: c, wall: time.Now, dialect: d, store: store, control: control,
+		settings: s, clock: c, wallClock: time.Now, dialect: d, store: store, control: control,
 		self: wire.Identity{
 			Instance: s.Instance, Incarnation: uuid.Must(uuid.NewV7()).String(), Address: s.PeerListen, Domain: s.Domain,
 		},
-		targets:       targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
-		metrics:       newGatewayMetrics(),
-		contacts:      keys.NewContactTracker(s.Domain),
-		versions:      map[string]*namedVersions{},
-		oldest:        map[string]int64{},
-		quota:         quota.New(),
-		directory:     directory.New(),
-		operatorsNext: unread,
-		registrations: registrationFeed{next: unread, upTo: never},
-		engines:       map[string]*enginePool{},
-		services:      map[string]*servicePool{},
-		budgets:       map[string]*overload.SharedRetryBudget{},
-		crashes:       newCrashCounts(),
-		planner:       weights.New(weights.DefaultSettings()),
-		quietSince:    never,
+		targets:          targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
+		metrics:          newGatewayMetrics(),
+		contacts:         keys.NewContactTracker(s.Domain),
+		versions:         map[string]*namedVersions{},
+		oldestServing:    map[string]int64{},
+		quota:            quota.New(),
+		directory:        directory.New(),
+		operatorsOffset:  unreadOffset,
+		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
+		engines:          map[string]*enginePool{},
+		services:         map[string]*servicePool{},
+		retryBudgets:     map[string]*overload.SharedRetryBudget{},
+		crashes:          newCrashCounts(),
+		planner:          weights.New(weights.DefaultSettings()),
+		rolloutIdleSince: never,
 	}
-	g.quota.SetFleetSize(0, unknownFleet, quota.PeerTimeout)
-	lease := orderlease.DefaultSettings()
-	lease.HandoverGap = s.LeaseGap
-	g.lease = &sharedLease{l: orderlease.New(g.self.Incarnation, lease).WithInstance(g.self.Instance)}
+	g.quota.SetFleetSize(0, unknownFleetSize, quota.PeerTimeout)
+	leaseSettings := orderlease.DefaultSettings()
+	leaseSettings.HandoverGap = s.LeaseGap
+	g.lease = &sharedLease{lease: orderlease.New(g.self.Incarnation, leaseSettings).WithInstance(g.self.Instance)}
 	g.configs = newConfigTransfer(g)
 	g.peers = newPeers(g)
-	g.leaseLog = &leaseLog{direct: store, cut: g.feeds.cut, relay: g.peers.relayLease}
+	g.leaseStore = &leaseStore{direct: store, storeUnreachable: g.feeds.anyUnreachable, relay: g.peers.relayLease}
 	g.cache = newCacheStores(g)
 	g.limits = newTargetLimits(c.Now, s.Instance)
 	g.callers = newCallerServer(g)
@@ -140,7 +140,7 @@
 	defer stop()
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		g.followOperators, g.followRegistrations, g.peers.run, g.cache.run, g.runRollouts, g.keepVersionRecord, g.sweep,
+		g.followOperators, g.followRegistrations, g.peers.run, g.cache.run, g.runRollouts, g.maintainVersionRecord, g.sweep,
 	} {
 		loops.Add(1)
 		go func() {
@@ -161,7 +161,7 @@
 // sends, then finishes what runs.
 func (g *Gateway) drain() {
 	logline.Info("draining", "balancer_lag", g.settings.BalancerLag, "running_for", g.settings.DrainTimeout)
-	g.closing.Store(true)
+	g.draining.Store(true)
 	time.Sleep(g.settings.BalancerLag)
 	ctx, cancel := context.WithTimeout(context.Background(), g.settings.DrainTimeout)
 	defer cancel()
@@ -176,18 +176,18 @@
 
 // ready says whether the balancer should send callers here: only while their
 // keys can be checked and targets are known.
-func (g *Gateway) ready() bool {
-	if g.closing.Load() || g.table.Load() == nil || g.configOverdue() {
+func (g *Gateway) isReady() bool {
+	if g.draining.Load() || g.table.Load() == nil || g.configOverdue() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.registrations.next != unread && g.contactAge() <= g.settings.KeyReadyAge
+	return g.registrations.nextOffset != unreadOffset && g.contactAgeLocked() <= g.settings.KeyReadyAge
 }
 
 // contactAge is how long ago this instance surely knew all that operators had
 // written. The caller holds g.mu.
-func (g *Gateway) contactAge() time.Duration {
+func (g *Gateway) contactAgeLocked() time.Duration {
 	now := g.clock.Now()
 	age := g.contacts.LogAge(now)
 	if age == keys.UnknownLogAge {
@@ -197,28 +197,28 @@
 }
 
 // sinceContact is contactAge for callers that do not hold g.mu.
-func (g *Gateway) sinceContact() time.Duration {
+func (g *Gateway) contactAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.contactAge()
+	return g.contactAgeLocked()
 }
 
 // sweep closes idle connections and looks for silent targets.
 func (g *Gateway) sweep(ctx context.Context) {
-	for sleep(ctx, sweepEvery) {
+	for sleep(ctx, sweepInterval) {
 		g.suspension.tick(g.clock.Now())
 		g.mu.Lock()
 		g.updateRollout() // bounds are reached also while no peer reports
 		g.mu.Unlock()
 		g.targets.Sweep()
 		g.callers.closeIdle()
-		g.checkSilence()
+		g.checkSilentTargets()
 	}
 }
 
 // checkSilence looks for targets that stopped answering. Their kept
 // connections are dropped: a probe has to make a new one.
-func (g *Gateway) checkSilence() {
+func (g *Gateway) checkSilentTargets() {
 	for _, pool := range g.enginePools() {
 		for _, address := range pool.checkSilence() {
 			g.targets.Forget(address)
@@ -227,14 +227,14 @@
 }
 
 const (
-	sweepEvery = 250 * time.Millisecond
+	sweepInterval = 250 * time.Millisecond
 	// storeTimeout bounds a call to the store: ten times a slow answer's
 	// usual time, so that a slow store still answers.
 	storeTimeout = 1500 * time.Millisecond
 )
 
 // source gives a random source for one decision.
-func (g *Gateway) source() *rand.Rand {
+func (g *Gateway) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
@@ -251,7 +251,7 @@
 }
 
 // engine finds or makes the pool of a service of model servers.
-func (g *Gateway) engine(name string) *enginePool {
+func (g *Gateway) enginePoolFor(name string) *enginePool {
 	p := g.engines[name]
 	if p == nil {
 		p = newEnginePool(g.clock.Now, g.settings.Domain, g.settings.PrefillTokensPerSecond, g.limits)
@@ -269,7 +269,7 @@
 }
 
 // service finds or makes the pool of a plain service.
-func (g *Gateway) service(name string) *servicePool {
+func (g *Gateway) servicePoolFor(name string) *servicePool {
 	p := g.services[name]
 	if p == nil {
 		p = newServicePool(g.clock.Now, g.settings.Domain, g.limits)
--- a/internal/gateway/leaserelay.go
+++ b/internal/gateway/leaserelay.go
@@ -16,10 +16,10 @@
 // away reaches it through a peer: a rollout would else stop until another
 // instance may take the lease, several seconds later. A write is conditional on
 // its offset, so one that is sent both ways is carried out once at most.
-type leaseLog struct {
+type leaseStore struct {
 	direct orderlease.Store
 	// cut says that the store was not reached lately.
-	cut func() bool
+	storeUnreachable func() bool
 	// relay makes the call through one peer; errNoRelay where there is none.
 	relay func(context.Context, wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error)
 }
@@ -32,7 +32,7 @@
 var errNoRelay = errors.New("lease: no peer reaches the store")
 
 // read reads the record, as the holder or not.
-func (l *leaseLog) read(ctx context.Context, holder bool) (orderlease.Record, error) {
+func (l *leaseStore) read(ctx context.Context, holder bool) (orderlease.Record, error) {
 	var r orderlease.Record
 	err := l.call(ctx, holder, wire.OrderLeaseRequest{}, func(ctx context.Context) (err error) {
 		r, err = l.direct.ReadLease(ctx)
@@ -42,7 +42,7 @@
 }
 
 // write writes a record of the holder.
-func (l *leaseLog) write(ctx context.Context, holder bool, at int64, r orderlease.Record) (bool, error) {
+func (l *leaseStore) write(ctx context.Context, holder bool, at int64, r orderlease.Record) (bool, error) {
 	written := false
 	err := l.call(ctx, holder, wire.OrderLeaseRequest{Write: true, ExpectedOffset: at, Record: toWireLease(r)}, func(ctx context.Context) (err error) {
 		written, err = l.direct.WriteLease(ctx, at, r)
@@ -52,11 +52,11 @@
 }
 
 // call makes a holder's call on whichever way works; others make it themselves.
-func (l *leaseLog) call(ctx context.Context, holder bool, c wire.OrderLeaseRequest, direct func(context.Context) error, relayed func(wire.OrderLeaseResponse)) error {
+func (l *leaseStore) call(ctx context.Context, holder bool, c wire.OrderLeaseRequest, direct func(context.Context) error, relayed func(wire.OrderLeaseResponse)) error {
 	if !holder {
 		return direct(ctx)
 	}
-	if !l.cut() {
+	if !l.storeUnreachable() {
 		bound, cancel := context.WithTimeout(ctx, directLeaseTimeout)
 		err := direct(bound)
 		cancel()
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	now, first := p.g.clock.Now(), ""
 	for name, s := range p.known {
-		if !s.state.StoreUnreachable && !s.state.Leaving && p.fresh(now, s) && (first == "" || hubs.Compare(s.instance(), p.known[first].instance()) < 0) {
+		if !s.state.StoreUnreachable && !s.state.Leaving && p.isFresh(now, s) && (first == "" || hubs.Compare(s.hubInstance(), p.known[first].hubInstance()) < 0) {
 			first = name
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 // serveLease makes a holder's call to the store.
-func (p *peers) serveLease(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
+func (p *peers) handleLeaseRequest(ctx context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var c wire.OrderLeaseRequest
 	if err := f.DecodeBody(&c); err != nil {
 		return nil, err
--- a/internal/gateway/leaserelay_test.go
+++ b/internal/gateway/leaserelay_test.go
@@ -12,22 +12,22 @@
 )
 
 // countedLog is a log that may turn this instance away.
-type countedLog struct {
-	turnsAway bool
-	calls     int
+type countingLeaseStore struct {
+	fails bool
+	calls int
 }
 
-func (l *countedLog) ReadLease(context.Context) (orderlease.Record, error) {
+func (l *countingLeaseStore) ReadLease(context.Context) (orderlease.Record, error) {
 	l.calls++
-	if l.turnsAway {
+	if l.fails {
 		return orderlease.Record{}, errors.New("turned away")
 	}
 	return orderlease.Record{Holder: "direct", NextOffset: 1}, nil
 }
 
-func (l *countedLog) WriteLease(context.Context, int64, orderlease.Record) (bool, error) {
+func (l *countingLeaseStore) WriteLease(context.Context, int64, orderlease.Record) (bool, error) {
 	l.calls++
-	if l.turnsAway {
+	if l.fails {
 		return false, errors.New("turned away")
 	}
 	return true, nil
@@ -35,7 +35,7 @@
 
 // Guards against a rollout that stops for seconds because the store turns the
 // holder of the lease away.
-func TestHolderReachesTheLeaseThroughAPeer(t *testing.T) {
+func TestLeaseHolderFallsBackToPeer(t *testing.T) {
 	const holder, other = true, false
 	for name, c := range map[string]struct {
 		holder, turnsAway, cut, peer bool
@@ -50,8 +50,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			log := &countedLog{turnsAway: c.turnsAway}
-			l := &leaseLog{direct: log, cut: func() bool { return c.cut }, relay: func(_ context.Context, call wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
+			log := &countingLeaseStore{fails: c.turnsAway}
+			l := &leaseStore{direct: log, storeUnreachable: func() bool { return c.cut }, relay: func(_ context.Context, call wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
 				if !c.peer {
 					return wire.OrderLeaseResponse{}, errNoRelay
 				}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -58,16 +58,16 @@
 	m.set.GetOrCreateCounter(`mastictray_config_parts_failed_total`).Inc()
 }
 
-func (m *gatewayMetrics) left() {
+func (m *gatewayMetrics) callerLeft() {
 	m.set.GetOrCreateCounter(`mastictray_callers_left_total`).Inc()
 }
 
-func (m *gatewayMetrics) brokenOff() {
+func (m *gatewayMetrics) answerAborted() {
 	m.set.GetOrCreateCounter(`mastictray_broken_off_total`).Inc()
 }
 
 func (m *gatewayMetrics) answered(c *call, s *relay, total time.Duration) {
-	m.set.GetOrCreateCounter(fmt.Sprintf(`mastictray_answered_total{route=%q,status="%d",attempts="%d"}`, c.route.Name, s.status, c.sent)).Inc()
+	m.set.GetOrCreateCounter(fmt.Sprintf(`mastictray_answered_total{route=%q,status="%d",attempts="%d"}`, c.route.Name, s.status, c.sendCount)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`mastictray_first_seconds{route=%q}`, c.route.Name)).Update(s.firstAt.Seconds())
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`mastictray_total_seconds{route=%q}`, c.route.Name)).Update(total.Seconds())
 }
--- a/internal/gateway/oldweights.go
+++ b/internal/gateway/oldweights.go
@@ -33,16 +33,16 @@
 	now := g.clock.Now()
 	share := func(part float64) time.Duration { return time.Duration(part * float64(g.settings.WeightsBound)) }
 	bounds := map[string]*versionBounds{}
-	g.eachGoal(func(s *routing.Service, model string, v *namedVersions) {
+	g.forEachModel(func(s *routing.Service, model string, v *namedVersions) {
 		b := bounds[s.Name]
 		if b == nil {
 			b = &versionBounds{wanted: map[string]int64{}, least: map[string]int64{}, wait: map[string]int64{}}
 			bounds[s.Name] = b
 		}
-		b.wanted[model] = v.dueBy(now - outdatedAfter)
-		estimated := v.dueByEstimate(now - share(estimateShare))
-		b.wait[model] = max(v.dueBy(now-share(waitShare)), estimated)
-		oldest, why := max(v.dueBy(now-share(mustServeShare)), estimated), "bound_reached"
+		b.wanted[model] = v.newestNamedBy(now - outdatedAfter)
+		estimated := v.newestEstimateNamedBy(now - share(estimateShare))
+		b.wait[model] = max(v.newestNamedBy(now-share(waitShare)), estimated)
+		oldest, why := max(v.newestNamedBy(now-share(mustServeShare)), estimated), "bound_reached"
 		if version := v.newestEstimated(); version > 0 {
 			if least := leastByTargets(g.directory.Usable(s.Name), model, version); least > oldest {
 				oldest, why = least, "targets_tell"
@@ -56,7 +56,7 @@
 		if known := bounds[name]; known != nil {
 			b = *known
 		}
-		pool.setRollout(b, g.loadingNow)
+		pool.setRollout(b, g.loadingTargets)
 	}
 }
 
@@ -65,12 +65,12 @@
 func (g *Gateway) weightsDeadlines(all *namedVersions) []weights.Deadline {
 	now := g.clock.Now()
 	var out []weights.Deadline
-	for _, v := range all.since(now - g.settings.WeightsBound) {
+	for _, v := range all.newestDueAndLater(now - g.settings.WeightsBound) {
 		share := mustServeShare
 		if v.estimated {
 			share = estimateShare
 		}
-		if at := v.at + time.Duration(share*float64(g.settings.WeightsBound)); at > now {
+		if at := v.namedAt + time.Duration(share*float64(g.settings.WeightsBound)); at > now {
 			out = append(out, weights.Deadline{Version: v.version, At: at})
 		}
 	}
@@ -80,11 +80,11 @@
 // setOldest notes the oldest version that may serve. Where it changes, a line
 // tells why, and how many targets get no requests by that. The caller holds g.mu.
 func (g *Gateway) setOldest(service, model string, oldest int64, why string) {
-	from := g.oldest[service+"/"+model]
+	from := g.oldestServing[service+"/"+model]
 	if from == oldest {
 		return
 	}
-	g.oldest[service+"/"+model] = oldest
+	g.oldestServing[service+"/"+model] = oldest
 	excluded, targets := 0, g.directory.Usable(service)
 	for i := range targets {
 		if behind(&targets[i], map[string]int64{model: oldest}) {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -19,41 +19,41 @@
 const (
 	// exchangeEvery is the least pause between two messages to a peer. What
 	// an account spends in it on all instances is its possible debt.
-	exchangeEvery = 125 * time.Millisecond
+	exchangeInterval = 125 * time.Millisecond
 	// exchangeShare lengthens the pause for each peer that an instance calls, so
 	// that its messages take a bounded part of its processor.
-	exchangeShare = 5 * time.Millisecond
+	exchangeIntervalPerPeer = 5 * time.Millisecond
 	// followEvery is the pause between two messages to the hub that an instance
 	// follows.
-	followEvery = 200 * time.Millisecond
+	followInterval = 200 * time.Millisecond
 	// exchangeTimeout bounds one exchange; a peer that takes longer is not
 	// called for retryFailed.
 	exchangeTimeout = 800 * time.Millisecond
 	// lateAfter is when an instance calls another hub beside one that has not
 	// answered: after the pause of two messages, and a bit.
-	lateAfter = 300 * time.Millisecond
+	lateCallThreshold = 300 * time.Millisecond
 	// retryFailed is how long an instance follows another hub after a failed
 	// call.
-	retryFailed = 2 * time.Second
+	failedPeerBackoff = 2 * time.Second
 	// minFreshFor is how long a peer's last update stands for its present
 	// state, and freshUpdates that time in the time that an update takes, so
 	// that one lost changes nothing.
-	minFreshFor  = time.Second
-	freshUpdates = 4
+	minUpdateMaxAge    = time.Second
+	updateMaxAgeFactor = 4
 	// announceEvery is the pause between announcements of the first of the
 	// instances in the order of duties, while a peer is silent.
-	announceEvery = 2 * time.Second
+	fastAnnounceInterval = 2 * time.Second
 	// calmAnnounceEvery is that pause while there are updates of all peers, and
 	// othersAnnounceEvery the pause of the other instances.
-	calmAnnounceEvery   = 15 * time.Second
-	othersAnnounceEvery = time.Minute
+	firstAnnounceInterval = 15 * time.Second
+	otherAnnounceInterval = time.Minute
 	// goneAfter is when a silent peer that is no longer announced counts as
 	// gone, and its part of the accounts' rates falls to the others. One that
 	// is only cut off from the others is announced all the while, by itself or
 	// by the first of those that it exchanges updates with; one that is cut off
 	// from the store too has stopped serving callers with keys by then, since it
 	// cannot check them.
-	goneAfter = 7 * time.Second
+	peerExpiry = 7 * time.Second
 )
 
 // peers is this instance's view of the other instances.
@@ -63,19 +63,19 @@
 
 	// taking is held while updates are taken in, so that those of one origin
 	// come into force in their order. It is locked before all others.
-	taking sync.Mutex
+	mergeMu sync.Mutex
 
 	mu    sync.Mutex
 	table *replica.Table
 	known map[string]*peerState // by instance
 	// plan is the last plan of calls, and turn counts the plans.
-	plan hubs.Plan
-	turn int
+	plan  hubs.Plan
+	round int
 	// dropped are the announcements of peers that are gone: they stay in the
 	// store, and would bring each back whenever they are read.
-	dropped map[string]int64
+	removedRevisions map[string]int64
 	// read is set once the announcements were read.
-	read bool
+	announcementsRead bool
 	// announcing is set while a call to the store is under way. announcedAt is
 	// when the last one was answered, never after a failure, and announceAt when
 	// the next one is to be thought of.
@@ -95,45 +95,45 @@
 	announcedAt time.Duration
 	// missedAt is when the first of the instances last reported that it has no
 	// update of this one either.
-	missedAt time.Duration
+	reportedOverdueAt time.Duration
 	// state is its last update, config the newest configuration that it has,
 	// fleet the instances that it knows, as it answered last.
-	state  wire.InstanceState
-	config int64
-	fleet  int
+	state         wire.InstanceState
+	configVersion int64
+	fleetSize     int
 	// calling is set while a call is under way, since calledAt; failedAt is when
 	// the last one failed, never after an answer.
-	calling  bool
-	calledAt time.Duration
-	failedAt time.Duration
+	callInFlight bool
+	calledAt     time.Duration
+	failedAt     time.Duration
 	// sent is the version of this instance's table that the peer has, received
 	// the place in the peer's table that this instance has.
-	sent     uint64
-	received wire.UpdateCursor
+	ackedVersion   uint64
+	receivedCursor wire.UpdateCursor
 }
 
 // newState is that of a peer without an update yet.
-func newState(now time.Duration, a Announced) *peerState {
-	return &peerState{Announced: a, updatedAt: never, announcedAt: now, missedAt: never, failedAt: never}
+func newPeerState(now time.Duration, a Announced) *peerState {
+	return &peerState{Announced: a, updatedAt: never, announcedAt: now, reportedOverdueAt: never, failedAt: never}
 }
 
 func newPeers(g *Gateway) *peers {
-	return &peers{g: g, table: replica.New(g.self, minFreshFor), known: map[string]*peerState{}, dropped: map[string]int64{}}
+	return &peers{g: g, table: replica.New(g.self, minUpdateMaxAge), known: map[string]*peerState{}, removedRevisions: map[string]int64{}}
 }
 
 // run finds the peers and exchanges messages with them until ctx ends.
 func (p *peers) run(ctx context.Context) {
-	if !p.start(ctx) {
+	if !p.startNode(ctx) {
 		return
 	}
 	var transfers sync.WaitGroup
 	defer transfers.Wait()
 	transfers.Go(func() { p.g.configs.run(ctx) })
 	for {
-		p.announceWhenDue(ctx)
-		p.exchangeAll(ctx)
-		p.apply()
-		if !sleep(ctx, p.pace()) {
+		p.announceIfDue(ctx)
+		p.publishAndExchange(ctx)
+		p.applyToGateway()
+		if !sleep(ctx, p.callInterval()) {
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 
 // start gets the secret and listens for peers. Until that is done this
 // instance serves alone, with its part of a fleet of unknown size.
-func (p *peers) start(ctx context.Context) bool {
+func (p *peers) startNode(ctx context.Context) bool {
 	var secret []byte
 	for secret == nil {
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -162,9 +162,9 @@
 		return false
 	}
 	node := peer.NewNode(peer.Options{Self: p.g.self, Secret: secret})
-	node.Handle(wire.KindExchange, p.serve)
-	node.Handle(wire.KindOrderLease, p.serveLease)
-	node.Handle(wire.KindConfigPart, p.g.configs.serve)
+	node.Handle(wire.KindExchange, p.handleExchange)
+	node.Handle(wire.KindOrderLease, p.handleLeaseRequest)
+	node.Handle(wire.KindConfigPart, p.g.configs.handlePartRequest)
 	node.Serve(listener)
 	p.mu.Lock()
 	p.node = node
@@ -185,64 +185,66 @@
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sizeLocked()
+	return p.fleetSizeLocked()
 }
 
-func (p *peers) sizeLocked() int {
-	if !p.read {
-		return max(unknownFleet, 1+len(p.known))
+func (p *peers) fleetSizeLocked() int {
+	if !p.announcementsRead {
+		return max(unknownFleetSize, 1+len(p.known))
 	}
 	return 1 + len(p.known)
 }
 
 // pace is the pause between two plans of calls.
-func (p *peers) pace() time.Duration {
+func (p *peers) callInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.paceLocked()
+	return p.callIntervalLocked()
 }
 
-func (p *peers) paceLocked() time.Duration {
+func (p *peers) callIntervalLocked() time.Duration {
 	if p.plan.Mesh {
-		return max(exchangeEvery, exchangeShare*time.Duration(len(p.known)))
+		return max(exchangeInterval, exchangeIntervalPerPeer*time.Duration(len(p.known)))
 	}
 	if p.plan.Hub {
-		return max(exchangeEvery, exchangeShare*time.Duration(len(p.plan.Calls)))
+		return max(exchangeInterval, exchangeIntervalPerPeer*time.Duration(len(p.plan.Calls)))
 	}
-	return followEvery
+	return followInterval
 }
 
 // updateTime is the time after which an update of an instance has reached all
 // others: in a mesh one pause, else those of the instance, of a hub, and of the
 // instances that follow one. The caller holds p.mu.
-func (p *peers) updateTime() time.Duration {
+func (p *peers) propagationTime() time.Duration {
 	if p.plan.Mesh {
-		return p.paceLocked()
+		return p.callIntervalLocked()
 	}
-	return exchangeEvery + followEvery
+	return exchangeInterval + followInterval
 }
 
 // freshFor is how long a peer's last update stands for its present state. The
 // caller holds p.mu.
-func (p *peers) freshFor() time.Duration {
-	return max(minFreshFor, freshUpdates*p.updateTime())
+func (p *peers) updateMaxAge() time.Duration {
+	return max(minUpdateMaxAge, updateMaxAgeFactor*p.propagationTime())
 }
 
 // fresh says whether a peer's last update stands for its present state. The
 // caller holds p.mu.
-func (p *peers) fresh(now time.Duration, s *peerState) bool { return now-s.updatedAt <= p.freshFor() }
+func (p *peers) isFresh(now time.Duration, s *peerState) bool {
+	return now-s.updatedAt <= p.updateMaxAge()
+}
 
 // reporting is the number of peers with a fresh update.
-func (p *peers) reporting() int {
+func (p *peers) reportingCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reportingLocked(p.g.clock.Now())
+	return p.reportingCountLocked(p.g.clock.Now())
 }
 
-func (p *peers) reportingLocked(now time.Duration) int {
+func (p *peers) reportingCountLocked(now time.Duration) int {
 	n := 0
 	for _, s := range p.known {
-		if p.fresh(now, s) {
+		if p.isFresh(now, s) {
 			n++
 		}
 	}
@@ -250,11 +252,11 @@
 }
 
 // instance is this instance in the order of duties.
-func (p *peers) instance() hubs.Instance {
+func (p *peers) hubInstance() hubs.Instance {
 	return hubs.Instance{Name: p.g.self.Instance, Domain: p.g.self.Domain, Capacity: p.g.settings.Capacity}
 }
 
-func (s *peerState) instance() hubs.Instance {
+func (s *peerState) hubInstance() hubs.Instance {
 	return hubs.Instance{Name: s.Instance, Domain: s.Domain, Capacity: s.Capacity}
 }
 
@@ -267,9 +269,9 @@
 }
 
 func (p *peers) rankLocked(now time.Duration) int {
-	rank, self := 0, p.instance()
+	rank, self := 0, p.hubInstance()
 	for _, s := range p.known {
-		if hubs.Compare(s.instance(), self) < 0 && !s.state.Leaving && !s.state.StoreUnreachable && p.fresh(now, s) {
+		if hubs.Compare(s.hubInstance(), self) < 0 && !s.state.Leaving && !s.state.StoreUnreachable && p.isFresh(now, s) {
 			rank++
 		}
 	}
@@ -277,25 +279,25 @@
 }
 
 // reads says whether this instance reads the store's feeds for the fleet.
-func (p *peers) reads() bool { return !p.g.closing.Load() && p.rank() == 0 }
+func (p *peers) isFleetReader() bool { return !p.g.draining.Load() && p.rank() == 0 }
 
 // firstOfDomain says whether this instance comes first in the order of duties among all
 // of its failure domain that are announced, also before they report.
-func (p *peers) firstOfDomain() bool {
+func (p *peers) isFirstInDomain() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.known {
-		if s.Domain == p.g.self.Domain && !s.state.Leaving && hubs.Compare(s.instance(), p.instance()) < 0 {
+		if s.Domain == p.g.self.Domain && !s.state.Leaving && hubs.Compare(s.hubInstance(), p.hubInstance()) < 0 {
 			return false
 		}
 	}
-	return p.read
+	return p.announcementsRead
 }
 
 // readsForDomain says whether this instance is the first of its failure domain to
 // read the store's feeds when the fleet's reader does not.
-func (p *peers) readsForDomain() bool {
-	if p.g.closing.Load() {
+func (p *peers) isDomainReader() bool {
+	if p.g.draining.Load() {
 		return false
 	}
 	p.mu.Lock()
@@ -303,20 +305,20 @@
 	now := p.g.clock.Now()
 	var members []feedturn.Peer
 	for _, s := range p.known {
-		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.fresh(now, s) {
-			members = append(members, feedturn.Peer{Instance: s.instance(), StoreUnreachable: s.state.StoreUnreachable})
+		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.isFresh(now, s) {
+			members = append(members, feedturn.Peer{Instance: s.hubInstance(), StoreUnreachable: s.state.StoreUnreachable})
 		}
 	}
-	return feedturn.IsReader(p.instance(), members)
+	return feedturn.IsReader(p.hubInstance(), members)
 }
 
 // ordersHeld says that a peer holds the lease for orders.
-func (p *peers) ordersHeld() bool {
+func (p *peers) leaseHeldByPeer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.g.clock.Now()
 	for _, s := range p.known {
-		if s.state.OrderLease != nil && p.fresh(now, s) {
+		if s.state.OrderLease != nil && p.isFresh(now, s) {
 			return true
 		}
 	}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -51,14 +51,14 @@
 		return g.placeEngine(ctx, c)
 	}
 	g.mu.Lock()
-	pool := g.service(c.service.Name)
+	pool := g.servicePoolFor(c.service.Name)
 	g.mu.Unlock()
-	ch, ok := pool.acquire(c.tried)
-	if !ok && c.tried != "" {
+	ch, ok := pool.acquire(c.lastTarget)
+	if !ok && c.lastTarget != "" {
 		ch, ok = pool.acquire("")
 	}
 	if !ok {
-		return nil, unavailable("no_target", noTargetRetry)
+		return nil, unavailableRefusal("no_target", noTargetRetry)
 	}
 	return &leg{
 		target: ch.target, sent: func(func(), mobility) {}, progressed: func() {}, answered: func() {},
@@ -73,7 +73,7 @@
 
 func (g *Gateway) placeEngine(ctx context.Context, c *call) (*leg, *Refusal) {
 	g.mu.Lock()
-	pool := g.engine(c.service.Name)
+	pool := g.enginePoolFor(c.service.Name)
 	g.mu.Unlock()
 	pl, refusal := pool.acquire(ctx, g.queued(c))
 	switch {
@@ -82,7 +82,7 @@
 		if refusal.Reason == fairqueue.ReasonDeadline {
 			reason = "cannot_make_deadline"
 		}
-		return nil, unavailable(reason, refusal.RetryAfter)
+		return nil, unavailableRefusal(reason, refusal.RetryAfter)
 	case pl == nil:
 		return nil, nil
 	}
@@ -107,12 +107,12 @@
 // noteRead notes that a target has read the prompt, and whether it saves it.
 func (g *Gateway) noteRead(c *call, l *leg, pl *placed) {
 	if !l.saves {
-		g.peers.sentPrompt(pl, "", nil)
+		g.peers.publishPrompt(pl, "", nil)
 		return
 	}
 	pieces := sharedPieces(c)
 	g.cache.saved(l.scope, pieces)
-	g.peers.sentPrompt(pl, l.scope, pieces)
+	g.peers.publishPrompt(pl, l.scope, pieces)
 }
 
 // sharedPieces are the names of the prompt's pieces that other requests share.
@@ -148,9 +148,9 @@
 			q.Objective = c.lastEventAt + c.route.GapObjective
 		}
 	case c.route.LatencyObjective > 0:
-		q.Objective = c.began + c.route.LatencyObjective
+		q.Objective = c.startedAt + c.route.LatencyObjective
 	}
-	q.Placement.Exclude = c.tried
+	q.Placement.Exclude = c.lastTarget
 	if c.account != nil && c.account.Rate > 0 {
 		q.Weight = c.account.Rate
 	}
@@ -172,11 +172,11 @@
 // deadline; what starts after that runs for nobody.
 func (c *call) nextEventDue() time.Duration {
 	if c.route.Kind != routing.Stream {
-		return c.due
+		return c.deadline
 	}
-	due := max(c.began, c.lastEventAt) + max(minStreamPatience, streamObjectives*c.route.LatencyObjective, streamGaps*c.route.GapObjective)
-	if c.due > 0 {
-		due = min(due, c.due)
+	due := max(c.startedAt, c.lastEventAt) + max(minStreamPatience, streamObjectives*c.route.LatencyObjective, streamGaps*c.route.GapObjective)
+	if c.deadline > 0 {
+		due = min(due, c.deadline)
 	}
 	return due
 }
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -17,31 +17,31 @@
 // of the time within which a draining target must get no new work: a read that
 // fails can be made again. A read that waits for news would wake with each
 // heartbeat of each target.
-const registrationShare = 0.25
+const registrationReadFraction = 0.25
 
 // registrationFeed is this instance's place in the registrations of targets.
 // Guarded by Gateway.mu.
-type registrationFeed struct {
+type registrationState struct {
 	// next is where to read on; unread before the first read.
-	next int64
+	nextOffset int64
 	// upTo is when the store held all that is known here.
-	upTo time.Duration
+	knownUpTo time.Duration
 	// changes are what recent reads have brought, for peers.
 	changes directory.ChangeLog
 }
 
 // unread is the place in a feed of an instance that has read nothing of it.
-const unread = int64(-1)
+const unreadOffset = int64(-1)
 
 // followRegistrations keeps the directory of targets up to date.
 func (g *Gateway) followRegistrations(ctx context.Context) {
 	turn := feedturn.New(feedturn.Settings{
-		StalenessBound: g.settings.DrainBound, ReadInterval: time.Duration(registrationShare * float64(g.settings.DrainBound)),
+		StalenessBound: g.settings.DrainBound, ReadInterval: time.Duration(registrationReadFraction * float64(g.settings.DrainBound)),
 	})
 	known := false
-	for g.awaitTurn(ctx, turn, g.registrationView) {
+	for g.awaitRead(ctx, turn, g.registrationView) {
 		g.mu.Lock()
-		from := g.registrations.next
+		from := g.registrations.nextOffset
 		g.mu.Unlock()
 		sent := g.clock.Now()
 		events, next, err := g.readRegistrations(ctx, from, known)
@@ -49,9 +49,9 @@
 			known = false
 			continue
 		}
-		g.tookTurn(ctx, turn, &g.feeds.registrations, "registrations", err)
+		g.recordRead(ctx, turn, &g.feeds.registrationsUnreachable, "registrations", err)
 		if err == nil {
-			g.register(sent, from, next, events, !known)
+			g.applyRegistrations(sent, from, next, events, !known)
 			known = true
 		}
 	}
@@ -60,9 +60,9 @@
 // registrationView is what the next turn at the registrations depends on.
 func (g *Gateway) registrationView() feedturn.View {
 	g.mu.Lock()
-	known, upTo := g.registrations.next != unread, g.registrations.upTo
+	known, upTo := g.registrations.nextOffset != unreadOffset, g.registrations.knownUpTo
 	g.mu.Unlock()
-	return feedturn.View{Known: known, KnownUpTo: upTo, Reader: g.peers.reads(), Standby: g.peers.readsForDomain(), FleetSize: g.peers.fleetSize()}
+	return feedturn.View{Known: known, KnownUpTo: upTo, Reader: g.peers.isFleetReader(), Standby: g.peers.isDomainReader(), FleetSize: g.peers.fleetSize()}
 }
 
 func (g *Gateway) readRegistrations(ctx context.Context, next int64, known bool) ([]directory.Event, int64, error) {
@@ -77,11 +77,11 @@
 // register takes in the registrations from one place in the feed to another,
 // as the store held them at that time; whole says that they are all there is.
 // A peer's report may have come meanwhile that holds more: then these are old.
-func (g *Gateway) register(at time.Duration, from, next int64, events []directory.Event, whole bool) {
+func (g *Gateway) applyRegistrations(at time.Duration, from, next int64, events []directory.Event, whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f := &g.registrations
-	if next < f.next {
+	if next < f.nextOffset {
 		return
 	}
 	before := g.directory.Revision()
@@ -93,13 +93,13 @@
 		changes = g.directory.ApplyEvents(at, events)
 		f.changes.Add(from, next, changes)
 	}
-	first := f.next == unread
-	f.next, f.upTo = next, max(f.upTo, at)
+	first := f.nextOffset == unreadOffset
+	f.nextOffset, f.knownUpTo = next, max(f.knownUpTo, at)
 	if g.directory.Revision() == before && !first {
 		return
 	}
 	for _, e := range changes {
-		logEvent(e)
+		logRegistrationEvent(e)
 	}
 	g.limits.keep(g.directory.Has)
 	g.updatePools()
@@ -108,28 +108,28 @@
 // targetNews is what this instance passes on to a peer that would read on at a
 // place in the registrations; nil when the peer has it from others, or when what
 // it lacks was dropped here. The caller holds g.mu.
-func (g *Gateway) targetNews(now time.Duration, place int64, passOn bool) *wire.RegistrationChanges {
+func (g *Gateway) registrationChanges(now time.Duration, place int64, passOn bool) *wire.RegistrationChanges {
 	f := &g.registrations
-	if !passOn || place == unread || f.next == unread {
+	if !passOn || place == unreadOffset || f.nextOffset == unreadOffset {
 		return nil
 	}
 	events, ok := f.changes.Since(place)
 	if !ok {
 		return nil
 	}
-	return &wire.RegistrationChanges{NextOffset: f.next, AgeMillis: (now - f.upTo).Milliseconds() + 1, Events: events}
+	return &wire.RegistrationChanges{NextOffset: f.nextOffset, AgeMillis: (now - f.knownUpTo).Milliseconds() + 1, Events: events}
 }
 
 // takeTargetNews takes in a peer's report of the registrations, asked for at that
 // time by an instance that stood at that place.
-func (g *Gateway) takeTargetNews(asked time.Duration, place int64, n *wire.RegistrationChanges) {
+func (g *Gateway) applyRegistrationChanges(asked time.Duration, place int64, n *wire.RegistrationChanges) {
 	if n == nil {
 		return
 	}
-	g.register(asked-time.Duration(n.AgeMillis)*time.Millisecond, place, n.NextOffset, n.Events, false)
+	g.applyRegistrations(asked-time.Duration(n.AgeMillis)*time.Millisecond, place, n.NextOffset, n.Events, false)
 }
 
-func logEvent(e directory.Event) {
+func logRegistrationEvent(e directory.Event) {
 	if e.Registration == nil {
 		logline.Info("target_gone", "target", e.ID)
 		return
@@ -149,24 +149,24 @@
 		s := &t.Config().Services[i]
 		switch {
 		case s.Engine != nil:
-			g.engine(s.Name).update(g.directory.Usable(s.Name), s.Engine)
+			g.enginePoolFor(s.Name).update(g.directory.Usable(s.Name), s.Engine)
 		case s.Cache == nil:
-			g.service(s.Name).update(g.directory.Usable(s.Name))
+			g.servicePoolFor(s.Name).update(g.directory.Usable(s.Name))
 		}
 	}
 	g.updateRollout()
 }
 
 // engineOf is the pool of a call's service.
-func (g *Gateway) engineOf(c *call) *enginePool {
+func (g *Gateway) enginePoolOf(c *call) *enginePool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.engine(c.service.Name)
+	return g.enginePoolFor(c.service.Name)
 }
 
 // goals are the versions that each service's models should have. The caller
 // holds g.mu.
-func (g *Gateway) eachGoal(visit func(s *routing.Service, model string, v *namedVersions)) {
+func (g *Gateway) forEachModel(visit func(s *routing.Service, model string, v *namedVersions)) {
 	t := g.table.Load()
 	if t == nil {
 		return
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return unknown, errors.Wrap(err, "read body")
 	}
-	s.firstAt = s.g.clock.Now() - s.c.began
+	s.firstAt = s.g.clock.Now() - s.c.startedAt
 	l.answered()
 	if len(body) < maxBuffered {
 		conn.Finished()
@@ -115,7 +115,7 @@
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	s.c.w.WriteHeader(resp.StatusCode)
-	s.started, s.status, s.c.wrote = true, resp.StatusCode, true
+	s.started, s.status, s.c.headWritten = true, resp.StatusCode, true
 }
 
 // stream relays events as they come, each whole. The head goes out with the
@@ -136,7 +136,7 @@
 			continue
 		}
 		if s.events == 0 {
-			s.firstAt = s.g.clock.Now() - s.c.began
+			s.firstAt = s.g.clock.Now() - s.c.startedAt
 		}
 		l.answered()
 		if !s.started {
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -9,10 +9,10 @@
 func (g *Gateway) budget(service string) *overload.SharedRetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.budgets[service]
+	b := g.retryBudgets[service]
 	if b == nil {
 		b = overload.NewSharedRetryBudget(g.settings.RetryRatio, g.retryReserve(g.peers.fleetSize()), startBudget)
-		g.budgets[service] = b
+		g.retryBudgets[service] = b
 	}
 	return b
 }
@@ -28,7 +28,7 @@
 // shareReserves gives the budgets their part in a fleet of that size. The
 // caller holds g.mu.
 func (g *Gateway) shareReserves(fleet int) {
-	for _, b := range g.budgets {
+	for _, b := range g.retryBudgets {
 		b.SetReserve(g.retryReserve(fleet))
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -26,35 +26,35 @@
 	keyHash string
 	service *routing.Service
 
-	began time.Duration
+	startedAt time.Duration
 	// due is when the final answer has to be out; 0 for never.
-	due time.Duration
+	deadline time.Duration
 	// tokens is what the request has taken of its account's rate, asked what
 	// it counts.
-	tokens, asked float64
+	chargedTokens, requestedTokens float64
 	// sent counts the targets that it was sent to, ran says that one of them
 	// may have run it.
-	sent int
-	ran  bool
+	sendCount  int
+	mayHaveRun bool
 	// lastEventAt is when the last event of a stream went out; 0 for none.
 	lastEventAt time.Duration
 	// prepaid is set while the next attempt is taken from the retry budget.
-	prepaid atomic.Bool
+	retryCharged atomic.Bool
 	// wrote is set once the head of the answer is out.
-	wrote bool
+	headWritten bool
 	// fingerprint names the request among its repeats.
 	fingerprint uint64
 	// tried is the target of the last attempt, choice why it was chosen and
 	// placedAt when.
-	tried    string
-	choice   choice
-	placedAt time.Duration
+	lastTarget string
+	choice     choice
+	placedAt   time.Duration
 }
 
 // ServeHTTP implements http.Handler for callers.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{w: w, r: r, began: g.clock.Now()}
-	if g.closing.Load() {
+	c := &call{w: w, r: r, startedAt: g.clock.Now()}
+	if g.draining.Load() {
 		// The caller moves to another instance after this answer. Its idle
 		// connections stay open meanwhile: a request that crosses the close
 		// of one is lost to its caller.
@@ -80,18 +80,18 @@
 
 // serve runs one request. A returned refusal has not been written yet.
 func (g *Gateway) serve(c *call) *Refusal {
-	if refusal := g.routeCall(c); refusal != nil {
+	if refusal := g.matchRoute(c); refusal != nil {
 		return refusal
 	}
 	if refusal := g.authorize(c); refusal != nil {
 		return refusal
 	}
-	ctx, cancel := g.bound(c)
+	ctx, cancel := g.withDeadline(c)
 	defer cancel()
 	if refusal := g.readBody(ctx, c); refusal != nil {
 		return refusal
 	}
-	if refusal := g.admitCurrent(c); refusal != nil {
+	if refusal := g.admitWithCurrentConfig(c); refusal != nil {
 		return refusal
 	}
 	return g.forward(ctx, c)
@@ -99,14 +99,14 @@
 
 // admitCurrent takes the request's part of its account's rate, by the configuration that
 // is in force then: while the body came in, there may have been another one.
-func (g *Gateway) admitCurrent(c *call) *Refusal {
+func (g *Gateway) admitWithCurrentConfig(c *call) *Refusal {
 	for {
 		refusal, current := g.admit(c)
 		if current {
 			return refusal
 		}
 		c.account = nil
-		if refusal := g.routeCall(c); refusal != nil {
+		if refusal := g.matchRoute(c); refusal != nil {
 			return refusal
 		}
 		if refusal := g.authorize(c); refusal != nil {
@@ -115,17 +115,17 @@
 	}
 }
 
-func (g *Gateway) routeCall(c *call) *Refusal {
+func (g *Gateway) matchRoute(c *call) *Refusal {
 	c.table = g.table.Load()
 	if c.table == nil {
-		return unavailable("no_configuration", notReadyRetry)
+		return unavailableRefusal("no_configuration", notReadyRetryAfter)
 	}
 	if g.configOverdue() {
-		return unavailable("config_overdue", configRetry)
+		return unavailableRefusal("config_overdue", configRetryAfter)
 	}
 	route, ok := c.table.Match(c.Host, c.Path)
 	if !ok {
-		return g.unknown(http.StatusNotFound, "no_route")
+		return g.unknownRefusal(http.StatusNotFound, "no_route")
 	}
 	c.route = route
 	if limit := c.table.Config().Limits.MaxHeaderBytes; limit > 0 && headerBytes(c.r) > limit {
@@ -136,10 +136,10 @@
 
 // headerBytes is the size of a request's head on the wire.
 func headerBytes(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + headFraming
+	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestHeadOverhead
 	for name, values := range r.Header {
 		for _, v := range values {
-			n += len(name) + len(v) + lineFraming
+			n += len(name) + len(v) + headerLineOverhead
 		}
 	}
 	return n
@@ -148,13 +148,13 @@
 const (
 	// headFraming is the bytes of the request line and the Host line beside
 	// their values, and of the empty line.
-	headFraming = len("  HTTP/1.1\r\nHost: \r\n\r\n")
-	lineFraming = len(": \r\n")
+	requestHeadOverhead = len("  HTTP/1.1\r\nHost: \r\n\r\n")
+	headerLineOverhead  = len(": \r\n")
 )
 
 // notReadyRetry is the hint of an instance that just started: about the time
 // of a few reads of the store.
-const notReadyRetry = 300 * time.Millisecond
+const notReadyRetryAfter = 300 * time.Millisecond
 
 // authorize checks the request's key against the configuration in force now.
 // It is called when the request comes in and again right before each send: the
@@ -168,10 +168,10 @@
 	}
 	account, ok := c.table.AccountByKeyHash(c.keyHash)
 	if !ok {
-		return g.unknown(http.StatusUnauthorized, "unknown_key")
+		return g.unknownRefusal(http.StatusUnauthorized, "unknown_key")
 	}
-	if g.sinceContact() > g.settings.KeyCutoff {
-		return unavailable("keys_stale", keysStaleRetry)
+	if g.contactAge() > g.settings.KeyCutoff {
+		return unavailableRefusal("keys_stale", keysStaleRetryAfter)
 	}
 	c.account = account
 	return nil
@@ -179,9 +179,9 @@
 
 // unknown refuses a request for what the configuration in force does not have. A
 // newer one may have it.
-func (g *Gateway) unknown(status int, reason string) *Refusal {
-	if g.configs.outdated() || g.sinceContact() > g.settings.ConfigBound {
-		return unavailable("config_pending", configRetry)
+func (g *Gateway) unknownRefusal(status int, reason string) *Refusal {
+	if g.configs.isOutdated() || g.contactAge() > g.settings.ConfigBound {
+		return unavailableRefusal("config_pending", configRetryAfter)
 	}
 	return &Refusal{Status: status, Reason: reason, NotRun: true}
 }
@@ -189,25 +189,25 @@
 // configOverdue says that a newer configuration exists and may have to be in force by
 // now: it was written after this instance's last contact with the store.
 func (g *Gateway) configOverdue() bool {
-	return g.configs.outdated() && g.sinceContact() > time.Duration(overdueShare*float64(g.settings.ConfigBound))
+	return g.configs.isOutdated() && g.contactAge() > time.Duration(configOverdueFraction*float64(g.settings.ConfigBound))
 }
 
 const (
 	// overdueShare is the part of the time within which a configuration must be in
 	// force after which the one before is no longer used: a request takes a while to
 	// reach its target.
-	overdueShare = 0.9
+	configOverdueFraction = 0.9
 	// configRetry is the hint of an instance that waits for a newer configuration.
-	configRetry = 200 * time.Millisecond
+	configRetryAfter = 200 * time.Millisecond
 )
 
 // keysStaleRetry is the hint of an instance that cannot check keys: its
 // callers' next connections go to another one.
-const keysStaleRetry = 200 * time.Millisecond
+const keysStaleRetryAfter = 200 * time.Millisecond
 
 // bound gives the context of the request: it ends when the caller leaves or
 // the time is over.
-func (g *Gateway) bound(c *call) (context.Context, context.CancelFunc) {
+func (g *Gateway) withDeadline(c *call) (context.Context, context.CancelFunc) {
 	left := c.Patience
 	if t := c.route.Timeout; t > 0 && (left == 0 || t < left) {
 		left = t
@@ -215,22 +215,22 @@
 	if left == 0 {
 		return context.WithCancel(c.r.Context())
 	}
-	c.due = c.began + left
+	c.deadline = c.startedAt + left
 	return context.WithTimeout(c.r.Context(), left)
 }
 
 // left is the time until the final answer is due.
-func (g *Gateway) left(c *call) time.Duration {
-	if c.due == 0 {
+func (g *Gateway) timeLeft(c *call) time.Duration {
+	if c.deadline == 0 {
 		return 0
 	}
-	return c.due - g.clock.Now()
+	return c.deadline - g.clock.Now()
 }
 
 func (g *Gateway) readBody(ctx context.Context, c *call) *Refusal {
 	limit := c.table.Config().Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	if c.r.ContentLength > limit {
 		return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: "body_too_large", NotRun: true}
@@ -256,7 +256,7 @@
 }
 
 // defaultMaxBody bounds a body where the configuration does not.
-const defaultMaxBody = 4 << 20
+const defaultMaxBodyBytes = 4 << 20
 
 // admit takes the request's part of its account's rate. Where the configuration in force
 // is no longer that of the request, it does nothing and says so.
@@ -267,45 +267,45 @@
 		return nil, false // it changes under g.mu, together with the limits
 	}
 	if g.crashes.refused(g.clock.Now(), c.fingerprint) {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "crashes_targets", NotRun: true, RetryAfter: barredRetry}, true
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "crashes_targets", NotRun: true, RetryAfter: crashRetryAfter}, true
 	}
 	if c.account == nil {
 		return nil, true
 	}
-	c.tokens = 1
+	c.chargedTokens = 1
 	if c.account.CountTokens {
-		c.tokens = c.account.DefaultTokens
+		c.chargedTokens = c.account.DefaultTokens
 		if c.Prompt != nil && c.Prompt.Counted {
-			c.tokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
+			c.chargedTokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
 		}
 	}
-	c.asked = c.tokens
-	wait, ok := g.quota.Admit(g.clock.Now(), c.account.Name, c.tokens)
+	c.requestedTokens = c.chargedTokens
+	wait, ok := g.quota.Admit(g.clock.Now(), c.account.Name, c.chargedTokens)
 	if !ok {
-		c.tokens = 0
-		return &Refusal{Status: http.StatusTooManyRequests, Reason: "over_rate", RetryAfter: max(wait, minRateRetry), NotRun: true}, true
+		c.chargedTokens = 0
+		return &Refusal{Status: http.StatusTooManyRequests, Reason: "over_rate", RetryAfter: max(wait, minRateRetryAfter), NotRun: true}, true
 	}
 	return nil, true
 }
 
 const (
 	// minRateRetry keeps a caller over its rate from coming back at once.
-	minRateRetry = 100 * time.Millisecond
+	minRateRetryAfter = 100 * time.Millisecond
 	// barredRetry is the hint to a caller whose request crashes targets: it
 	// will be refused for as long as it is remembered.
-	barredRetry = 10 * time.Second
+	crashRetryAfter = 10 * time.Second
 )
 
 // refund gives back what a request that has not run took of its account's
 // rate.
 func (g *Gateway) refund(c *call) {
-	if c.account == nil || c.tokens == 0 {
+	if c.account == nil || c.chargedTokens == 0 {
 		return
 	}
 	g.mu.Lock()
-	g.quota.Refund(g.clock.Now(), c.account.Name, c.tokens)
+	g.quota.Refund(g.clock.Now(), c.account.Name, c.chargedTokens)
 	g.mu.Unlock()
-	c.tokens = 0
+	c.chargedTokens = 0
 }
 
 // refuse writes a refusal and its log line.
@@ -313,8 +313,8 @@
 	if refusal.NotRun {
 		g.refund(c)
 	}
-	if !c.wrote {
-		c.wrote = true
+	if !c.headWritten {
+		c.headWritten = true
 		g.dialect.Refuse(c.w, c.Request, refusal)
 	}
 	g.metrics.refused(refusal)
@@ -329,14 +329,14 @@
 	if c.table != nil {
 		version = c.table.Config().Version
 	}
-	age := g.sinceContact()
+	age := g.contactAge()
 	logline.Info("refused", "request", c.ID, "route", routeName(c), "account", accountName(c), "status", refusal.Status,
-		"reason", refusal.Reason, "not_run", refusal.NotRun, "sent", c.sent, "target", c.tried,
-		"after", g.clock.Now()-c.began, "retry_after", refusal.RetryAfter, "tokens", c.asked,
-		"config", version, "config_age", age, "fleet", g.peers.fleetSize(), "reporting", g.peers.reporting())
+		"reason", refusal.Reason, "not_run", refusal.NotRun, "sent", c.sendCount, "target", c.lastTarget,
+		"after", g.clock.Now()-c.startedAt, "retry_after", refusal.RetryAfter, "tokens", c.requestedTokens,
+		"config", version, "config_age", age, "fleet", g.peers.fleetSize(), "reporting", g.peers.reportingCount())
 }
 
-func unavailable(reason string, retryAfter time.Duration) *Refusal {
+func unavailableRefusal(reason string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter, NotRun: true}
 }
 
@@ -355,7 +355,7 @@
 }
 
 // limitsOf gives the accounts' limits of a configuration.
-func limitsOf(c *routing.Config) map[string]quota.Limit {
+func accountLimits(c *routing.Config) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit, len(c.Accounts))
 	for _, a := range c.Accounts {
 		limits[a.Name] = quota.Limit{Rate: a.Rate, Burst: a.Burst}
--- a/internal/gateway/sharedlease_test.go
+++ b/internal/gateway/sharedlease_test.go
@@ -13,11 +13,11 @@
 // ten times a second. A read of the lease that failed is not made again before
 // its pause is over: sixty instances would else send the returning store six
 // hundred calls a second, which all are counted.
-func TestFailedReadOfTheLeaseWaits(t *testing.T) {
+func TestFailedLeaseReadIsDelayed(t *testing.T) {
 	is := is.New(t)
-	s := &sharedLease{l: orderlease.New("a", orderlease.DefaultSettings())}
+	s := &sharedLease{lease: orderlease.New("a", orderlease.DefaultSettings())}
 	is.True(s.readDue(0))
-	s.unread(0, 400*time.Millisecond)
+	s.handleReadFailure(0, 400*time.Millisecond)
 	is.True(!s.readDue(300 * time.Millisecond))
 	is.True(s.readDue(400 * time.Millisecond))
 }
@@ -26,13 +26,13 @@
 // named, and its rollout must not wait for the end of a right that ended long
 // ago: callers would have old weights for 4.8 s more. The instance has seen the
 // record in time, by one call.
-func TestRecordOfAGoneHolderIsSeenInQuietTimes(t *testing.T) {
+func TestIdleInstanceReadsLeaseOfGoneHolder(t *testing.T) {
 	is := is.New(t)
-	store := &memoryStore{newest: 2, targets: onVersions(2, 2), lease: orderlease.Record{Holder: "gone", Instance: "z", NextOffset: 7}}
-	p := startOn(store, "a")
+	store := &memoryStore{newest: 2, targets: targetsOnVersions(2, 2), lease: orderlease.Record{Holder: "gone", Instance: "z", NextOffset: 7}}
+	p := startTestGateway(store, "a")
 	p.rolloutStep(t.Context())
 	is.Equal(store.leaseReads, 0)
-	p.quietSince -= quietLease
+	p.rolloutIdleSince -= idleLeaseDelay
 	for range 5 {
 		p.rolloutStep(t.Context())
 	}
--- a/internal/gateway/slowlink_test.go
+++ b/internal/gateway/slowlink_test.go
@@ -14,10 +14,10 @@
 
 const (
 	// slowLinkBytes is the bytes that a slow link carries in a second.
-	slowLinkBytes = 500_000
-	slowLinkPart  = 5_000
+	slowLinkBytesPerSecond = 500_000
+	slowLinkChunkBytes     = 5_000
 	// configPatience bounds the wait for a configuration that is sure to come.
-	configPatience = 10 * time.Second
+	configWaitTimeout = 10 * time.Second
 	// peerHost is a loopback address that outgoing connections do not use: one of these
 	// could else take a port between its choice and the start of what listens there.
 	peerHost = "127.77.0.1"
@@ -25,7 +25,7 @@
 
 // slowLink listens for connections and passes them on to an address, at the rate
 // of a slow link in the direction of the caller.
-func slowLink(t *testing.T, to string) string {
+func startSlowLink(t *testing.T, to string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,18 +43,18 @@
 				caller.Close()
 				continue
 			}
-			go passOn(callee, caller, 0)
-			go passOn(caller, callee, slowLinkPart*time.Second/slowLinkBytes)
+			go copyWithPauses(callee, caller, 0)
+			go copyWithPauses(caller, callee, slowLinkChunkBytes*time.Second/slowLinkBytesPerSecond)
 		}
 	}()
 	return l.Addr().String()
 }
 
 // passOn copies bytes with a pause after each part, until one side ends.
-func passOn(to, from net.Conn, pause time.Duration) {
+func copyWithPauses(to, from net.Conn, pause time.Duration) {
 	defer to.Close()
 	defer from.Close()
-	buf := make([]byte, slowLinkPart)
+	buf := make([]byte, slowLinkChunkBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
@@ -63,26 +63,28 @@
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
 		}
-		time.Sleep(pause * time.Duration(n) / slowLinkPart)
+		time.Sleep(pause * time.Duration(n) / slowLinkChunkBytes)
 	}
 }
 
 // announcedStore is a store in which instances find each other, and nothing else.
-type announcedStore struct {
+type announcementStore struct {
 	*memoryStore
 	announced []Announced
 }
 
-func (*announcedStore) PeerSecret(context.Context, []byte) ([]byte, error) {
+func (*announcementStore) PeerSecret(context.Context, []byte) ([]byte, error) {
 	return []byte("0123456789abcdef"), nil
 }
 
-func (*announcedStore) Announce(context.Context, Announcement) error { return nil }
+func (*announcementStore) Announce(context.Context, Announcement) error { return nil }
 
-func (s *announcedStore) Announcements(context.Context) ([]Announced, error) { return s.announced, nil }
+func (s *announcementStore) Announcements(context.Context) ([]Announced, error) {
+	return s.announced, nil
+}
 
 // withRoutes is a configuration of that many routes.
-func withRoutes(version int64, n int) *routing.Config {
+func configWithRoutes(version int64, n int) *routing.Config {
 	c := &routing.Config{Version: version}
 	for i := range n {
 		c.Routes = append(c.Routes, routing.Route{
@@ -103,11 +105,11 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	store := &announcedStore{memoryStore: &memoryStore{}, announced: announced}
+	store := &announcementStore{memoryStore: &memoryStore{}, announced: announced}
 	g := New(Settings{
 		Instance: name, Domain: "d1", PeerListen: address, ConfigBound: 2 * time.Second, WeightsBound: 10 * time.Second, KeyCutoff: 4 * time.Second,
-	}, silentDialect{}, store, deafTargets{})
-	g.takeNews(g.clock.Now(), OperatorNews{Config: c})
+	}, stubDialect{}, store, unresponsiveTargets{})
+	g.applyOperatorUpdate(g.clock.Now(), OperatorUpdate{Config: c})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -124,13 +126,13 @@
 
 // Guards against an instance that keeps an old configuration because the newer
 // one takes longer on its link than one exchange may take.
-func TestLargeConfigurationCrossesASlowLink(t *testing.T) {
+func TestLargeConfigCrossesSlowLink(t *testing.T) {
 	is := is.New(t)
-	source := startPeers(t, "source", withRoutes(2, 3000))
-	follower := startPeers(t, "follower", withRoutes(1, 10), Announced{Announcement: Announcement{
-		Instance: "source", Incarnation: source.self.Incarnation, Address: slowLink(t, source.self.Address), Domain: "d1",
+	source := startPeers(t, "source", configWithRoutes(2, 3000))
+	follower := startPeers(t, "follower", configWithRoutes(1, 10), Announced{Announcement: Announcement{
+		Instance: "source", Incarnation: source.self.Incarnation, Address: startSlowLink(t, source.self.Address), Domain: "d1",
 	}, Revision: 1})
-	for end := time.Now().Add(configPatience); follower.configVersion() < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(configWaitTimeout); follower.configVersion() < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.Equal(follower.configVersion(), int64(2))
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -48,12 +48,12 @@
 		Instance: g.self.Instance, Incarnation: g.self.Incarnation, Domain: g.self.Domain, Config: g.configVersion(),
 		HoldsOrders: holds,
 	}
-	g.peers.describe(now, &s)
+	g.peers.addToStatus(now, &s)
 	return s
 }
 
 // describe adds what is known of the other instances.
-func (p *peers) describe(now time.Duration, out *Status) {
+func (p *peers) addToStatus(now time.Duration, out *Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out.Role = "follower"
@@ -71,7 +71,7 @@
 			domains[s.Domain] = d
 		}
 		d.Known++
-		if !p.fresh(now, s) {
+		if !p.isFresh(now, s) {
 			continue
 		}
 		d.Reporting++
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -8,7 +8,7 @@
 const (
 	// suspendedAfter is the pause between two ticks from which the process
 	// counts as suspended: four times the usual one.
-	suspendedAfter = 4 * sweepEvery
+	suspendedAfter = 4 * sweepInterval
 	// suspensionKept is how long after its end a suspension is reported. By
 	// then what came in meanwhile has been read, and each live peer has sent a
 	// message or, every 2 s, been announced.
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -16,8 +16,8 @@
 // that had not loaded yet and made them wait for longer than usual.
 func TestRequestsDoNotWaitPastTheBound(t *testing.T) {
 	is := is.New(t)
-	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
-	pool := p.engine("engines")
+	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2)}, "a")
+	pool := p.enginePoolFor("engines")
 	send := func() (pl *placed, cut *bool) {
 		pl, refusal := pool.acquire(t.Context(), &waiting{Account: "acc"})
 		is.True(refusal == nil)
@@ -29,10 +29,10 @@
 	answers, answered := send()
 	pool.answered(answers)
 	older := func(age time.Duration) {
-		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
+		p.applyExchangeResponse(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 			{Model: "m", Version: 3, AgeMillis: age.Milliseconds(), Observed: true},
 		}})
-		p.excluded()
+		p.excludedVersions()
 	}
 	older(9 * time.Second)
 	is.True(!*waits)
@@ -45,8 +45,8 @@
 // cut. It is not broken: it must get requests as soon as it has loaded.
 func TestCutWaitsSayNothingAgainstTheirTarget(t *testing.T) {
 	is := is.New(t)
-	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
-	pool := p.engine("engines")
+	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2)}, "a")
+	pool := p.enginePoolFor("engines")
 	var waits []*placed
 	for range 8 {
 		pl, refusal := pool.acquire(t.Context(), &waiting{Account: "acc"})
@@ -54,8 +54,8 @@
 		pool.sent(pl, func() {}, mobility{})
 		waits = append(waits, pl)
 	}
-	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
-	p.excluded()
+	p.applyExchangeResponse(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
+	p.excludedVersions()
 	for _, pl := range waits {
 		pool.ended(pl, overload.Failed)
 	}
@@ -65,8 +65,8 @@
 // Guards against a load that waits for the long streams on its target.
 func TestStreamsMoveBeforeALoad(t *testing.T) {
 	is := is.New(t)
-	p := startOn(&memoryStore{newest: 3, targets: onVersions(2, 2)}, "a")
-	pool := p.engine("engines")
+	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2, 2)}, "a")
+	pool := p.enginePoolFor("engines")
 	now := time.Duration(0)
 	pool.now = func() time.Duration { return now }
 	start := func(resumable bool) (pl *placed, cut *bool) {
@@ -101,21 +101,21 @@
 	is := is.New(t)
 	c := &call{route: &routing.Route{Kind: routing.Stream, LatencyObjective: 400 * time.Millisecond, GapObjective: 250 * time.Millisecond}}
 	c.Request, c.service = &Request{}, &routing.Service{}
-	c.began, c.due = time.Second, 16*time.Second
+	c.startedAt, c.deadline = time.Second, 16*time.Second
 	is.Equal(c.nextEventDue(), 3*time.Second)
 	c.lastEventAt = 5 * time.Second
 	q := (&Gateway{}).queued(c)
 	is.Equal(q.Deadline, 7*time.Second)
 	is.Equal(q.Objective, 5250*time.Millisecond)
 	c.lastEventAt = 15 * time.Second
-	is.Equal(c.nextEventDue(), c.due)
+	is.Equal(c.nextEventDue(), c.deadline)
 }
 
 // Guards against streams that move together on one attempt of the retry budget
 // and break off for want of the others.
 func TestMovedStreamsPayBeforeTheyAreEnded(t *testing.T) {
 	is := is.New(t)
-	p := startOn(&memoryStore{newest: 3, targets: onVersions(2, 2)}, "a")
+	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2, 2)}, "a")
 	p.settings.RetryReserve, p.settings.RetryRatio = 6, 1
 	prompts := routing.Route{
 		Name: "prompts", Host: "h", Prefix: "/", Kind: routing.Stream, Resumable: true, MaxAttempts: 2,
@@ -127,7 +127,7 @@
 	newCall := func() *call {
 		c := &call{route: &prompts, service: &routing.Service{Name: "engines"}}
 		c.Request = &Request{Host: "h", Path: "/x"}
-		c.sent = 1
+		c.sendCount = 1
 		return c
 	}
 	budget := p.budget("engines")
