--- a/internal/gateway/announce.go
+++ b/internal/gateway/announce.go
@@ -7,9 +7,9 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// announceWhenDue starts a call that writes where this instance is and reads
-// where the others are, when it is time for that and none is running: a slow
-// store must not hold up the exchange of messages.
+// announceIfDue starts a call that writes this instance's announcement and reads those
+// of the others, if one is due and none is in flight. It runs in the background so that
+// a slow store does not delay the exchanges with peers.
 func (p *peers) announceIfDue(ctx context.Context) {
 	now := p.g.clock.Now()
 	p.mu.Lock()
@@ -21,9 +21,9 @@
 	go p.announce(ctx)
 }
 
-// announceDue says whether to announce now. The pause was chosen as the last
-// announcement was answered, and peers have reported or fallen silent since. The
-// caller holds p.mu.
+// announceDue reports whether to announce now. The delay was chosen when the last
+// announcement was answered; peers may have started or stopped reporting since, so it
+// is computed again. The caller holds p.mu.
 func (p *peers) announceDue(now time.Duration) bool {
 	if p.announcing {
 		return false
@@ -41,12 +41,12 @@
 	return true
 }
 
-// announce writes where this instance is and which ones are alive, and reads
-// where the others are.
+// announce writes this instance's announcement, which may list live peers, and reads
+// those of all instances.
 func (p *peers) announce(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	all, err := p.syncAnnouncements(call)
+	all, err := p.syncAnnouncements(callCtx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.announcing = false
@@ -71,8 +71,8 @@
 	return p.g.store.Announcements(ctx)
 }
 
-// announcement is what this instance writes of itself, and of those that are
-// alive where it announces these too.
+// announcement returns this instance's announcement, including the list of live peers
+// if it has to announce those too.
 func (p *peers) announcement() Announcement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,8 @@
 	return a
 }
 
-// announcePause is the time until the next announcement. The caller holds p.mu.
+// announceDelay returns the time from one announcement to the next. The caller holds
+// p.mu.
 func (p *peers) announceDelay(now time.Duration) time.Duration {
 	switch {
 	case p.mustAnnounceOthers(now), p.noneReporting(now):
@@ -103,11 +104,11 @@
 	return otherAnnounceInterval
 }
 
-// announcesOthers says whether this instance has to look into the store for a
-// silent peer, and to announce there those that are alive: it is the first of
-// them in the order of duties. So does one with a silent peer that the first one
-// does not miss, since that one may have updates of it; then the other side has
-// to learn of this one. The caller holds p.mu.
+// mustAnnounceOthers reports whether this instance must search the store for a silent
+// peer and list the live peers in its own announcement. The first-ranked instance does
+// so. So does an instance with a silent peer that the first-ranked one doesn't report
+// as overdue: the first-ranked instance may still receive that peer's updates, and then
+// the other side of the partition must learn of this one. The caller holds p.mu.
 func (p *peers) mustAnnounceOthers(now time.Duration) bool {
 	first := p.isFirstRanked(now)
 	for _, s := range p.known {
@@ -121,16 +122,18 @@
 	return false
 }
 
-// alone says that no peer reports: instances that start together may each have
-// read the announcements before the others wrote theirs. The caller holds p.mu.
+// noneReporting reports whether no peer has a fresh update. Instances that start
+// together may each have read the announcements before the others wrote theirs. The
+// caller holds p.mu.
 func (p *peers) noneReporting(now time.Duration) bool { return p.reportingCountLocked(now) == 0 }
 
-// first says that no peer that reaches the store comes before this instance in
-// the order of duties. The caller holds p.mu.
+// isFirstRanked reports whether no reporting peer that reaches the store ranks before
+// this instance. The caller holds p.mu.
 func (p *peers) isFirstRanked(now time.Duration) bool { return p.rankLocked(now) == 0 }
 
-// overdue is what the first of the instances reports of the peers without a fresh
-// update: the age of what was last known of each. The caller holds p.mu.
+// overduePeers returns the peers without a fresh update and the time in milliseconds
+// since each was last known to be alive. Only the first-ranked instance reports them;
+// on all others the result is nil. The caller holds p.mu.
 func (p *peers) overduePeers(now time.Duration) map[string]int64 {
 	if !p.isFirstRanked(now) {
 		return nil
@@ -147,7 +150,7 @@
 	return out
 }
 
-// takeOverdue takes in what a peer reports of those without a fresh update. The
+// applyOverdueReport applies a peer's report of instances without a fresh update. The
 // caller holds p.mu.
 func (p *peers) applyOverdueReport(now time.Duration, ages map[string]int64) {
 	for name, age := range ages {
@@ -158,27 +161,29 @@
 	}
 }
 
-// take takes in the announcements, as read whole. The caller holds p.mu.
+// applyAnnouncements applies a complete read of the announcements. The caller holds
+// p.mu.
 func (p *peers) applyAnnouncements(now time.Duration, all []Announced) {
 	p.announcementsRead = true
-	there := map[string]bool{p.g.self.Instance: true}
+	announcedNames := map[string]bool{p.g.self.Instance: true}
 	for _, a := range all {
-		there[a.Instance] = true
+		announcedNames[a.Instance] = true
 		p.applyAnnouncement(now, a)
 	}
 	for _, a := range all {
 		p.applyAliveList(now, a)
 	}
 	for name, s := range p.known {
-		if !there[name] && !p.isFresh(now, s) {
+		if !announcedNames[name] && !p.isFresh(now, s) {
 			p.removePeer(now, name, "withdrawn")
 		}
 	}
 }
 
-// takeOne takes in one announcement. One that was seen before says nothing new.
+// applyAnnouncement applies one announcement. A revision that was seen before has no
+// effect.
 func (p *peers) applyAnnouncement(now time.Duration, a Announced) {
-	if last, dropped := p.removedRevisions[a.Instance]; a.Instance == p.g.self.Instance || dropped && a.Revision <= last {
+	if lastRevision, removed := p.removedRevisions[a.Instance]; a.Instance == p.g.self.Instance || removed && a.Revision <= lastRevision {
 		return
 	}
 	s := p.known[a.Instance]
@@ -191,9 +196,9 @@
 	}
 }
 
-// takeAlive takes in which instances the writer of an announcement takes for
-// alive. An old one says nothing of now: it counts when its writer has just
-// written it.
+// applyAliveList records the instances that an announcement lists as alive. The list
+// counts only if its writer has just written it: an old one doesn't describe the
+// present.
 func (p *peers) applyAliveList(now time.Duration, a Announced) {
 	writer := p.known[a.Instance]
 	if writer == nil || writer.announcedAt != now {
@@ -206,16 +211,18 @@
 	}
 }
 
-// look drops the peers that are gone. After a suspension an instance listens
-// first: alone in its count it would spend the whole rate of each account beside
-// all others. The caller holds p.mu.
+// expireUnlessSuspended removes expired peers unless this process was suspended a
+// moment ago. After a suspension it first has to receive updates: an instance that
+// counts itself as alone would spend the whole rate of each account in addition to all
+// others. The caller holds p.mu.
 func (p *peers) expireUnlessSuspended(now time.Duration) {
 	if p.g.suspension.recent(now) == 0 {
 		p.expirePeers(now)
 	}
 }
 
-// expire drops the peers that are gone. The caller holds p.mu.
+// expirePeers removes peers that have left or have been silent for longer than
+// peerExpiry. The caller holds p.mu.
 func (p *peers) expirePeers(now time.Duration) {
 	for name, s := range p.known {
 		switch {
--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -20,22 +20,22 @@
 	return Announced{Announcement: Announcement{Instance: name, Incarnation: "1", Domain: "d1", Alive: alive}, Revision: revision}
 }
 
-// Four instances start at once. The first to write reads the announcements
-// before there are others, and its record is the first one of the topic. The
-// others have to find it all the same, or it serves alone with the whole rate
-// of each account.
+// Guards against an instance that serves alone with the whole rate of each account
+// because its peers ignore its announcement. Four instances start at once; the first to
+// write reads the announcements before the others have written theirs, and its record
+// is the first one of the topic, at offset 0.
 func TestAnnouncementAtOffsetZeroIsFound(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
 	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.True(p.known["a"] != nil)
-	alone := newTestPeers("a")
-	alone.applyAnnouncements(0, []Announced{announcementOf("a", 0)})
-	is.Equal(alone.announceDelay(0), fastAnnounceInterval)
+	first := newTestPeers("a")
+	first.applyAnnouncements(0, []Announced{announcementOf("a", 0)})
+	is.Equal(first.announceDelay(0), fastAnnounceInterval)
 }
 
-// A machine is gone for good. Its record stays in the store; read again, it
-// must not bring the instance back to life, and with it a part of the rates.
+// Guards against a peer that is gone for good but returns with each read of its old
+// announcement, and with it its share of the rates.
 func TestOldAnnouncementDoesNotRestoreExpiredPeer(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
@@ -44,14 +44,14 @@
 	is.Equal(len(p.known), 0)
 	p.applyAnnouncements(peerExpiry+2*time.Second, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.Equal(len(p.known), 0)
-	p.applyAnnouncements(peerExpiry+3*time.Second, []Announced{announcementOf("b", 5)}) // it was only away
+	p.applyAnnouncements(peerExpiry+3*time.Second, []Announced{announcementOf("b", 5)}) // it has announced itself again
 	is.Equal(len(p.known), 1)
 }
 
-// An instance is suspended for 8 s. The silence of its peers is its own: it must
-// not take them for gone as it wakes. Alone in its count it would spend the whole
-// rate of each account beside all others, for as long as they are not announced
-// again.
+// Guards against an instance that is suspended for 8 s and removes its peers when it
+// resumes, because it has received nothing from them. Until they are announced again it
+// would count itself as alone and spend the whole rate of each account in addition to
+// all others.
 func TestSuspendedInstanceKeepsItsPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
@@ -65,13 +65,13 @@
 		p.g.suspension.tick(now)
 		p.expireUnlessSuspended(now)
 	}
-	is.Equal(len(p.known), 1) // c is gone indeed
+	is.Equal(len(p.known), 1) // c is really gone
 }
 
-// Two halves of the fleet cannot talk, and both reach the store. The first
-// instance of the other half announces whom it hears. This one keeps them in
-// its count, or each half would spend the whole rate of each account; and it
-// announces its own half in turn.
+// Guards against two halves of a partitioned fleet that each spend the whole rate of
+// each account. Both reach the store. The first-ranked instance of the other half
+// announces which peers it hears; this instance keeps them in its count and announces
+// its own half in turn.
 func TestPartitionedPeersAreKeptByAnnouncements(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
@@ -88,9 +88,10 @@
 	is.Equal(p.overduePeers(now)["d"], (peerExpiry - time.Second).Milliseconds())
 }
 
-// The second instance hears the first one, which looks into the store for the
-// silent third: it makes no calls itself, and keeps what it is told. Once the
-// first one hears the third, the second has to tell of itself.
+// Guards against store calls by instances that needn't search for silent peers. The
+// second-ranked instance hears the first-ranked one, which searches the store for the
+// silent third; it makes no calls and applies the reports. Once the first-ranked
+// instance hears the third again, the second has to announce itself.
 func TestOnlyFirstRankedSearchesForSilentPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
@@ -103,24 +104,24 @@
 	p.expirePeers(now + time.Second)
 	is.Equal(len(p.known), 2)
 	now += peerExpiry/2 + time.Second
-	p.known["a"].updatedAt = now // and no report of the third any more
+	p.known["a"].updatedAt = now // without a report of c
 	is.True(p.mustAnnounceOthers(now))
 }
 
-// Guards against two calls more to the store by each of hundreds of instances that
-// start together: while the first announcement is answered, no peer has reported.
+// Guards against two additional store calls by each of hundreds of instances that start
+// together: when the first announcement is answered, no peer has reported yet.
 func TestInstanceAnnouncesOnceAtStart(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
 	is.True(p.announceDue(0))
 	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	p.announceAt = p.announceDelay(0)
-	is.Equal(p.announceAt, fastAnnounceInterval) // as long as it is alone
+	is.Equal(p.announceAt, fastAnnounceInterval) // while no peer reports
 	now := fastAnnounceInterval
 	p.known["a"].updatedAt = now
 	is.True(!p.announceDue(now))
 	is.Equal(p.announceAt, otherAnnounceInterval)
 	p.known["a"].updatedAt = never
-	is.True(!p.announceDue(now + fastAnnounceInterval)) // it may report yet
+	is.True(!p.announceDue(now + fastAnnounceInterval)) // it may still report
 	is.True(p.announceDue(now + 2*fastAnnounceInterval))
 }
--- a/internal/gateway/configtransfer.go
+++ b/internal/gateway/configtransfer.go
@@ -12,50 +12,54 @@
 )
 
 const (
-	// configShare is the part of an instance's link that transfers of
-	// configurations may take, in each direction.
+	// configLinkFraction is the fraction of an instance's link that transfers of
+	// configurations may use in each direction.
 	configLinkFraction = 0.5
-	// partTimeout bounds the call for one part: a sender that is gone must leave time
-	// for another one within the bound on configurations.
+	// configPartTimeout bounds the call for one part. If the sender is gone, there must
+	// be time to switch to another one within the configuration bound.
 	configPartTimeout = time.Second
-	// sourceEvery is the pause between two looks for an instance that has the newer
-	// configuration.
+	// sourceRetryInterval is the maximum delay between two searches for an instance
+	// with the newer configuration.
 	sourceRetryInterval = 250 * time.Millisecond
-	// unknownLinkMbps is the rate of a link where no setting gives it.
+	// defaultLinkMbps is the assumed link rate if no setting gives it.
 	defaultLinkMbps = 1000
 )
 
-// configTransfer brings newer configurations here from other instances, and from
-// here to them.
+// configTransfer fetches newer configurations from other instances and serves them to
+// others.
 type configTransfer struct {
 	g *Gateway
-	// link is the bytes a second that the instance's link carries.
+	// linkBytesPerSecond is the capacity of this instance's link.
 	linkBytesPerSecond float64
-	// wake has an item when a newer configuration was reported.
+	// wake receives an item when a newer configuration is reported.
 	wake chan struct{}
-	// reported is the newest configuration that an instance was reported to have.
+	// newestReported is the newest version that any instance was reported to have.
 	newestReported atomic.Int64
 
-	// sending guards the sender. It is locked before mu and held while a large
-	// configuration is encoded, which no request waits for.
+	// senderMu guards sender. It is locked before mu and held while a large
+	// configuration is encoded; no request waits for it.
 	senderMu sync.Mutex
 	sender   *configsync.Sender
 
 	mu       sync.Mutex
 	receiver *configsync.Receiver
-	// newest is the configuration in force, unsent those that the sender is to get.
+	// current is the active configuration. unsentSnapshots are those that have not been
+	// passed to the sender yet.
 	current         *configsync.Snapshot
 	unsentSnapshots []*configsync.Snapshot
-	// contacts are the peers' last contacts with the store, by the configuration that
-	// they had: they count as own ones once that is here. The oldest version is first.
+	// peerContacts holds the peers' last contacts with the store by the configuration
+	// that they had, in ascending order of version. A contact counts as a contact of
+	// this instance once that configuration is active here.
 	peerContacts []configContact
-	// began is when the transfer under way began, received its bytes so far.
+	// startedAt is the start of the current transfer, receivedBytes the bytes received
+	// in it so far.
 	startedAt     time.Duration
 	receivedBytes int
 }
 
-// configContact is until when an instance with a configuration knew all that
-// operators had written, and where it would have read on.
+// configContact is the time up to which an instance with a configuration of this
+// version knew everything that operators had written, and the offset at which it would
+// have continued reading.
 type configContact struct {
 	version    int64
 	at         time.Duration
@@ -67,15 +71,15 @@
 	if mbps <= 0 {
 		mbps = defaultLinkMbps
 	}
-	link := mbps * bytesPerMbit
+	rate := mbps * bytesPerMbit
 	return &configTransfer{
-		g: g, linkBytesPerSecond: link, wake: make(chan struct{}, 1),
-		sender: configsync.NewSender(configLinkFraction * link), receiver: configsync.NewReceiver(g.self.Instance, link, transferShare),
+		g: g, linkBytesPerSecond: rate, wake: make(chan struct{}, 1),
+		sender: configsync.NewSender(configLinkFraction * rate), receiver: configsync.NewReceiver(g.self.Instance, rate, transferShare),
 	}
 }
 
-// report takes in that an instance has a configuration. The caller holds the peers'
-// lock, so that reports come one after another.
+// recordReport records that an instance has a configuration. The caller holds peers.mu,
+// which serializes the reports.
 func (t *configTransfer) recordReport(version int64, instance string) {
 	if version <= t.newestReported.Load() {
 		return
@@ -85,17 +89,17 @@
 		logline.Info("config_reported", "version", version, "peer", instance, "own", own)
 		select {
 		case t.wake <- struct{}{}:
-		default: // the loop is to look already
+		default: // a wake-up is already pending
 		}
 	}
 }
 
-// outdated says whether there is a newer configuration than the one in force.
+// isOutdated reports whether there is a configuration newer than the active one.
 func (t *configTransfer) isOutdated() bool { return t.newestReported.Load() > t.g.configVersion() }
 
-// put takes in the configuration that comes into force, and gives the contacts of
-// peers that had it or an older one.
-func (t *configTransfer) setCurrent(s *configsync.Snapshot) (reached []configContact) {
+// setCurrent records the configuration that becomes active. It removes and returns the
+// contacts of peers that had this configuration or an older one.
+func (t *configTransfer) setCurrent(s *configsync.Snapshot) (included []configContact) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current, t.unsentSnapshots = s, append(t.unsentSnapshots, s)
@@ -106,11 +110,11 @@
 	for n < len(t.peerContacts) && t.peerContacts[n].version <= s.Ref.Version {
 		n++
 	}
-	reached, t.peerContacts = t.peerContacts[:n:n], t.peerContacts[n:]
-	return reached
+	included, t.peerContacts = t.peerContacts[:n:n], t.peerContacts[n:]
+	return included
 }
 
-// contact takes in the contact of a peer that has a newer configuration.
+// addPeerContact records a contact of a peer that has a newer configuration.
 func (t *configTransfer) addPeerContact(c configContact) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,8 +127,8 @@
 	}
 }
 
-// arriving is the last contact of the peers, while their configuration is on its way
-// here.
+// arrivingContact returns the newest contact of peers with a newer configuration while
+// a transfer is in progress.
 func (t *configTransfer) arrivingContact(now time.Duration) (contact time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,16 +141,17 @@
 // run fetches newer configurations from peers until ctx ends.
 func (t *configTransfer) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		source, call, wait := t.nextRequest()
+		source, request, wait := t.nextRequest()
 		if source.Address != "" {
-			t.fetchPart(ctx, source, call)
+			t.fetchPart(ctx, source, request)
 			continue
 		}
 		t.await(ctx, wait)
 	}
 }
 
-// await waits for a newer configuration, or for a time that is not 0.
+// await waits until a newer configuration is reported or wait is over; 0 means no time
+// limit.
 func (t *configTransfer) await(ctx context.Context, wait time.Duration) {
 	var due <-chan time.Time
 	if wait > 0 {
@@ -161,29 +166,29 @@
 	}
 }
 
-// next chooses the next call for a part.
-func (t *configTransfer) nextRequest() (source wire.Identity, call wire.ConfigPartRequest, wait time.Duration) {
+// nextRequest selects the next part to request and the peer to request it from.
+func (t *configTransfer) nextRequest() (source wire.Identity, request wire.ConfigPartRequest, wait time.Duration) {
 	if !t.isOutdated() {
-		return source, call, 0
+		return source, request, 0
 	}
 	sources, identities := t.g.peers.configSources(t.g.configVersion())
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.g.clock.Now()
-	name, call, wait := t.receiver.NextRequest(now, t.currentRef(), sources)
+	name, request, wait := t.receiver.NextRequest(now, t.currentRef(), sources)
 	if name == "" {
 		if wait <= 0 || wait > sourceRetryInterval {
 			wait = sourceRetryInterval
 		}
-		return source, call, wait
+		return source, request, wait
 	}
-	if call.Offset == 0 {
+	if request.Offset == 0 {
 		t.startedAt, t.receivedBytes = now, 0
 	}
-	return identities[name], call, 0
+	return identities[name], request, 0
 }
 
-// have is the configuration in force. The caller holds t.mu.
+// currentRef returns the reference of the active configuration. The caller holds t.mu.
 func (t *configTransfer) currentRef() wire.ConfigRef {
 	if t.current == nil {
 		return wire.ConfigRef{}
@@ -191,20 +196,19 @@
 	return t.current.Ref
 }
 
-// fetch makes a call for a part, and puts the configuration into force with the last
-// one.
-func (t *configTransfer) fetchPart(ctx context.Context, source wire.Identity, call wire.ConfigPartRequest) {
+// fetchPart requests one part and activates the configuration if it was the last one.
+func (t *configTransfer) fetchPart(ctx context.Context, source wire.Identity, request wire.ConfigPartRequest) {
 	ctx, cancel := context.WithTimeout(ctx, configPartTimeout)
 	defer cancel()
 	var part wire.ConfigPart
-	_, err := t.g.peers.call(ctx, source.Address, wire.KindConfigPart, call, &part)
+	_, err := t.g.peers.call(ctx, source.Address, wire.KindConfigPart, request, &part)
 	t.mu.Lock()
 	now := t.g.clock.Now()
 	if err != nil {
 		t.receiver.HandleFailure(now)
 		t.mu.Unlock()
 		t.g.metrics.configPartFailed()
-		logline.Error(err, "config_part_failed", "peer", source.Instance, "have", call.Base.Version, "target", call.Target, "offset", call.Offset)
+		logline.Error(err, "config_part_failed", "peer", source.Instance, "have", request.Base.Version, "target", request.Target, "offset", request.Offset)
 		return
 	}
 	t.receivedBytes += len(part.Data)
@@ -212,7 +216,7 @@
 	base, took, bytes := t.current, now-t.startedAt, t.receivedBytes
 	t.mu.Unlock()
 	if !done || base != nil && base.Ref.Version >= part.Target.Version {
-		return // more parts are to come, or the store was read meanwhile
+		return // more parts follow, or the store was read meanwhile
 	}
 	s, err := configsync.Apply(base, raw)
 	if err != nil {
@@ -224,16 +228,16 @@
 	}
 	t.g.metrics.configReceived(bytes, took)
 	logline.Info("config_received", "version", s.Ref.Version, "base", part.Base.Version, "peer", source.Instance, "bytes", bytes, "took", took)
-	loaded := newPreparedConfig(s)
+	prepared := newPreparedConfig(s)
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.activateConfig(loaded, source.Instance)
+	t.g.activateConfig(prepared, source.Instance)
 }
 
-// serve answers a peer's call for a part.
+// handlePartRequest handles a peer's request for a part.
 func (t *configTransfer) handlePartRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
-	var call wire.ConfigPartRequest
-	if err := f.DecodeBody(&call); err != nil {
+	var request wire.ConfigPartRequest
+	if err := f.DecodeBody(&request); err != nil {
 		return nil, err
 	}
 	t.senderMu.Lock()
@@ -245,19 +249,19 @@
 	for _, s := range unsent {
 		t.sender.AddSnapshot(s)
 	}
-	return t.sender.Part(t.g.clock.Now(), call)
+	return t.sender.Part(t.g.clock.Now(), request)
 }
 
-// configSources are the peers that have a newer configuration: those with a fresh
-// update, or where there is none of these, the others.
-func (p *peers) configSources(have int64) ([]configsync.Source, map[string]wire.Identity) {
+// configSources returns the peers that have a newer configuration: those with a fresh
+// update or, if there are none, the others.
+func (p *peers) configSources(ownVersion int64) ([]configsync.Source, map[string]wire.Identity) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.g.clock.Now()
-	var fresh, silent []configsync.Source
+	var fresh, others []configsync.Source
 	identities := map[string]wire.Identity{}
 	for name, s := range p.known {
-		if s.configVersion <= have || s.state.Leaving || now-s.failedAt <= failedPeerBackoff {
+		if s.configVersion <= ownVersion || s.state.Leaving || now-s.failedAt <= failedPeerBackoff {
 			continue
 		}
 		identities[name] = wire.Identity{Instance: name, Address: s.Address}
@@ -265,11 +269,11 @@
 		if p.isFresh(now, s) {
 			fresh = append(fresh, source)
 		} else {
-			silent = append(silent, source)
+			others = append(others, source)
 		}
 	}
 	if len(fresh) == 0 {
-		return silent, identities
+		return others, identities
 	}
 	return fresh, identities
 }
--- a/internal/gateway/configtransfer_test.go
+++ b/internal/gateway/configtransfer_test.go
@@ -12,18 +12,19 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// oldConfig is an instance with version 1 whose last contact with the store was made
-// some time ago; its peer has another version.
-func newOutdatedGateway(age time.Duration, peerHas int64) *testGateway {
+// newOutdatedGateway returns an instance with configuration version 1 whose last
+// contact with the store has the given age. Its peer has the given version.
+func newOutdatedGateway(contactAge time.Duration, peerVersion int64) *testGateway {
 	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(2)}, "a")
 	c := configWithRoutes(1, 3)
 	p.table.Store(routing.NewTable(c))
-	p.contacts = contactAt(p.clock.Now() - age)
-	p.configs.recordReport(peerHas, "b")
+	p.contacts = contactAt(p.clock.Now() - contactAge)
+	p.configs.recordReport(peerVersion, "b")
 	return p
 }
 
-// route looks up a request's route, and gives the reason and status of a refusal.
+// matchRequest looks up the route of a request and returns the reason and status of a
+// refusal.
 func (p *testGateway) matchRequest(host, path string) (string, int) {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	refusal := p.matchRoute(&call{Request: &Request{Host: host, Path: path}, r: r})
@@ -33,38 +34,37 @@
 	return refusal.Reason, refusal.Status
 }
 
-// Guards against requests that run as a replaced configuration allows, at an
-// instance that knows of the newer one, and against 404 for routes that only the
-// newer one has.
+// Guards against requests that run under a replaced configuration on an instance that
+// knows of a newer one, and against a 404 for routes that only the newer one has.
 func TestOutdatedConfigIsRefusedAfterItsBound(t *testing.T) {
-	const bound = 2 * time.Second // of startOn
+	const bound = 2 * time.Second // as in startTestGateway
 	for name, c := range map[string]struct {
-		age     time.Duration
-		peerHas int64
-		path    string
-		reason  string
-		status  int
+		contactAge  time.Duration
+		peerVersion int64
+		path        string
+		reason      string
+		status      int
 	}{
-		"current":                        {age: bound, peerHas: 1, path: "/p0/"},
-		"outdated, within its bound":     {age: bound / 2, peerHas: 2, path: "/p0/"},
-		"outdated, beyond its bound":     {age: bound, peerHas: 2, path: "/p0/", reason: "config_overdue", status: 503},
-		"unknown route":                  {age: bound / 2, peerHas: 1, path: "/new/", reason: "no_route", status: 404},
-		"unknown route, outdated":        {age: bound / 2, peerHas: 2, path: "/new/", reason: "config_pending", status: 503},
-		"unknown route, no contact":      {age: 2 * bound, peerHas: 1, path: "/new/", reason: "config_pending", status: 503},
-		"known route without a contact":  {age: 2 * bound, peerHas: 1, path: "/p0/"},
-		"peer with an older one, unused": {age: bound, peerHas: 0, path: "/p0/"},
+		"current":                    {contactAge: bound, peerVersion: 1, path: "/p0/"},
+		"outdated, within its bound": {contactAge: bound / 2, peerVersion: 2, path: "/p0/"},
+		"outdated, beyond its bound": {contactAge: bound, peerVersion: 2, path: "/p0/", reason: "config_overdue", status: 503},
+		"unknown route":              {contactAge: bound / 2, peerVersion: 1, path: "/new/", reason: "no_route", status: 404},
+		"unknown route, outdated":    {contactAge: bound / 2, peerVersion: 2, path: "/new/", reason: "config_pending", status: 503},
+		"unknown route, no contact":  {contactAge: 2 * bound, peerVersion: 1, path: "/new/", reason: "config_pending", status: 503},
+		"known route, no contact":    {contactAge: 2 * bound, peerVersion: 1, path: "/p0/"},
+		"peer with an older version": {contactAge: bound, peerVersion: 0, path: "/p0/"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			reason, status := newOutdatedGateway(c.age, c.peerHas).matchRequest("host-0.example", c.path)
+			reason, status := newOutdatedGateway(c.contactAge, c.peerVersion).matchRequest("host-0.example", c.path)
 			is.Equal(reason, c.reason)
 			is.Equal(status, c.status)
 		})
 	}
 }
 
-// Guards against instances that refuse callers for stale keys after they have the
-// newest configuration: their peers' contact with the store is theirs too.
+// Guards against instances that refuse callers for stale keys although they have the
+// newest configuration: their peers' contact with the store counts for them too.
 func TestPeerContactCountsOnceItsConfigIsActive(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(2)}, "a")
@@ -79,8 +79,8 @@
 	is.True(p.contactAge() < 2*time.Second)
 }
 
-// Guards against requests that are refused by the limits of one configuration and
-// logged with another: the engineer on call looks for the cause in the wrong one.
+// Guards against requests that are refused under the limits of one configuration and
+// logged with the version of another, which misleads whoever investigates.
 func TestRequestIsAdmittedByActiveConfig(t *testing.T) {
 	is := is.New(t)
 	p := newOutdatedGateway(0, 1)
@@ -91,9 +91,9 @@
 	is.Equal(p.matchRoute(c), nil)
 	is.Equal(p.authorize(c), nil)
 	p.mu.Lock()
-	p.activateConfig(p.prepareConfig(limited), "b") // while the body comes in
+	p.activateConfig(p.prepareConfig(limited), "b") // while the body is read
 	p.mu.Unlock()
 	refusal := p.admitWithCurrentConfig(c)
-	is.Equal(refusal.Reason, "over_rate") // its bucket is empty at first
+	is.Equal(refusal.Reason, "over_rate") // its bucket starts empty
 	is.Equal(c.table.Config().Version, int64(2))
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -14,11 +14,11 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// exchangeAll publishes this instance's state and starts the exchanges that are
+// publishAndExchange publishes this instance's state and starts the exchanges that are
 // due.
 func (p *peers) publishAndExchange(ctx context.Context) {
 	state, spent := p.g.publishedState()
-	message := p.g.exchangeRequest()
+	request := p.g.exchangeRequest()
 	p.mu.Lock()
 	now := p.g.clock.Now()
 	p.expireUnlessSuspended(now)
@@ -26,54 +26,54 @@
 	p.table.SetStaleAfter(p.updateMaxAge())
 	p.table.Publish(now, state, spent)
 	p.planCalls(now)
-	message.Hub = p.plan.Hub
+	request.Hub = p.plan.Hub
 	for _, c := range p.plan.Calls {
 		s := p.known[c.Name]
 		s.callInFlight, s.calledAt = true, now
-		go p.exchangeWith(ctx, s, c.Follow, message)
+		go p.exchangeWith(ctx, s, c.Follow, request)
 	}
 	p.mu.Unlock()
 }
 
-// planCalls chooses the peers to call now. The caller holds p.mu.
+// planCalls selects the peers to call now. The caller holds p.mu.
 func (p *peers) planCalls(now time.Duration) {
-	view, fleet := make([]hubs.Peer, 0, len(p.known)), 1+len(p.known)
+	hubPeers, fleetSize := make([]hubs.Peer, 0, len(p.known)), 1+len(p.known)
 	for _, s := range p.known {
-		fleet = max(fleet, s.fleetSize)
+		fleetSize = max(fleetSize, s.fleetSize)
 		fresh := p.isFresh(now, s)
-		view = append(view, hubs.Peer{
+		hubPeers = append(hubPeers, hubs.Peer{
 			Instance: s.hubInstance(), Fresh: fresh, CallInFlight: s.callInFlight, CallLate: s.callInFlight && now-s.calledAt > lateCallThreshold,
 			Reachable: !s.state.Leaving && now-s.failedAt > failedPeerBackoff && (fresh || s.updatedAt == never),
 		})
 	}
-	was := p.plan
-	p.plan = hubs.PlanCalls(p.hubInstance(), view, fleet, p.round)
+	previous := p.plan
+	p.plan = hubs.PlanCalls(p.hubInstance(), hubPeers, fleetSize, p.round)
 	p.round++
-	if was.Hub != p.plan.Hub || was.Mesh != p.plan.Mesh {
+	if previous.Hub != p.plan.Hub || previous.Mesh != p.plan.Mesh {
 		logline.Info("hub_role", "hub", p.plan.Hub, "mesh", p.plan.Mesh, "known", len(p.known), "reporting", p.reportingCountLocked(now))
 	}
 }
 
-// exchange makes one call to a peer.
-func (p *peers) exchangeWith(ctx context.Context, s *peerState, follow bool, m wire.Exchange) {
+// exchangeWith makes one exchange with a peer and applies its response.
+func (p *peers) exchangeWith(ctx context.Context, s *peerState, follow bool, request wire.Exchange) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	p.mu.Lock()
-	asked := p.g.clock.Now()
-	m.BaseVersion, m.ExpectedReceiver = s.ackedVersion, replica.OriginID(s.Incarnation)
-	m.Updates = p.table.UpdatesSince(asked, m.BaseVersion, replica.ScopeFollowers, m.ExpectedReceiver)
-	m.Follow, m.ReceivedCursor = follow, s.receivedCursor
-	sent, address := p.table.Cursor().Version, s.Address
+	sentAt := p.g.clock.Now()
+	request.BaseVersion, request.ExpectedReceiver = s.ackedVersion, replica.OriginID(s.Incarnation)
+	request.Updates = p.table.UpdatesSince(sentAt, request.BaseVersion, replica.ScopeFollowers, request.ExpectedReceiver)
+	request.Follow, request.ReceivedCursor = follow, s.receivedCursor
+	ownVersion, address := p.table.Cursor().Version, s.Address
 	p.mu.Unlock()
-	var answer wire.ExchangeResponse
-	from, err := p.call(ctx, address, wire.KindExchange, m, &answer)
+	var response wire.ExchangeResponse
+	from, err := p.call(ctx, address, wire.KindExchange, request, &response)
 	if errors.Is(err, peer.ErrRefused) {
 		logline.Error(err, "exchange_refused", "peer", s.Instance)
 	}
 	if err != nil {
 		p.g.metrics.exchangeFailed(err)
 	}
-	lacking := err == nil && p.mergeUpdates(asked, from.Instance, answer.Updates, false)
+	needsResync := err == nil && p.mergeUpdates(sentAt, from.Instance, response.Updates, false)
 	p.mu.Lock()
 	s.callInFlight = false
 	switch {
@@ -82,71 +82,73 @@
 	case from.Incarnation != s.Incarnation:
 		s.failedAt, s.ackedVersion, s.receivedCursor = never, 0, wire.UpdateCursor{}
 	default:
-		s.failedAt, s.ackedVersion = never, sent
-		if answer.NeedsResync {
+		s.failedAt, s.ackedVersion = never, ownVersion
+		if response.NeedsResync {
 			s.ackedVersion = 0
 		}
 		if follow {
-			s.receivedCursor = answer.Cursor
+			s.receivedCursor = response.Cursor
 		}
-		if lacking {
+		if needsResync {
 			s.receivedCursor = wire.UpdateCursor{}
 		}
-		s.state.Leaving, s.fleetSize = answer.Leaving, answer.FleetSize
-		p.recordPeerConfig(s, answer.ConfigVersion)
+		s.state.Leaving, s.fleetSize = response.Leaving, response.FleetSize
+		p.recordPeerConfig(s, response.ConfigVersion)
 	}
 	p.mu.Unlock()
 	if err == nil {
-		p.g.applyExchangeResponse(asked, from, m.RegistrationsOffset, answer)
+		p.g.applyExchangeResponse(sentAt, from, request.RegistrationsOffset, response)
 	}
 }
 
-// call makes a call to a peer. A connection on which one takes too long may be silent
-// for good: the next call makes a new one.
-func (p *peers) call(ctx context.Context, address string, kind wire.Kind, body, answer any) (wire.Identity, error) {
+// call calls a peer. It drops the connection if the call times out, since the
+// connection may be dead; the next call dials a new one.
+func (p *peers) call(ctx context.Context, address string, kind wire.Kind, body, response any) (wire.Identity, error) {
 	p.mu.Lock()
 	node := p.node
 	p.mu.Unlock()
-	from, err := node.Call(ctx, address, kind, body, answer)
+	from, err := node.Call(ctx, address, kind, body, response)
 	if err != nil && ctx.Err() != nil {
 		node.Drop(address)
 	}
 	return from, err
 }
 
-// noteConfig takes in which configuration a peer has. The caller holds p.mu.
+// recordPeerConfig records the version of a peer's configuration. The caller holds
+// p.mu.
 func (p *peers) recordPeerConfig(s *peerState, version int64) {
 	s.configVersion = max(s.configVersion, version)
 	p.g.configs.recordReport(version, s.Instance)
 }
 
-// serve answers a peer's message.
+// handleExchange handles an exchange started by a peer.
 func (p *peers) handleExchange(_ context.Context, from wire.Identity, f wire.Frame) (any, error) {
-	var m wire.Exchange
-	if err := f.DecodeBody(&m); err != nil {
+	var request wire.Exchange
+	if err := f.DecodeBody(&request); err != nil {
 		return nil, err
 	}
 	now := p.g.clock.Now()
-	// Updates that build on what an earlier process here has got are not for this
-	// one, also where it knows their origins from others.
-	lacking := m.BaseVersion > 0 && m.ExpectedReceiver != replica.OriginID(p.g.self.Incarnation)
-	if !lacking {
-		lacking = p.mergeUpdates(now, from.Instance, m.Updates, m.Follow && !m.Hub)
+	// Updates based on the copy of an earlier process of this instance must not be
+	// merged, even if this process knows their origins from other peers.
+	needsResync := request.BaseVersion > 0 && request.ExpectedReceiver != replica.OriginID(p.g.self.Incarnation)
+	if !needsResync {
+		needsResync = p.mergeUpdates(now, from.Instance, request.Updates, request.Follow && !request.Hub)
 	}
-	answer := p.g.exchangeResponse(now, from, m)
+	response := p.g.exchangeResponse(now, from, request)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	answer.NeedsResync, answer.FleetSize = lacking, 1+len(p.known)
-	if m.Follow {
-		answer.Cursor = p.table.Cursor()
-		answer.Updates = p.table.UpdatesSince(now, p.table.VersionOf(m.ReceivedCursor), replica.ScopeAll, replica.OriginID(from.Incarnation))
+	response.NeedsResync, response.FleetSize = needsResync, 1+len(p.known)
+	if request.Follow {
+		response.Cursor = p.table.Cursor()
+		response.Updates = p.table.UpdatesSince(now, p.table.VersionOf(request.ReceivedCursor), replica.ScopeAll, replica.OriginID(from.Incarnation))
 	}
-	return answer, nil
+	return response, nil
 }
 
-// takeUpdates takes in updates that came from an instance, with ages that count
-// back from a time. Lacking says that some build on others that are not here.
-func (p *peers) mergeUpdates(from time.Duration, via string, updates []wire.InstanceUpdate, passOn bool) (lacking bool) {
+// mergeUpdates merges updates received from the instance via; their ages are relative
+// to sentAt. It returns true if some are based on updates that are missing here, so
+// that the sender has to send its whole state.
+func (p *peers) mergeUpdates(sentAt time.Duration, via string, updates []wire.InstanceUpdate, forward bool) (needsResync bool) {
 	if len(updates) == 0 {
 		return false
 	}
@@ -154,16 +156,16 @@
 	defer p.mergeMu.Unlock()
 	p.mu.Lock()
 	now := p.g.clock.Now()
-	changes, lacking := p.table.Merge(from, updates, passOn)
+	changes, needsResync := p.table.Merge(sentAt, updates, forward)
 	for i := range changes {
 		p.applyChange(now, via, &changes[i])
 	}
 	p.mu.Unlock()
 	p.g.applyPeerChanges(now, changes)
-	return lacking
+	return needsResync
 }
 
-// note takes in the update of a peer. The caller holds p.mu.
+// applyChange applies a merged update to the state of its peer. The caller holds p.mu.
 func (p *peers) applyChange(now time.Duration, via string, c *replica.Change) {
 	id := c.Identity
 	if id.Instance == p.g.self.Instance {
@@ -171,7 +173,7 @@
 	}
 	s := p.known[id.Instance]
 	if s != nil && s.Incarnation != id.Incarnation && c.At <= s.updatedAt {
-		return // an earlier process of that one
+		return // an earlier process of the peer
 	}
 	if s == nil || s.Incarnation != id.Incarnation {
 		if now-c.At > p.updateMaxAge() {
@@ -188,14 +190,14 @@
 	p.applyOverdueReport(now, c.State.OverdueInstances)
 }
 
-// apply puts what is known of the peers into force here.
+// applyToGateway passes the combined state of the peers on to the gateway.
 func (p *peers) applyToGateway() {
 	now := p.g.clock.Now()
 	loads := map[string]load{}
 	loading := map[string]bool{}
 	p.mu.Lock()
-	fleet, silence, delay := p.fleetSizeLocked(), p.updateMaxAge(), p.propagationTime()
-	names, found := p.servingInstances(), p.announcementsRead
+	fleetSize, updateMaxAge, updateDelay := p.fleetSizeLocked(), p.updateMaxAge(), p.propagationTime()
+	instances, announcementsRead := p.servingInstances(), p.announcementsRead
 	reporting, silent := 0, map[string]int{}
 	for _, s := range p.known {
 		if !p.isFresh(now, s) {
@@ -214,13 +216,13 @@
 		}
 	}
 	p.mu.Unlock()
-	p.g.limits.setFleet(names, found)
-	p.g.applyFleetState(now, fleet, silence, delay, loads, loading)
+	p.g.limits.setFleet(instances, announcementsRead)
+	p.g.applyFleetState(now, fleetSize, updateMaxAge, updateDelay, loads, loading)
 	p.g.suspectTargets(confirmedSilent(silent, reporting))
 }
 
-// serving are the instances that may be serving, without those that leave. The caller
-// holds p.mu.
+// servingInstances returns the names of the instances that may be serving; instances
+// that are leaving are omitted. The caller holds p.mu.
 func (p *peers) servingInstances() []string {
 	names := make([]string, 0, 1+len(p.known))
 	if !p.g.draining.Load() {
@@ -235,36 +237,37 @@
 }
 
 const (
-	// minWitnesses is the peers that must have found a target silent. One may
-	// be cut off from it by itself.
+	// minSilenceReporters is the minimum number of peers that must report a target as
+	// silent. A single peer may be cut off from the target itself.
 	minSilenceReporters = 2
-	// witnessShare is that number in large fleets, as a part of the peers that
-	// report: a few machines that share a broken link must not decide for all.
+	// silenceReporterFraction sets the minimum number in large fleets, as a fraction of
+	// the reporting peers: a few machines that share a broken link must not decide for
+	// all.
 	silenceReporterFraction = 0.07
 )
 
-// agreed lists the targets that enough of the peers have found silent.
-func confirmedSilent(silent map[string]int, reporting int) []string {
+// confirmedSilent returns the targets that enough peers report as silent.
+func confirmedSilent(reports map[string]int, reporting int) []string {
 	var ids []string
-	need := max(minSilenceReporters, int(silenceReporterFraction*float64(reporting)))
-	for id, n := range silent {
-		if n >= need {
+	required := max(minSilenceReporters, int(silenceReporterFraction*float64(reporting)))
+	for id, n := range reports {
+		if n >= required {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// sentPrompt notes a prompt that a target has prefilled, and the pieces that it
-// saves under the scope, for the peers.
+// publishPrompt publishes to the peers that a target has prefilled a prompt, and which
+// of its pieces it saves under the scope.
 func (p *peers) publishPrompt(pl *placed, scope string, saved []prefix.Hash) {
-	m := wire.PrefilledPrompt{
+	prompt := wire.PrefilledPrompt{
 		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: hashesToUint64(pl.send.Request.Placement.Chain), CachedTokens: pl.took(),
 		CacheScope: scope, SavedPieces: hashesToUint64(saved),
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.AddEvent(wire.InstanceEvent{Prompt: &m})
+	p.table.AddEvent(wire.InstanceEvent{Prompt: &prompt})
 }
 
 func hashesToUint64(hashes []prefix.Hash) []uint64 {
@@ -275,15 +278,15 @@
 	return out
 }
 
-func hashesFromUint64(numbers []uint64) []prefix.Hash {
-	out := make([]prefix.Hash, len(numbers))
-	for i, n := range numbers {
+func hashesFromUint64(values []uint64) []prefix.Hash {
+	out := make([]prefix.Hash, len(values))
+	for i, n := range values {
 		out[i] = prefix.Hash(n)
 	}
 	return out
 }
 
-// crashed notes a request that broke off, for the peers.
+// publishCrash publishes to the peers the fingerprint of a request that broke off.
 func (p *peers) publishCrash(fingerprint uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/exchange_bench_test.go
+++ b/internal/gateway/exchange_bench_test.go
@@ -13,11 +13,12 @@
 const (
 	benchInstances = 195
 	benchTargets   = 78
-	// benchPrompts is the prompts that a fleet sends in a pause of a follower.
+	// benchPrompts is the number of prompts that the fleet sends in one interval of a
+	// follower.
 	benchPrompts = 100
 )
 
-// benchSender is a hub that knows a fleet.
+// benchHub is a hub with the tables of all instances of a fleet.
 type benchHub struct {
 	table   *replica.Table
 	origins []*replica.Table
@@ -35,17 +36,18 @@
 	return s
 }
 
-// next is what has changed of all instances in a pause.
+// publishRound publishes one interval's changes of all instances and returns the hub's
+// updates since a version.
 func (s *benchHub) publishRound(now time.Duration, since uint64) []wire.InstanceUpdate {
 	s.round++
-	for i, o := range s.origins {
+	for i, origin := range s.origins {
 		target := fmt.Sprintf("t%02d", (i+s.round)%benchTargets)
 		for n := i; n < benchPrompts; n += benchInstances {
-			o.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.round % 50)}, CachedTokens: 1000}})
+			origin.AddEvent(wire.InstanceEvent{Prompt: &wire.PrefilledPrompt{Target: target, Born: 1, SharedPieces: []uint64{1, 2, uint64(s.round % 50)}, CachedTokens: 1000}})
 		}
-		o.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
+		origin.Publish(now, wire.InstanceState{Capacity: 3, ConfigVersion: 2, Loads: map[string]wire.TargetLoad{target: {PendingPromptTokens: 3000, KVCacheTokens: 9000}}},
 			map[string]float64{fmt.Sprintf("account-%d", i%19): float64(s.round)})
-		s.table.Merge(now, o.UpdatesSince(now, 0, replica.ScopeFollowers, 0)[:1], false)
+		s.table.Merge(now, origin.UpdatesSince(now, 0, replica.ScopeFollowers, 0)[:1], false)
 	}
 	return s.table.UpdatesSince(now, since, replica.ScopeAll, 0)
 }
@@ -62,8 +64,7 @@
 	return startTestGateway(store, "edge-self")
 }
 
-// BenchmarkFollowerMessage is one answer of a hub in a large fleet: decoded and
-// put into force.
+// BenchmarkFollowerMessage decodes and applies one response of a hub in a large fleet.
 func BenchmarkFollowerMessage(b *testing.B) {
 	p, s := newBenchGateway(), newBenchHub()
 	since := uint64(0)
@@ -87,7 +88,7 @@
 	}
 }
 
-// BenchmarkHubAnswer is one answer to a follower.
+// BenchmarkHubAnswer builds and encodes one response to a follower.
 func BenchmarkHubAnswer(b *testing.B) {
 	s := newBenchHub()
 	since := uint64(0)
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -13,78 +13,78 @@
 	"github.com/mastictray/mastictray/internal/weights"
 )
 
-// ErrTrimmed: the store no longer has the records asked for; read all again.
+// ErrTrimmed means that the store no longer has the requested records; the reader must
+// read the whole state again.
 var ErrTrimmed = errors.New("store: records were dropped")
 
-// ErrTooLarge: the answer has more bytes than were asked for.
-var ErrTooLarge = errors.New("store: answer too large")
+// ErrTooLarge means that the response exceeds the requested byte limit.
+var ErrTooLarge = errors.New("store: response exceeds the size limit")
 
-// OperatorNews is what operators wrote.
+// OperatorUpdate holds configurations and weights versions written by operators.
 type OperatorUpdate struct {
-	// Config is the newest configuration, or nil when there is no newer one.
+	// Config is the newest configuration, or nil if there is no newer one.
 	Config *routing.Config
-	// Versions are weights versions that were named.
+	// Versions holds weights versions that were named.
 	Versions []routing.WeightsVersion
-	// Next is where to read on.
+	// NextOffset is the offset at which to continue reading.
 	NextOffset int64
 }
 
-// OperatorFeed reads what operators write.
+// OperatorFeed reads the configurations and weights versions that operators write.
 type OperatorFeed interface {
-	// Newest reads the newest configuration and versions. It fails with ErrTooLarge
-	// when the answer has more bytes than limit; 0 sets none.
+	// Newest reads the newest configuration and versions. It fails with ErrTooLarge if
+	// the response exceeds limit bytes; 0 means no limit.
 	Newest(ctx context.Context, limit int64) (OperatorUpdate, error)
-	// Since reads on from an offset and waits up to wait for news. It fails
-	// with ErrTrimmed when the store has dropped some.
+	// Since reads from an offset and waits up to wait for new records. It fails with
+	// ErrTrimmed if the store has dropped records after the offset.
 	Since(ctx context.Context, from int64, wait time.Duration) (OperatorUpdate, error)
 }
 
-// RegistrationFeed reads the targets' registrations.
+// RegistrationFeed reads the registrations of targets.
 type RegistrationFeed interface {
 	AllRegistrations(ctx context.Context) (events []directory.Event, next int64, err error)
 	RegistrationsSince(ctx context.Context, from int64) (events []directory.Event, next int64, err error)
 }
 
-// Announcement is where an instance can be reached by its peers.
+// Announcement tells peers how to reach an instance.
 type Announcement struct {
 	Instance    string
 	Incarnation string
 	Address     string
 	Domain      string
-	// Capacity is the hubs' work that the instance can do beside its own.
+	// Capacity is the instance's spare capacity for the work of a hub.
 	Capacity int
-	// Alive are the instances of which this one has updates. It announces them
-	// because others may have none.
+	// Alive lists the instances whose updates this one receives. Other instances may
+	// receive none of them.
 	Alive []string
 }
 
-// Announced is an announcement as it stands in the store; Revision changes
-// with each time that it is written.
+// Announced is an announcement as stored. Revision changes with every write.
 type Announced struct {
 	Announcement
 	Revision int64
 }
 
-// InstanceFeed is where instances find each other.
+// InstanceFeed lets instances discover each other.
 type InstanceFeed interface {
 	Announce(ctx context.Context, a Announcement) error
 	Withdraw(ctx context.Context, instance string) error
 	Announcements(ctx context.Context) ([]Announced, error)
-	// PeerSecret gives the secret shared by all instances; the first to ask
-	// proposes it.
+	// PeerSecret returns the secret shared by all instances. The first caller's
+	// proposal becomes the secret.
 	PeerSecret(ctx context.Context, proposal []byte) ([]byte, error)
 }
 
-// TargetControl asks targets for their state and gives them orders.
+// TargetControl queries the state of targets and sends them orders.
 type TargetControl interface {
 	State(ctx context.Context, t directory.Registration) (weights.Observation, error)
 	Order(ctx context.Context, t directory.Registration, o weights.Order) (weights.Receipt, error)
-	// CacheEvents asks a store of KV cache what has changed and waits up to
-	// wait for news.
+	// CacheEvents requests the changes of a KV cache store since an event number and
+	// waits up to wait for new ones.
 	CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (storeindex.EventBatch, error)
 }
 
-// Store is all that the gateway needs of the platform's store.
+// Store is the part of the platform's store that the gateway uses.
 type Store interface {
 	OperatorFeed
 	RegistrationFeed
--- a/internal/gateway/feedstate.go
+++ b/internal/gateway/feedstate.go
@@ -9,24 +9,24 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// feedStates say which feeds of the store this instance does not reach. Peers
-// get a report, so that they do not wait for its updates.
+// feedReachability records which feeds of the store this instance can't reach. It is
+// reported to peers so that they don't rely on this instance to read the feed.
 type feedReachability struct {
 	mu                                             sync.Mutex
 	operatorsUnreachable, registrationsUnreachable bool
 }
 
-// cut says that some feed is not reached.
+// anyUnreachable reports whether at least one feed is unreachable.
 func (s *feedReachability) anyUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.operatorsUnreachable || s.registrationsUnreachable
 }
 
-// awaitTurn waits until the feed is to be read; false when ctx ended.
-func (g *Gateway) awaitRead(ctx context.Context, turn *feedturn.Scheduler, view func() feedturn.View) bool {
+// awaitRead waits until the feed has to be read. It returns false if ctx ends first.
+func (g *Gateway) awaitRead(ctx context.Context, scheduler *feedturn.Scheduler, view func() feedturn.View) bool {
 	for ctx.Err() == nil {
-		read, wait := turn.Next(g.clock.Now(), view())
+		read, wait := scheduler.Next(g.clock.Now(), view())
 		if read {
 			return true
 		}
@@ -35,28 +35,28 @@
 	return false
 }
 
-// tookTurn takes in how a read ended. The log gets a line when the feed is lost
-// or regained.
-func (g *Gateway) recordRead(ctx context.Context, turn *feedturn.Scheduler, lost *bool, feed string, err error) {
+// recordRead records the result of a read. It logs when the feed becomes unreachable
+// and when it is reachable again.
+func (g *Gateway) recordRead(ctx context.Context, scheduler *feedturn.Scheduler, unreachable *bool, feed string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	was := turn.LastReadFailed()
+	failedBefore := scheduler.LastReadFailed()
 	if err != nil {
-		turn.ReadFailed(g.clock.Now(), g.peers.fleetSize(), g.newRand())
+		scheduler.ReadFailed(g.clock.Now(), g.peers.fleetSize(), g.newRand())
 	} else {
-		turn.ReadSucceeded(g.clock.Now())
+		scheduler.ReadSucceeded(g.clock.Now())
 	}
 	switch {
-	case err != nil && !was:
+	case err != nil && !failedBefore:
 		logline.Error(err, "store_lost", "feed", feed)
-	case err == nil && was:
+	case err == nil && failedBefore:
 		logline.Info("store_regained", "feed", feed)
 	}
 	g.feeds.mu.Lock()
-	*lost = turn.LastReadFailed()
+	*unreachable = scheduler.LastReadFailed()
 	g.feeds.mu.Unlock()
 }
 
-// never is the time of what has not happened yet.
+// never is the time of an event that has not happened.
 const never = -time.Hour
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -10,26 +10,28 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// state is what this instance publishes: its state, and what it has admitted.
+// publishedState returns the state that this instance publishes and the tokens that it
+// has admitted by account.
 func (g *Gateway) publishedState() (wire.InstanceState, map[string]float64) {
-	m := wire.InstanceState{
+	state := wire.InstanceState{
 		Capacity: g.settings.Capacity, Leaving: g.draining.Load(), StoreUnreachable: g.feeds.anyUnreachable(), OrderLease: g.heldLeaseRecord(),
 		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.answering(),
 		TargetLimits: g.limits.reports(),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.LoadingTargets = g.orderedTargets
+	state.LoadingTargets = g.orderedTargets
 	for _, pool := range g.engines {
 		for id, l := range pool.loads() {
-			m.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
+			state.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
 		}
-		m.SilentTargets = append(m.SilentTargets, pool.silent()...)
+		state.SilentTargets = append(state.SilentTargets, pool.silent()...)
 	}
-	return m, g.quota.ReportSpent()
+	return state, g.quota.ReportSpent()
 }
 
-// heldRecord is the record of the lease for orders while this instance holds it.
+// heldLeaseRecord returns the record of the order lease, or nil unless this instance
+// holds it.
 func (g *Gateway) heldLeaseRecord() *wire.OrderLeaseRecord {
 	record, held := g.lease.heldRecord(g.clock.Now())
 	if !held {
@@ -39,7 +41,7 @@
 	return &out
 }
 
-// configVersion is the version of the configuration in force; 0 for none.
+// configVersion returns the version of the active configuration, or 0 if there is none.
 func (g *Gateway) configVersion() int64 {
 	if t := g.table.Load(); t != nil {
 		return t.Config().Version
@@ -47,14 +49,14 @@
 	return 0
 }
 
-// message is the part of a message to peers that is the same for all.
+// exchangeRequest returns the fields of an exchange that are the same for all peers.
 func (g *Gateway) exchangeRequest() wire.Exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return wire.Exchange{From: g.self, ConfigVersion: g.configVersion(), RegistrationsOffset: g.registrations.nextOffset}
 }
 
-// takeChanges puts what other instances have published into force.
+// applyPeerChanges applies changes that other instances have published.
 func (g *Gateway) applyPeerChanges(now time.Duration, changes []replica.Change) {
 	reports := make([]quota.Report, 0, len(changes))
 	g.mu.Lock()
@@ -75,8 +77,8 @@
 		if stores := changes[i].State.CacheStores; len(stores) > 0 {
 			g.cache.reported(stores)
 		}
-		if orders := changes[i].State.OrderLease; orders != nil {
-			g.lease.handleRead(now, fromWireLease(*orders))
+		if lease := changes[i].State.OrderLease; lease != nil {
+			g.lease.handleRead(now, fromWireLease(*lease))
 		}
 		for _, e := range changes[i].Events {
 			if e.Prompt != nil {
@@ -86,84 +88,89 @@
 	}
 }
 
-// takePrompt takes in a prompt that a target has prefilled for another instance.
-func (g *Gateway) applyPrefilledPrompt(pools []*enginePool, s *wire.PrefilledPrompt) {
-	if len(s.SavedPieces) > 0 {
-		g.cache.saved(s.CacheScope, hashesFromUint64(s.SavedPieces))
+// applyPrefilledPrompt records a prompt that a target has prefilled for another
+// instance.
+func (g *Gateway) applyPrefilledPrompt(pools []*enginePool, prompt *wire.PrefilledPrompt) {
+	if len(prompt.SavedPieces) > 0 {
+		g.cache.saved(prompt.CacheScope, hashesFromUint64(prompt.SavedPieces))
 	}
-	chain := hashesFromUint64(s.SharedPieces)
+	chain := hashesFromUint64(prompt.SharedPieces)
 	for _, pool := range pools {
-		pool.noteCached(directory.Incarnation{ID: s.Target, StartedMs: s.Born}, chain, s.CachedTokens)
+		pool.noteCached(directory.Incarnation{ID: prompt.Target, StartedMs: prompt.Born}, chain, prompt.CachedTokens)
 	}
 }
 
-// answer answers a peer's message.
-func (g *Gateway) exchangeResponse(now time.Duration, from wire.Identity, m wire.Exchange) wire.ExchangeResponse {
-	reads := g.peers.isDomainReader()
+// exchangeResponse builds the response to a peer's exchange.
+func (g *Gateway) exchangeResponse(now time.Duration, from wire.Identity, request wire.Exchange) wire.ExchangeResponse {
+	isReader := g.peers.isDomainReader()
 	g.mu.Lock()
-	answer := wire.ExchangeResponse{
+	response := wire.ExchangeResponse{
 		StoreContactAgeMillis: -1, OperatorsOffset: g.operatorsOffset, Leaving: g.draining.Load(), ConfigVersion: g.configVersion(),
 	}
 	if age := g.contactAgeLocked(); age < noContactAge {
-		answer.StoreContactAgeMillis = age.Milliseconds() + 1
+		response.StoreContactAgeMillis = age.Milliseconds() + 1
 	}
 	for model, v := range g.versions {
 		for _, n := range v.newestDueAndLater(now - g.settings.WeightsBound) {
-			answer.Weights = append(answer.Weights, wire.NamedWeights{
+			response.Weights = append(response.Weights, wire.NamedWeights{
 				Model: model, Version: n.version, AgeMillis: (now - n.namedAt).Milliseconds(), Observed: !n.estimated,
 			})
 		}
 	}
-	answer.Registrations = g.registrationChanges(now, m.RegistrationsOffset, reads || m.Follow)
+	response.Registrations = g.registrationChanges(now, request.RegistrationsOffset, isReader || request.Follow)
 	g.mu.Unlock()
-	return answer
+	return response
 }
 
-// takeAnswer takes in a peer's answer to a message sent at that time. What the
-// peer knew when it answered, this instance knows now: so the peer's contact
-// with the store counts as one of its own, made that much before it asked, as soon
-// as the peer's configuration is here too.
-func (g *Gateway) applyExchangeResponse(asked time.Duration, from wire.Identity, place int64, a wire.ExchangeResponse) {
-	g.applyRegistrationChanges(asked, place, a.Registrations)
+// applyExchangeResponse applies a peer's response to a request sent at sentAt. Once the
+// peer's configuration is active here too, this instance knows everything that the peer
+// knew when it responded, so the peer's contact with the store counts as a contact of
+// this instance. The contact's time is its age subtracted from the send time of the
+// request.
+func (g *Gateway) applyExchangeResponse(sentAt time.Duration, from wire.Identity, offset int64, response wire.ExchangeResponse) {
+	g.applyRegistrationChanges(sentAt, offset, response.Registrations)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, v := range a.Weights {
-		g.recordNamedVersion(routing.WeightsVersion{Model: v.Model, Version: v.Version}, g.reportedNamedAt(asked, v), from.Instance, !v.Observed)
+	for _, v := range response.Weights {
+		g.recordNamedVersion(routing.WeightsVersion{Model: v.Model, Version: v.Version}, g.reportedNamedAt(sentAt, v), from.Instance, !v.Observed)
 	}
 	contact := configContact{
-		version: a.ConfigVersion, at: asked - time.Duration(a.StoreContactAgeMillis)*time.Millisecond, nextOffset: a.OperatorsOffset,
+		version: response.ConfigVersion, at: sentAt - time.Duration(response.StoreContactAgeMillis)*time.Millisecond, nextOffset: response.OperatorsOffset,
 	}
 	switch own := g.configVersion(); {
-	case a.StoreContactAgeMillis < 0 || a.ConfigVersion == 0:
-	case own >= a.ConfigVersion:
+	case response.StoreContactAgeMillis < 0 || response.ConfigVersion == 0:
+	case own >= response.ConfigVersion:
 		g.recordStoreContact(contact)
 	default:
 		g.configs.addPeerContact(contact)
 	}
 }
 
-// takeContact takes a contact of a peer with the store for an own one: all that the
-// peer knew by it is here. The caller holds g.mu.
-func (g *Gateway) recordStoreContact(c configContact) {
-	g.contacts.LogRead(c.at)
-	g.operatorsOffset = max(g.operatorsOffset, c.nextOffset)
+// recordStoreContact counts a peer's contact with the store as a contact of this
+// instance, which has by now everything that the peer learned in it. The caller holds
+// g.mu.
+func (g *Gateway) recordStoreContact(contact configContact) {
+	g.contacts.LogRead(contact.at)
+	g.operatorsOffset = max(g.operatorsOffset, contact.nextOffset)
 }
 
-// namedAt is when a version was named by a peer's report. The peer took its age
-// some time between the question and now. Where there is such a report already,
-// only what is earlier for sure counts: two peers that took the earliest possible
-// each time would make a version older with each exchange, by 0.8 s in 4 s at 2
-// ms a way. The caller holds g.mu.
-func (g *Gateway) reportedNamedAt(asked time.Duration, v wire.NamedWeights) time.Duration {
+// reportedNamedAt returns the time at which a version was named according to a peer's
+// report. The peer computed the age at some time between the request and now. If there
+// is a report at least as good already, the result is the latest possible time, so that
+// it replaces the known time only if it is certainly earlier. If two peers used the
+// earliest possible time in every exchange, the version would age by 0.8 s in 4 s at a
+// one-way delay of 2 ms. The caller holds g.mu.
+func (g *Gateway) reportedNamedAt(sentAt time.Duration, v wire.NamedWeights) time.Duration {
 	age := time.Duration(v.AgeMillis) * time.Millisecond
 	known := g.versionsOf(v.Model)
 	if known.isObserved(v.Version) || !v.Observed && known.contains(v.Version) {
 		return g.clock.Now() - age
 	}
-	return asked - age
+	return sentAt - age
 }
 
-// suspect tells each pool of targets that peers have found silent.
+// suspectTargets passes the targets that peers report as silent on to every engine
+// pool.
 func (g *Gateway) suspectTargets(ids []string) {
 	if len(ids) == 0 {
 		return
@@ -173,13 +180,13 @@
 	}
 }
 
-// takePeers puts the peers' loads and the size of the fleet into force.
-// Their updates come with a delay.
-func (g *Gateway) applyFleetState(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]load, loading map[string]bool) {
+// applyFleetState applies the peers' loads, the targets that load, and the size of the
+// fleet. Updates of peers arrive after updateDelay.
+func (g *Gateway) applyFleetState(now time.Duration, fleetSize int, updateMaxAge, updateDelay time.Duration, loads map[string]load, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.quota.SetFleetSize(now, fleet, silence)
-	g.shareReserves(fleet)
+	g.quota.SetFleetSize(now, fleetSize, updateMaxAge)
+	g.shareReserves(fleetSize)
 	for _, f := range g.crashes.unreported {
 		g.peers.publishCrash(f)
 	}
@@ -187,6 +194,6 @@
 	g.loadingTargets = union(loading, g.orderedTargets)
 	g.updateRollout()
 	for _, pool := range g.engines {
-		pool.setPeers(delay, loads)
+		pool.setPeers(updateDelay, loads)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,7 +25,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Gateway is one instance's process.
+// Gateway is the process of one instance.
 type Gateway struct {
 	settings Settings
 	clock    clock.Clock
@@ -36,18 +36,18 @@
 	targets  *targetconn.Pool
 	metrics  *gatewayMetrics
 
-	// table is the configuration in force; nil until one is known.
+	// table is the active configuration, or nil before the first one.
 	table atomic.Pointer[routing.Table]
 
 	mu       sync.Mutex
 	contacts *keys.ContactTracker
-	// operatorsNext is where to read on in what operators write; unread before that was
-	// read.
+	// operatorsOffset is the offset at which to continue reading the operator feed, or
+	// unreadOffset before the first read.
 	operatorsOffset int64
-	// versions are the newest weights named, and when this instance learnt
-	// of each.
+	// versions holds the newest named weights versions by model, with the time at which
+	// each was named.
 	versions map[string]*namedVersions
-	// oldest is the oldest version that may serve, by service and model.
+	// oldestServing is the oldest weights version that may serve, by service and model.
 	oldestServing map[string]int64
 	quota         *quota.Limiter
 	directory     *directory.Directory
@@ -59,40 +59,41 @@
 
 	feeds feedReachability
 	peers *peers
-	// configs brings configurations here from peers, and from here to them.
+	// configs transfers configurations to and from peers.
 	configs *configTransfer
 	cache   *cacheStores
-	// limits are the rates that targets state.
+	// limits holds the request rate limits that targets state.
 	limits *targetLimits
 	lease  *sharedLease
-	// leaseLog is where the lease is kept.
+	// leaseStore reads and writes the order lease in the store.
 	leaseStore *leaseStore
 	planner    *weights.Planner
-	// ordered are the targets that load by this instance's orders.
+	// orderedTargets are the targets that are loading weights on this instance's
+	// orders.
 	orderedTargets []string
 	versionRecord  versionRecord
 	suspension     suspension
-	// wall is the time of day.
+	// wallClock returns the time of day.
 	wallClock func() time.Time
-	// ordersHeldAt is when a peer last reported that it holds the lease for orders.
-	// Only the loop of rollouts uses it.
+	// leaseHeldByPeerAt is the time at which a peer last reported that it holds the
+	// order lease. Only the rollout loop uses it.
 	leaseHeldByPeerAt time.Duration
-	// quietSince is since when no rollout is to be done; never while there is.
-	// Only the loop of rollouts uses it.
+	// rolloutIdleSince is the time since which there is no rollout to do, or never
+	// while there is one. Only the rollout loop uses it.
 	rolloutIdleSince time.Duration
-	// loadingNow are those of all instances.
+	// loadingTargets are the targets that are loading weights on any instance's orders.
 	loadingTargets map[string]bool
 
 	draining atomic.Bool
 	callers  *callerServer
 }
 
-// unknownFleet is the size that the fleet is taken to have until its instances
-// were read once. A process that starts while the store fails would otherwise
-// spend the whole rate of each account, beside all others.
+// unknownFleetSize is the assumed size of the fleet until the announcements have been
+// read once. A process that starts while the store fails would otherwise spend the
+// whole rate of each account in addition to all other instances.
 const unknownFleetSize = 16
 
-// New builds the process. Nothing listens yet.
+// New creates a gateway. It doesn't listen until Run is called.
 func New(s Settings, d Dialect, store Store, control TargetControl) *Gateway {
 	c := clock.New()
 	g := &Gateway{
@@ -157,10 +158,10 @@
 	return nil
 }
 
-// drain stops being ready first and goes on serving while the balancer still
-// sends, then finishes what runs.
+// drain first reports the instance as not ready and keeps serving while the balancer
+// still sends requests, then waits for the running requests.
 func (g *Gateway) drain() {
-	logline.Info("draining", "balancer_lag", g.settings.BalancerLag, "running_for", g.settings.DrainTimeout)
+	logline.Info("draining", "balancer_lag", g.settings.BalancerLag, "drain_timeout", g.settings.DrainTimeout)
 	g.draining.Store(true)
 	time.Sleep(g.settings.BalancerLag)
 	ctx, cancel := context.WithTimeout(context.Background(), g.settings.DrainTimeout)
@@ -174,8 +175,8 @@
 	}
 }
 
-// ready says whether the balancer should send callers here: only while their
-// keys can be checked and targets are known.
+// isReady reports whether the balancer should send callers to this instance: only while
+// it can check their keys and knows the targets.
 func (g *Gateway) isReady() bool {
 	if g.draining.Load() || g.table.Load() == nil || g.configOverdue() {
 		return false
@@ -185,8 +186,8 @@
 	return g.registrations.nextOffset != unreadOffset && g.contactAgeLocked() <= g.settings.KeyReadyAge
 }
 
-// contactAge is how long ago this instance surely knew all that operators had
-// written. The caller holds g.mu.
+// contactAgeLocked returns the time since this instance last certainly knew everything
+// that operators had written. The caller holds g.mu.
 func (g *Gateway) contactAgeLocked() time.Duration {
 	now := g.clock.Now()
 	age := g.contacts.LogAge(now)
@@ -196,19 +197,19 @@
 	return age
 }
 
-// sinceContact is contactAge for callers that do not hold g.mu.
+// contactAge is contactAgeLocked for callers that don't hold g.mu.
 func (g *Gateway) contactAge() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.contactAgeLocked()
 }
 
-// sweep closes idle connections and looks for silent targets.
+// sweep periodically closes idle connections and checks for silent targets.
 func (g *Gateway) sweep(ctx context.Context) {
 	for sleep(ctx, sweepInterval) {
 		g.suspension.tick(g.clock.Now())
 		g.mu.Lock()
-		g.updateRollout() // bounds are reached also while no peer reports
+		g.updateRollout() // bounds also pass while no peer reports
 		g.mu.Unlock()
 		g.targets.Sweep()
 		g.callers.closeIdle()
@@ -216,8 +217,8 @@
 	}
 }
 
-// checkSilence looks for targets that stopped answering. Their kept
-// connections are dropped: a probe has to make a new one.
+// checkSilentTargets looks for targets that stopped responding and drops their idle
+// connections, so that a probe has to dial a new one.
 func (g *Gateway) checkSilentTargets() {
 	for _, pool := range g.enginePools() {
 		for _, address := range pool.checkSilence() {
@@ -228,17 +229,17 @@
 
 const (
 	sweepInterval = 250 * time.Millisecond
-	// storeTimeout bounds a call to the store: ten times a slow answer's
-	// usual time, so that a slow store still answers.
+	// storeTimeout bounds a call to the store. It is ten times the usual time of a slow
+	// response, so that calls to a slow store still succeed.
 	storeTimeout = 1500 * time.Millisecond
 )
 
-// source gives a random source for one decision.
+// newRand returns a random source for a single decision.
 func (g *Gateway) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// sleep waits, and is false when ctx ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -250,7 +251,8 @@
 	}
 }
 
-// engine finds or makes the pool of a service of model servers.
+// enginePoolFor returns the pool of a service of model servers and creates it if
+// needed. The caller holds g.mu.
 func (g *Gateway) enginePoolFor(name string) *enginePool {
 	p := g.engines[name]
 	if p == nil {
@@ -260,15 +262,16 @@
 	return p
 }
 
-// enginePools lists the pools of all services of model servers, for calls that
-// are made without g.mu.
+// enginePools returns the pools of all services of model servers, for calls that are
+// made without g.mu.
 func (g *Gateway) enginePools() []*enginePool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Collect(maps.Values(g.engines))
 }
 
-// service finds or makes the pool of a plain service.
+// servicePoolFor returns the pool of a plain service and creates it if needed. The
+// caller holds g.mu.
 func (g *Gateway) servicePoolFor(name string) *servicePool {
 	p := g.services[name]
 	if p == nil {
--- a/internal/gateway/leaserelay_test.go
+++ b/internal/gateway/leaserelay_test.go
@@ -11,59 +11,59 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// countedLog is a log that may turn this instance away.
+// countingLeaseStore is a lease store that counts calls and may refuse them.
 type countingLeaseStore struct {
-	fails bool
-	calls int
+	refuses bool
+	calls   int
 }
 
 func (l *countingLeaseStore) ReadLease(context.Context) (orderlease.Record, error) {
 	l.calls++
-	if l.fails {
-		return orderlease.Record{}, errors.New("turned away")
+	if l.refuses {
+		return orderlease.Record{}, errors.New("store: call refused")
 	}
 	return orderlease.Record{Holder: "direct", NextOffset: 1}, nil
 }
 
 func (l *countingLeaseStore) WriteLease(context.Context, int64, orderlease.Record) (bool, error) {
 	l.calls++
-	if l.fails {
-		return false, errors.New("turned away")
+	if l.refuses {
+		return false, errors.New("store: call refused")
 	}
 	return true, nil
 }
 
-// Guards against a rollout that stops for seconds because the store turns the
-// holder of the lease away.
+// Guards against a rollout that stops for seconds because the store refuses the calls
+// of the lease holder.
 func TestLeaseHolderFallsBackToPeer(t *testing.T) {
 	const holder, other = true, false
 	for name, c := range map[string]struct {
-		holder, turnsAway, cut, peer bool
-		by                           string // whose record is read; empty for none
-		direct                       int    // own calls for a read and a write
+		holder, refuses, knownUnreachable, hasRelay bool
+		wantHolder                                  string // holder in the record that is read; empty for an error
+		wantDirectCalls                             int    // direct calls for a read and a write
 	}{
-		"the store answers":             {holder, false, false, true, "direct", 2},
-		"the store turns it away":       {holder, true, false, true, "peer", 2},
-		"it is known to be turned away": {holder, true, true, true, "peer", 0},
-		"no peer reaches the store":     {holder, true, true, false, "", 2},
-		"another instance does not ask": {other, true, true, true, "", 2},
+		"the store answers":            {holder, false, false, true, "direct", 2},
+		"the store refuses calls":      {holder, true, false, true, "peer", 2},
+		"the store is known to refuse": {holder, true, true, true, "peer", 0},
+		"no peer reaches the store":    {holder, true, true, false, "", 2},
+		"not the holder, relay unused": {other, true, true, true, "", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			log := &countingLeaseStore{fails: c.turnsAway}
-			l := &leaseStore{direct: log, storeUnreachable: func() bool { return c.cut }, relay: func(_ context.Context, call wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
-				if !c.peer {
+			store := &countingLeaseStore{refuses: c.refuses}
+			l := &leaseStore{direct: store, storeUnreachable: func() bool { return c.knownUnreachable }, relay: func(_ context.Context, request wire.OrderLeaseRequest) (wire.OrderLeaseResponse, error) {
+				if !c.hasRelay {
 					return wire.OrderLeaseResponse{}, errNoRelay
 				}
-				return wire.OrderLeaseResponse{Record: wire.OrderLeaseRecord{Holder: "peer", End: 1}, Written: call.Write && call.ExpectedOffset == 7}, nil
+				return wire.OrderLeaseResponse{Record: wire.OrderLeaseRecord{Holder: "peer", End: 1}, Written: request.Write && request.ExpectedOffset == 7}, nil
 			}}
 			r, err := l.read(t.Context(), c.holder)
-			is.Equal(r.Holder, c.by)
-			is.Equal(err == nil, c.by != "")
+			is.Equal(r.Holder, c.wantHolder)
+			is.Equal(err == nil, c.wantHolder != "")
 			written, err := l.write(t.Context(), c.holder, 7, orderlease.Record{Holder: "a"})
-			is.Equal(written, c.by != "")
-			is.Equal(err == nil, c.by != "")
-			is.Equal(log.calls, c.direct)
+			is.Equal(written, c.wantHolder != "")
+			is.Equal(err == nil, c.wantHolder != "")
+			is.Equal(store.calls, c.wantDirectCalls)
 		})
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,9 +12,9 @@
 	"github.com/mastictray/mastictray/internal/peer"
 )
 
-// gatewayMetrics are the counters and histograms of one process. Names carry
-// routes, services, reasons and statuses; never requests, keys or targets, so
-// that their number is bounded by the configuration.
+// gatewayMetrics holds the counters and histograms of one process. Labels hold routes,
+// services, reasons and statuses, never requests, keys or targets, so that their number
+// is bounded by the configuration.
 type gatewayMetrics struct {
 	set *metrics.Set
 }
@@ -25,17 +25,18 @@
 	return m
 }
 
-// gauge finds or makes a value that is set before the metrics are written.
+// gauge returns the gauge with this name and creates it if needed. Its value is set
+// before the metrics are written.
 func (m *gatewayMetrics) gauge(name string) *metrics.Gauge { return m.set.GetOrCreateGauge(name, nil) }
 
-// write writes all metrics, and those of the process.
+// write writes all metrics, including those of the Go process.
 func (m *gatewayMetrics) write(w io.Writer) { metrics.WritePrometheus(w, true) }
 
 func (m *gatewayMetrics) refused(r *Refusal) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`mastictray_refused_total{reason=%q,status="%d"}`, r.Reason, r.Status)).Inc()
 }
 
-// exchangeFailed counts an exchange with a peer that ended without an answer.
+// exchangeFailed counts a failed exchange with a peer.
 func (m *gatewayMetrics) exchangeFailed(err error) {
 	why := "broken"
 	switch {
@@ -47,13 +48,13 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`mastictray_exchange_failed_total{why=%q}`, why)).Inc()
 }
 
-// configReceived counts a configuration that came from a peer.
+// configReceived counts a configuration that was received from a peer.
 func (m *gatewayMetrics) configReceived(bytes int, took time.Duration) {
 	m.set.GetOrCreateCounter(`mastictray_config_received_bytes_total`).Add(bytes)
 	m.set.GetOrCreateHistogram(`mastictray_config_transfer_seconds`).Update(took.Seconds())
 }
 
-// configPartFailed counts a call for a part of a configuration without an answer.
+// configPartFailed counts a failed request for a part of a configuration.
 func (m *gatewayMetrics) configPartFailed() {
 	m.set.GetOrCreateCounter(`mastictray_config_parts_failed_total`).Inc()
 }
--- a/internal/gateway/namedversions.go
+++ b/internal/gateway/namedversions.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// namedVersions are the weights versions of one model, in the order in which
-// they were named.
+// namedVersions holds the weights versions of one model in ascending order.
 type namedVersions struct{ list []namedVersion }
 
 type namedVersion struct {
 	version int64
-	// at is when it was named, by the best report on it.
+	// namedAt is the time at which the version was named, according to the best report
+	// so far.
 	namedAt time.Duration
-	// estimated is set while no report has come from an instance that received the
-	// version as it was named: this process started later or was suspended, and so
-	// were those that reported it.
+	// estimated is set until an instance that received the version when it was named
+	// reports it. Until then only processes that started later or were suspended have
+	// reported it.
 	estimated bool
 }
 
-// add takes a version that this process, or the peer that tells, received as it
-// was named, at that time; it says whether it is newer than all known.
-// Of two such times the earlier one counts: late is worse than early.
+// addObserved adds a version that this process or the reporting peer received when it
+// was named, at the given time. It returns true if the version is newer than all known
+// ones. Of several observed times the earliest counts: excluding old weights too early
+// is better than too late.
 func (n *namedVersions) addObserved(version int64, at time.Duration) bool {
 	v, newest := n.findOrInsert(version)
 	if v.estimated || at < v.namedAt {
@@ -33,9 +34,9 @@
 	return newest
 }
 
-// addEstimate takes a version of which only an estimate tells when it was named. A
-// time from an instance that received it then outweighs all estimates; of these the earliest
-// counts.
+// addEstimate adds a version whose naming time is only an estimate. An observed time
+// replaces all estimates; of several estimates the earliest counts. It returns true if
+// the version is newer than all known ones.
 func (n *namedVersions) addEstimate(version int64, at time.Duration) bool {
 	v, newest := n.findOrInsert(version)
 	if v.estimated {
@@ -44,8 +45,8 @@
 	return newest
 }
 
-// entry finds or makes the entry of a version, estimated at the end of time, and
-// says whether it is newer than all known.
+// findOrInsert returns the entry of a version. A new entry is estimated, at the end of
+// time. newest is set if the version is new and newer than all others.
 func (n *namedVersions) findOrInsert(version int64) (v *namedVersion, newest bool) {
 	i, known := n.search(version)
 	if known {
@@ -65,7 +66,8 @@
 	})
 }
 
-// dates says whether an estimate tells something new of a version.
+// improvesEstimate reports whether an estimate would add the version or make its
+// estimated time earlier.
 func (n *namedVersions) improvesEstimate(version int64, at time.Duration) bool {
 	i, known := n.search(version)
 	return !known || n.list[i].estimated && at < n.list[i].namedAt
@@ -76,48 +78,51 @@
 	return known
 }
 
-// observed says whether a report has come from an instance that received the
-// version as it was named.
+// isObserved reports whether an instance that received the version when it was named
+// has reported it.
 func (n *namedVersions) isObserved(version int64) bool {
 	i, known := n.search(version)
 	return known && !n.list[i].estimated
 }
 
-// since are the versions that count to somebody for whom those named by that
-// time are due: the newest of these, and all that are newer.
+// newestDueAndLater returns the newest version named by the given time and all newer
+// ones. Older versions make no difference to the bound on old weights.
 func (n *namedVersions) newestDueAndLater(at time.Duration) []namedVersion {
 	i, _ := n.search(n.newestNamedBy(at))
 	return n.list[i:]
 }
 
-// notYet is the time of a version before the first report on it.
+// unknownNamedAt is the time of a version before the first report of it.
 const unknownNamedAt = time.Duration(math.MaxInt64)
 
-// maxNamedVersions is how many versions are remembered for dueBy: more than
-// are named within the bound on old weights.
+// maxNamedVersions bounds the remembered versions. It exceeds the number of versions
+// named within the bound on old weights.
 const maxNamedVersions = 64
 
 func (n *namedVersions) newest() namedVersion { return n.list[len(n.list)-1] }
 
-// dueBy is the newest version named by that time; 0 for none.
+// newestNamedBy returns the newest version named by the given time, or 0 if there is
+// none.
 func (n *namedVersions) newestNamedBy(at time.Duration) int64 {
 	return n.lastMatching(func(v *namedVersion) bool { return v.namedAt <= at })
 }
 
-// dueByEstimate is the newest of those that are due by an estimate only.
+// newestEstimateNamedBy returns the newest version that was named by the given time
+// according to an estimate, or 0 if there is none.
 func (n *namedVersions) newestEstimateNamedBy(at time.Duration) int64 {
 	return n.lastMatching(func(v *namedVersion) bool { return v.namedAt <= at && v.estimated })
 }
 
-// newestEstimated is the newest version of which only estimates tell.
+// newestEstimated returns the newest version whose naming time is an estimate, or 0 if
+// there is none.
 func (n *namedVersions) newestEstimated() int64 {
 	return n.lastMatching(func(v *namedVersion) bool { return v.estimated })
 }
 
-// last is the newest version that fits; 0 for none.
-func (n *namedVersions) lastMatching(fits func(*namedVersion) bool) int64 {
+// lastMatching returns the newest version that matches, or 0 if there is none.
+func (n *namedVersions) lastMatching(matches func(*namedVersion) bool) int64 {
 	for i := range slices.Backward(n.list) {
-		if fits(&n.list[i]) {
+		if matches(&n.list[i]) {
 			return n.list[i].version
 		}
 	}
--- a/internal/gateway/operatorreads_test.go
+++ b/internal/gateway/operatorreads_test.go
@@ -10,22 +10,24 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// operatorRead is a read of what operators write; from is unread for one of all there
-// is.
+// operatorRead is a read of the operator feed; from is unreadOffset for a read of
+// everything.
 type operatorRead struct {
 	from int64
 	wait time.Duration
 }
 
-// operatorStore answers reads one after another and ends the test with the last one.
+// operatorStore returns its answers one after another and stops the reader with the
+// last one.
 type operatorStore struct {
 	*memoryStore
 	answers []OperatorUpdate
 	reads   []operatorRead
-	// size is the bytes of all there is, limits those that reads of it allowed.
+	// totalBytes is the size of a read of everything, limits the limits passed with
+	// such reads.
 	totalBytes int64
 	limits     []int64
-	stop     context.CancelFunc
+	stop       context.CancelFunc
 }
 
 func (s *operatorStore) Newest(ctx context.Context, limit int64) (OperatorUpdate, error) {
@@ -45,20 +47,21 @@
 	return s.answers[n-1], nil
 }
 
-// read makes reads until the store has given all its answers.
-func (s *operatorStore) runReads(t *testing.T, before func(*Gateway)) []operatorRead {
+// runReads follows the operator feed until the store has returned all its answers.
+func (s *operatorStore) runReads(t *testing.T, setUp func(*Gateway)) []operatorRead {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	s.memoryStore, s.stop = &memoryStore{}, cancel
 	g := New(Settings{Instance: "a", Domain: "d1", ConfigBound: 100 * time.Millisecond}, stubDialect{}, s, unresponsiveTargets{})
-	before(g)
+	setUp(g)
 	g.followOperators(ctx)
 	return s.reads
 }
 
-// Guards against readers whose knowledge is as old as the start of a wait that brought
-// news: all others would read the store at once, while it is slow.
+// Guards against a reader whose copy is only known to be current up to the start of a
+// wait that returned records: all other instances would read the store at once while it
+// is slow.
 func TestReaderRereadsAfterRecords(t *testing.T) {
 	is := is.New(t)
 	s := &operatorStore{answers: []OperatorUpdate{
@@ -69,7 +72,7 @@
 }
 
 // Guards against instances that read whole configurations from the store which they
-// have had from their peers for long.
+// received from their peers long ago.
 func TestReadContinuesAtPeerOffset(t *testing.T) {
 	is := is.New(t)
 	s := &operatorStore{answers: []OperatorUpdate{{NextOffset: 9}}}
@@ -77,19 +80,20 @@
 		g.applyOperatorUpdate(g.clock.Now(), OperatorUpdate{Config: configWithRoutes(2, 3), NextOffset: 4})
 		contact := wire.ExchangeResponse{ConfigVersion: 2, StoreContactAgeMillis: 1, OperatorsOffset: 8}
 		g.applyExchangeResponse(g.clock.Now(), wire.Identity{Instance: "b"}, 0, contact)
-		newer := wire.ExchangeResponse{ConfigVersion: 3, StoreContactAgeMillis: 1, OperatorsOffset: 9} // not here yet
+		newer := wire.ExchangeResponse{ConfigVersion: 3, StoreContactAgeMillis: 1, OperatorsOffset: 9} // not received yet
 		g.applyExchangeResponse(g.clock.Now(), wire.Identity{Instance: "b"}, 0, newer)
 	})[0].from, int64(8))
 }
 
-// Guards against fleets that all start together and fill every link with a large
-// configuration from the store, so that none comes from the peer that has it first.
+// Guards against a fleet in which all instances start together and fill every link with
+// a large configuration from the store, so that none arrives from the peer that has it
+// first.
 func TestLargeConfigIsFetchedFromPeersAtStart(t *testing.T) {
 	is := is.New(t)
 	s := &operatorStore{totalBytes: 1 << 30, answers: []OperatorUpdate{{NextOffset: 9}}}
 	reads := s.runReads(t, func(g *Gateway) {
 		g.peers.known["b"] = newPeerState(0, Announced{Announcement: Announcement{Instance: "b", Domain: "d1", Capacity: 1}})
-		time.AfterFunc(50*time.Millisecond, func() { // the peer's configuration and contact come
+		time.AfterFunc(50*time.Millisecond, func() { // the peer's configuration and contact arrive
 			g.applyExchangeResponse(g.clock.Now(), wire.Identity{Instance: "b"}, 0, wire.ExchangeResponse{ConfigVersion: 2, StoreContactAgeMillis: 1, OperatorsOffset: 8})
 			l := g.prepareConfig(configWithRoutes(2, 3))
 			g.mu.Lock()
@@ -99,7 +103,7 @@
 	})
 	is.Equal(len(s.limits), 1)
 	is.True(s.limits[0] > 0)
-	is.Equal(reads[0].from, int64(8)) // all that was left to read
+	is.Equal(reads[0].from, int64(8)) // only the rest is read
 }
 
 func TestFirstInDomainReadsLargeConfig(t *testing.T) {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -12,74 +12,76 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// operatorWaitShare is how long the read of the fleet's reader waits for news,
-// as a part of the time within which a configuration must be in force. The end
-// of the wait without news shows that nothing was written until then, so it
-// also bounds the age of what the fleet knows, and has to leave room below the
-// age at which others read by themselves.
+// operatorWaitFraction is the time that a read by the fleet's reader waits for new
+// records (long polling), as a fraction of the configuration bound. A wait that ends
+// without records shows that nothing was written until then. The wait thus bounds the
+// age of the fleet's copies, and must be shorter than the age at which the other
+// instances read for themselves.
 const operatorWaitFraction = 0.25
 
-// followOperators keeps the configuration and the named versions up to date.
-// The fleet's reader waits for news at the store; the other instances get them
-// from peers and read when they do not.
+// followOperators keeps the configuration and the named versions up to date. The
+// fleet's reader polls the store; the other instances get updates from peers and read
+// the store only if these fail to arrive.
 func (g *Gateway) followOperators(ctx context.Context) {
-	turn := feedturn.New(feedturn.Settings{StalenessBound: g.settings.ConfigBound})
-	brought, limit, notBefore := false, g.initialReadLimit(), time.Duration(0)
+	scheduler := feedturn.New(feedturn.Settings{StalenessBound: g.settings.ConfigBound})
+	gotRecords, readLimit, notBefore := false, g.initialReadLimit(), time.Duration(0)
 	view := func() feedturn.View {
 		v := g.operatorView()
 		v.NotBefore = notBefore
 		return v
 	}
-	for g.awaitRead(ctx, turn, view) {
-		next := g.currentOperatorsOffset()
+	for g.awaitRead(ctx, scheduler, view) {
+		offset := g.currentOperatorsOffset()
 		wait := time.Duration(0)
-		// News may have come at the start of a wait: what is known is as old as that,
-		// and a read that does not wait renews it.
-		if next != unreadOffset && !brought && g.operatorView().Reader && !turn.LastReadFailed() {
+		// Records may arrive at the start of a wait, in which case the local copy is
+		// only known to be current up to that start. The next read therefore doesn't
+		// wait.
+		if offset != unreadOffset && !gotRecords && g.operatorView().Reader && !scheduler.LastReadFailed() {
 			wait = time.Duration(operatorWaitFraction * float64(g.settings.ConfigBound))
 		}
 		sent := g.clock.Now()
-		news, err := g.readOperators(ctx, next, wait, limit)
+		update, err := g.readOperators(ctx, offset, wait, readLimit)
 		switch {
 		case errors.Is(err, ErrTrimmed):
-			g.resetOperatorsOffset(next)
+			g.resetOperatorsOffset(offset)
 			continue
-		case errors.Is(err, ErrTooLarge) && limit > 0:
-			limit = 0
+		case errors.Is(err, ErrTooLarge) && readLimit > 0:
+			readLimit = 0
 			if !g.peers.isFirstInDomain() {
 				notBefore = g.clock.Now() + peerConfigDelay
 			}
 			logline.Info("config_left_to_peers", "for", max(0, notBefore-g.clock.Now()))
 			continue
 		}
-		g.recordRead(ctx, turn, &g.feeds.operatorsUnreachable, "operators", err)
+		g.recordRead(ctx, scheduler, &g.feeds.operatorsUnreachable, "operators", err)
 		if err != nil {
 			continue
 		}
-		brought = news.Config != nil || len(news.Versions) > 0
-		g.applyOperatorUpdate(feedturn.KnownUpTo(sent, g.clock.Now(), wait, brought), news)
+		gotRecords = update.Config != nil || len(update.Versions) > 0
+		g.applyOperatorUpdate(feedturn.KnownUpTo(sent, g.clock.Now(), wait, gotRecords), update)
 	}
 }
 
-// operatorsPlace is where to read on in what operators write; unread before that was
-// read.
+// currentOperatorsOffset returns the offset at which to continue reading the operator
+// feed, or unreadOffset before the first read.
 func (g *Gateway) currentOperatorsOffset() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.operatorsOffset
 }
 
-// dropOperatorsPlace takes in that the store has dropped records behind a place: all is
-// to be read again, unless a peer was further.
-func (g *Gateway) resetOperatorsOffset(place int64) {
+// resetOperatorsOffset makes the next read start from the beginning, after the store
+// has dropped records after the offset. It has no effect if a peer has reported a later
+// offset meanwhile.
+func (g *Gateway) resetOperatorsOffset(offset int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.operatorsOffset == place {
+	if g.operatorsOffset == offset {
 		g.operatorsOffset = unreadOffset
 	}
 }
 
-// operatorView is what the next turn at the operators' feed depends on.
+// operatorView returns the state on which the next read of the operator feed depends.
 func (g *Gateway) operatorView() feedturn.View {
 	age := g.contactAge()
 	v := feedturn.View{Known: age < noContactAge, Reader: g.peers.isFleetReader(), Standby: g.peers.isDomainReader(), FleetSize: g.peers.fleetSize()}
@@ -87,66 +89,66 @@
 	if v.Known {
 		v.KnownUpTo = now - age
 	}
-	// While a newer configuration comes in from a peer, a read would only compete
-	// with it for the link.
+	// While a newer configuration arrives from a peer, a read would compete with it for
+	// the link.
 	if contact, ok := g.configs.arrivingContact(now); ok {
 		v.KnownUpTo = max(v.KnownUpTo, contact)
 	}
 	return v
 }
 
-// startLimit bounds the first read of a process in bytes. When all instances start
-// together, each would else fill its link with a large configuration from the store,
-// and nothing would come from the peer that has it first.
+// initialReadLimit returns the maximum size in bytes of the first read of a process.
+// When all instances start together, each would otherwise fill its link with a large
+// configuration from the store, and none would get it from the peer that has it first.
 func (g *Gateway) initialReadLimit() int64 {
 	return int64(initialReadTime.Seconds() * g.configs.linkBytesPerSecond)
 }
 
 const (
-	// startReadTime is how long the first read may take of a link that has nothing else
-	// to carry.
+	// initialReadTime is the time that the first read may take on an otherwise idle
+	// link.
 	initialReadTime = 100 * time.Millisecond
-	// startPatience is how long an instance that starts leaves a large configuration to
-	// its peers.
+	// peerConfigDelay is the time for which a starting instance waits for its peers to
+	// send a large configuration before it reads the store.
 	peerConfigDelay = time.Second
 )
 
-func (g *Gateway) readOperators(ctx context.Context, next int64, wait time.Duration, limit int64) (OperatorUpdate, error) {
+func (g *Gateway) readOperators(ctx context.Context, offset int64, wait time.Duration, limit int64) (OperatorUpdate, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+storeTimeout)
 	defer cancel()
-	if next == unreadOffset {
+	if offset == unreadOffset {
 		return g.store.Newest(ctx, limit)
 	}
-	return g.store.Since(ctx, next, wait)
+	return g.store.Since(ctx, offset, wait)
 }
 
-// takeNews puts into force what a read has brought, which tells of the feed up
-// to that time.
-func (g *Gateway) applyOperatorUpdate(upTo time.Duration, news OperatorUpdate) {
-	config := g.prepareConfig(news.Config)
+// applyOperatorUpdate applies the result of a read, which includes everything written
+// until knownUpTo.
+func (g *Gateway) applyOperatorUpdate(knownUpTo time.Duration, update OperatorUpdate) {
+	config := g.prepareConfig(update.Config)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	namedBy, silence := now, g.contactAgeLocked()
-	latest := time.Duration(unobservedAfterFraction * float64(g.settings.ConfigBound))
-	atStart := silence > noContactAge
+	namedAt, age := now, g.contactAgeLocked()
+	unobservedAfter := time.Duration(unobservedAfterFraction * float64(g.settings.ConfigBound))
+	atStart := age > noContactAge
 	if atStart {
-		namedBy -= startupVersionAge
+		namedAt -= startupVersionAge
 	} else {
-		// A read that did not follow the one before at once brings what was named
-		// in between, as when the fleet's reader is lost.
-		unread := max(0, silence-(now-upTo))
-		namedBy -= max(min(silence, g.suspension.recent(now)), min(unread, latest))
-	}
-	estimated := silence > latest
-	g.contacts.LogRead(upTo)
-	g.operatorsOffset = max(g.operatorsOffset, news.NextOffset)
+		// A read that doesn't directly follow the previous one, as after the loss of
+		// the fleet's reader, returns versions that were named in between.
+		unreadPeriod := max(0, age-(now-knownUpTo))
+		namedAt -= max(min(age, g.suspension.recent(now)), min(unreadPeriod, unobservedAfter))
+	}
+	estimated := age > unobservedAfter
+	g.contacts.LogRead(knownUpTo)
+	g.operatorsOffset = max(g.operatorsOffset, update.NextOffset)
 	if config != nil {
 		g.activateConfig(config, "store")
 	}
-	for _, v := range news.Versions {
-		// One that peers reported before is not received as it is named.
-		g.recordNamedVersion(v, namedBy, "store", estimated || g.versionsOf(v.Model).contains(v.Version))
+	for _, v := range update.Versions {
+		// A version that peers have reported before doesn't count as observed.
+		g.recordNamedVersion(v, namedAt, "store", estimated || g.versionsOf(v.Model).contains(v.Version))
 	}
 	if atStart {
 		g.updateRollout()
@@ -154,19 +156,21 @@
 }
 
 const (
-	// namedBefore is how long ago a version is taken to have been named that a
-	// process finds at its start, until its peers or the store's record tell.
+	// startupVersionAge is the assumed age of a version that a process finds when it
+	// starts, until its peers or the stored record give a better estimate.
 	startupVersionAge = 3 * time.Second
-	// estimatedShare is the time without news from operators, as a part of the time
-	// within which a configuration must be in force, after which a version is
-	// not received as it was named. By then all instances read by themselves. Only
-	// a suspension of the process makes it older at once: with the store away
-	// nobody names any, and all instances would spare all targets as it returns.
+	// unobservedAfterFraction is the time without contact with the store, as a fraction
+	// of the configuration bound, after which a version no longer counts as observed.
+	// By then all instances read the store themselves. Only a suspension of the process
+	// makes a version older by the whole time: during an outage of the store nobody can
+	// name a version, and if its age included the outage, all instances would exclude
+	// all targets when the store returns.
 	unobservedAfterFraction = 0.5
 )
 
-// loadedConfig is a configuration with all that takes long made beforehand, so that
-// requests wait for a moment only as it comes into force.
+// preparedConfig is a configuration with its derived structures, which take long to
+// build. They are built in advance so that activating the configuration delays requests
+// only briefly.
 type preparedConfig struct {
 	snapshot *configsync.Snapshot
 	table    *routing.Table
@@ -176,8 +180,8 @@
 	return &preparedConfig{snapshot: s, table: routing.NewTable(s.Config)}
 }
 
-// load prepares a configuration from the store; nil where there is none to be put into
-// force.
+// prepareConfig prepares a configuration read from the store. It returns nil if there
+// is none, or none that is newer and usable.
 func (g *Gateway) prepareConfig(c *routing.Config) *preparedConfig {
 	if c == nil || c.Version <= g.configVersion() {
 		return nil
@@ -190,16 +194,16 @@
 	return newPreparedConfig(s)
 }
 
-// putInForce takes a configuration if it is newer. Versions never go back: a
-// record read late, or from a peer that is behind, changes nothing. The caller
-// holds g.mu.
-func (g *Gateway) activateConfig(l *preparedConfig, from string) {
-	now, c := g.clock.Now(), l.table.Config()
+// activateConfig makes a configuration the active one if it is newer. Versions never go
+// back: a record read late, or a configuration from a peer that lags behind, has no
+// effect. The caller holds g.mu.
+func (g *Gateway) activateConfig(prepared *preparedConfig, from string) {
+	now, c := g.clock.Now(), prepared.table.Config()
 	if g.configVersion() >= c.Version {
 		return
 	}
-	g.table.Store(l.table)
-	for _, contact := range g.configs.setCurrent(l.snapshot) {
+	g.table.Store(prepared.table)
+	for _, contact := range g.configs.setCurrent(prepared.snapshot) {
 		g.recordStoreContact(contact)
 	}
 	g.quota.SetLimits(now, accountLimits(c))
@@ -208,21 +212,22 @@
 		"services", len(c.Services), "accounts", len(c.Accounts))
 }
 
-// nameVersion takes a weights version, named by that time as far as from tells;
-// estimated says that from did not receive it as it was named. The caller holds g.mu.
-func (g *Gateway) recordNamedVersion(v routing.WeightsVersion, namedBy time.Duration, from string, estimated bool) {
+// recordNamedVersion records that a weights version was named by namedAt, as reported
+// by from. estimated is set if from did not receive the version when it was named. The
+// caller holds g.mu.
+func (g *Gateway) recordNamedVersion(v routing.WeightsVersion, namedAt time.Duration, from string, estimated bool) {
 	add := g.versionsOf(v.Model).addObserved
 	if estimated {
 		add = g.versionsOf(v.Model).addEstimate
 	}
-	if !add(v.Version, namedBy) {
+	if !add(v.Version, namedAt) {
 		return
 	}
-	logline.Info("weights_named", "model", v.Model, "version", v.Version, "from", from, "age", g.clock.Now()-namedBy, "estimated", estimated)
+	logline.Info("weights_named", "model", v.Model, "version", v.Version, "from", from, "age", g.clock.Now()-namedAt, "estimated", estimated)
 	g.updateRollout()
 }
 
-// versionsOf are the versions of a model. The caller holds g.mu.
+// versionsOf returns the versions of a model. The caller holds g.mu.
 func (g *Gateway) versionsOf(model string) *namedVersions {
 	known := g.versions[model]
 	if known == nil {
@@ -232,11 +237,11 @@
 	return known
 }
 
-// startAge is an age of contact that only a process without any has.
+// noContactAge is a contact age that only a process without any contact reaches.
 const noContactAge = 1 << 61
 
-// jitter spreads a pause, so that instances that fail together do not come
-// back together.
+// jitter returns a random delay with mean d, so that instances that fail together don't
+// retry together.
 func (g *Gateway) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(g.newRand().Int64N(int64(d)))
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,68 +17,67 @@
 )
 
 const (
-	// exchangeEvery is the least pause between two messages to a peer. What
-	// an account spends in it on all instances is its possible debt.
+	// exchangeInterval is the minimum interval between two exchanges with a peer. The
+	// tokens that an account spends on all instances in one interval bound its
+	// overspending.
 	exchangeInterval = 125 * time.Millisecond
-	// exchangeShare lengthens the pause for each peer that an instance calls, so
-	// that its messages take a bounded part of its processor.
+	// exchangeIntervalPerPeer makes the interval longer for each peer that an instance
+	// calls, so that its exchanges use a bounded fraction of its CPU.
 	exchangeIntervalPerPeer = 5 * time.Millisecond
-	// followEvery is the pause between two messages to the hub that an instance
-	// follows.
+	// followInterval is the interval between two exchanges of a follower with its hub.
 	followInterval = 200 * time.Millisecond
-	// exchangeTimeout bounds one exchange; a peer that takes longer is not
-	// called for retryFailed.
+	// exchangeTimeout bounds one exchange. A peer that takes longer isn't called for
+	// failedPeerBackoff.
 	exchangeTimeout = 800 * time.Millisecond
-	// lateAfter is when an instance calls another hub beside one that has not
-	// answered: after the pause of two messages, and a bit.
+	// lateCallThreshold is the time without a response after which an instance calls a
+	// second hub: slightly more than two exchange intervals.
 	lateCallThreshold = 300 * time.Millisecond
-	// retryFailed is how long an instance follows another hub after a failed
-	// call.
+	// failedPeerBackoff is the time after a failed call for which an instance follows
+	// another hub.
 	failedPeerBackoff = 2 * time.Second
-	// minFreshFor is how long a peer's last update stands for its present
-	// state, and freshUpdates that time in the time that an update takes, so
-	// that one lost changes nothing.
+	// minUpdateMaxAge is the minimum time for which a peer's last update counts as
+	// fresh. updateMaxAgeFactor gives that time in multiples of the propagation time,
+	// so that the loss of one update makes no difference.
 	minUpdateMaxAge    = time.Second
 	updateMaxAgeFactor = 4
-	// announceEvery is the pause between announcements of the first of the
-	// instances in the order of duties, while a peer is silent.
+	// fastAnnounceInterval is the interval between announcements of the first-ranked
+	// instance while a peer is silent.
 	fastAnnounceInterval = 2 * time.Second
-	// calmAnnounceEvery is that pause while there are updates of all peers, and
-	// othersAnnounceEvery the pause of the other instances.
+	// firstAnnounceInterval is the interval for the first-ranked instance while all
+	// peers report, otherAnnounceInterval the one for all other instances.
 	firstAnnounceInterval = 15 * time.Second
 	otherAnnounceInterval = time.Minute
-	// goneAfter is when a silent peer that is no longer announced counts as
-	// gone, and its part of the accounts' rates falls to the others. One that
-	// is only cut off from the others is announced all the while, by itself or
-	// by the first of those that it exchanges updates with; one that is cut off
-	// from the store too has stopped serving callers with keys by then, since it
-	// cannot check them.
+	// peerExpiry is the time after which a silent peer that is no longer announced is
+	// removed, so that the others get its share of the accounts' rates. A peer that is
+	// only cut off from this side keeps being announced, by itself or by the
+	// first-ranked instance on its own side. A peer that is cut off from the store as
+	// well can't check keys and has stopped serving callers with keys by then.
 	peerExpiry = 7 * time.Second
 )
 
-// peers is this instance's view of the other instances.
+// peers holds this instance's view of the other instances.
 type peers struct {
 	g    *Gateway
 	node *peer.Node
 
-	// taking is held while updates are taken in, so that those of one origin
-	// come into force in their order. It is locked before all others.
+	// mergeMu is held while updates are merged and applied, so that updates of one
+	// origin are applied in order. It is locked before all other locks.
 	mergeMu sync.Mutex
 
 	mu    sync.Mutex
 	table *replica.Table
 	known map[string]*peerState // by instance
-	// plan is the last plan of calls, and turn counts the plans.
+	// plan is the last plan of calls, round the number of plans made so far.
 	plan  hubs.Plan
 	round int
-	// dropped are the announcements of peers that are gone: they stay in the
-	// store, and would bring each back whenever they are read.
+	// removedRevisions holds the revisions of the announcements of removed peers. These
+	// stay in the store and would add the peer again on every read.
 	removedRevisions map[string]int64
-	// read is set once the announcements were read.
+	// announcementsRead is set once the announcements have been read.
 	announcementsRead bool
-	// announcing is set while a call to the store is under way. announcedAt is
-	// when the last one was answered, never after a failure, and announceAt when
-	// the next one is to be thought of.
+	// announcing is set while an announcement is in flight. announcedAt is the time at
+	// which the last one was answered, or never if it failed. announceAt is the time at
+	// which announceDue considers the next one.
 	announcing  bool
 	announcedAt time.Duration
 	announceAt  time.Duration
@@ -86,33 +85,35 @@
 
 type peerState struct {
 	Announced
-	// updatedAt is when the peer made the last update that has come here.
+	// updatedAt is the time at which the peer made its newest update that has arrived
+	// here.
 	updatedAt time.Duration
-	// via is the instance from which that came.
+	// via is the instance that forwarded that update, or the peer itself.
 	via string
-	// announcedAt is when a new announcement of it was last seen in the store,
-	// by itself or by another instance.
+	// announcedAt is the time at which a new announcement of the peer was last seen in
+	// the store, written by itself or by another instance.
 	announcedAt time.Duration
-	// missedAt is when the first of the instances last reported that it has no
-	// update of this one either.
+	// reportedOverdueAt is the time at which the first-ranked instance last reported
+	// that it has no fresh update of this peer either.
 	reportedOverdueAt time.Duration
-	// state is its last update, config the newest configuration that it has,
-	// fleet the instances that it knows, as it answered last.
+	// state is the peer's last update, configVersion the newest configuration that it
+	// has, and fleetSize the number of instances it knows according to its last
+	// response.
 	state         wire.InstanceState
 	configVersion int64
 	fleetSize     int
-	// calling is set while a call is under way, since calledAt; failedAt is when
-	// the last one failed, never after an answer.
+	// callInFlight is set while a call that started at calledAt is in flight. failedAt
+	// is the time of the last call if it failed, or never after a response.
 	callInFlight bool
 	calledAt     time.Duration
 	failedAt     time.Duration
-	// sent is the version of this instance's table that the peer has, received
-	// the place in the peer's table that this instance has.
+	// ackedVersion is the version of this instance's table that the peer has,
+	// receivedCursor this instance's position in the peer's table.
 	ackedVersion   uint64
 	receivedCursor wire.UpdateCursor
 }
 
-// newState is that of a peer without an update yet.
+// newPeerState returns the state of a peer before its first update.
 func newPeerState(now time.Duration, a Announced) *peerState {
 	return &peerState{Announced: a, updatedAt: never, announcedAt: now, reportedOverdueAt: never, failedAt: never}
 }
@@ -121,7 +122,7 @@
 	return &peers{g: g, table: replica.New(g.self, minUpdateMaxAge), known: map[string]*peerState{}, removedRevisions: map[string]int64{}}
 }
 
-// run finds the peers and exchanges messages with them until ctx ends.
+// run discovers the peers and exchanges state with them until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	if !p.startNode(ctx) {
 		return
@@ -139,17 +140,17 @@
 	}
 }
 
-// start gets the secret and listens for peers. Until that is done this
-// instance serves alone, with its part of a fleet of unknown size.
+// startNode gets the peer secret and listens for peers. Until it succeeds, this
+// instance serves alone with its share in a fleet of unknown size.
 func (p *peers) startNode(ctx context.Context) bool {
 	var secret []byte
 	for secret == nil {
-		call, cancel := context.WithTimeout(ctx, storeTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 		var err error
-		secret, err = p.g.store.PeerSecret(call, []byte(p.g.self.Incarnation))
+		secret, err = p.g.store.PeerSecret(callCtx, []byte(p.g.self.Incarnation))
 		cancel()
 		if err != nil {
-			logline.Error(err, "peer_secret_unread")
+			logline.Error(err, "peer_secret_read_failed")
 			secret = nil
 			if !sleep(ctx, p.g.jitter(time.Second)) {
 				return false
@@ -158,7 +159,7 @@
 	}
 	listener, err := net.Listen("tcp", p.g.self.Address)
 	if err != nil {
-		logline.Error(errors.Wrapf(err, "listen for peers at %s", p.g.self.Address), "peers_off")
+		logline.Error(errors.Wrapf(err, "listen for peers at %s", p.g.self.Address), "peer_listen_failed")
 		return false
 	}
 	node := peer.NewNode(peer.Options{Self: p.g.self, Secret: secret})
@@ -181,7 +182,7 @@
 	}
 }
 
-// fleetSize is the number of instances that may be serving, this one too.
+// fleetSize returns the number of instances that may be serving, including this one.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +196,7 @@
 	return 1 + len(p.known)
 }
 
-// pace is the pause between two plans of calls.
+// callInterval returns the interval between two plans of calls.
 func (p *peers) callInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,9 +213,9 @@
 	return followInterval
 }
 
-// updateTime is the time after which an update of an instance has reached all
-// others: in a mesh one pause, else those of the instance, of a hub, and of the
-// instances that follow one. The caller holds p.mu.
+// propagationTime returns the time within which an update of an instance reaches all
+// others: one call interval in a mesh, otherwise the interval of a hub plus that of its
+// followers. The caller holds p.mu.
 func (p *peers) propagationTime() time.Duration {
 	if p.plan.Mesh {
 		return p.callIntervalLocked()
@@ -222,19 +223,19 @@
 	return exchangeInterval + followInterval
 }
 
-// freshFor is how long a peer's last update stands for its present state. The
+// updateMaxAge returns the time for which a peer's last update counts as fresh. The
 // caller holds p.mu.
 func (p *peers) updateMaxAge() time.Duration {
 	return max(minUpdateMaxAge, updateMaxAgeFactor*p.propagationTime())
 }
 
-// fresh says whether a peer's last update stands for its present state. The
+// isFresh reports whether a peer's last update still describes its present state. The
 // caller holds p.mu.
 func (p *peers) isFresh(now time.Duration, s *peerState) bool {
 	return now-s.updatedAt <= p.updateMaxAge()
 }
 
-// reporting is the number of peers with a fresh update.
+// reportingCount returns the number of peers with a fresh update.
 func (p *peers) reportingCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +252,7 @@
 	return n
 }
 
-// instance is this instance in the order of duties.
+// hubInstance returns this instance's properties for ranking.
 func (p *peers) hubInstance() hubs.Instance {
 	return hubs.Instance{Name: p.g.self.Instance, Domain: p.g.self.Domain, Capacity: p.g.settings.Capacity}
 }
@@ -260,8 +261,8 @@
 	return hubs.Instance{Name: s.Instance, Domain: s.Domain, Capacity: s.Capacity}
 }
 
-// rank is the number of peers with a fresh update that reach the store and come
-// before this instance in the order of duties.
+// rank returns the number of peers with a fresh update that reach the store and rank
+// before this instance.
 func (p *peers) rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -278,11 +279,11 @@
 	return rank
 }
 
-// reads says whether this instance reads the store's feeds for the fleet.
+// isFleetReader reports whether this instance reads the store's feeds for the fleet.
 func (p *peers) isFleetReader() bool { return !p.g.draining.Load() && p.rank() == 0 }
 
-// firstOfDomain says whether this instance comes first in the order of duties among all
-// of its failure domain that are announced, also before they report.
+// isFirstInDomain reports whether this instance ranks first among all announced
+// instances of its failure domain, including those that don't report yet.
 func (p *peers) isFirstInDomain() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -294,8 +295,8 @@
 	return p.announcementsRead
 }
 
-// readsForDomain says whether this instance is the first of its failure domain to
-// read the store's feeds when the fleet's reader does not.
+// isDomainReader reports whether this instance is the first of its failure domain to
+// read the store's feeds if the fleet's reader doesn't.
 func (p *peers) isDomainReader() bool {
 	if p.g.draining.Load() {
 		return false
@@ -312,7 +313,7 @@
 	return feedturn.IsReader(p.hubInstance(), members)
 }
 
-// ordersHeld says that a peer holds the lease for orders.
+// leaseHeldByPeer reports whether a peer holds the order lease.
 func (p *peers) leaseHeldByPeer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// A target loses power in a fleet of sixty. Each instance would lose requests
-// there until it had noticed by itself; two tell, and the others stop sending.
-// A single instance that has lost its own link must not take a target from all.
+// Guards against each instance of a fleet of sixty losing requests at a target without
+// power until it notices by itself: two reports make the others stop sending. A single
+// instance with a broken link must not exclude a target for all.
 func TestSilentTargetsNeedSeveralReports(t *testing.T) {
 	is := is.New(t)
 	is.Equal(confirmedSilent(map[string]int{"t": 1}, 5), []string(nil))
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -13,51 +13,52 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// registrationShare is the pause between reads of the registrations, as a part
-// of the time within which a draining target must get no new work: a read that
-// fails can be made again. A read that waits for news would wake with each
-// heartbeat of each target.
+// registrationReadFraction is the interval between reads of the registrations as a
+// fraction of the drain bound, so that a failed read can be repeated in time. Long
+// polling would return on every heartbeat of every target.
 const registrationReadFraction = 0.25
 
-// registrationFeed is this instance's place in the registrations of targets.
-// Guarded by Gateway.mu.
+// registrationState is this instance's position in the registrations of targets. It is
+// guarded by Gateway.mu.
 type registrationState struct {
-	// next is where to read on; unread before the first read.
+	// nextOffset is the offset at which to continue reading, or unreadOffset before the
+	// first read.
 	nextOffset int64
-	// upTo is when the store held all that is known here.
+	// knownUpTo is the time up to which all registrations are known here.
 	knownUpTo time.Duration
-	// changes are what recent reads have brought, for peers.
+	// changes holds recently read changes, to be sent to peers.
 	changes directory.ChangeLog
 }
 
-// unread is the place in a feed of an instance that has read nothing of it.
+// unreadOffset is the offset of a feed that has not been read yet.
 const unreadOffset = int64(-1)
 
 // followRegistrations keeps the directory of targets up to date.
 func (g *Gateway) followRegistrations(ctx context.Context) {
-	turn := feedturn.New(feedturn.Settings{
+	scheduler := feedturn.New(feedturn.Settings{
 		StalenessBound: g.settings.DrainBound, ReadInterval: time.Duration(registrationReadFraction * float64(g.settings.DrainBound)),
 	})
-	known := false
-	for g.awaitRead(ctx, turn, g.registrationView) {
+	loaded := false
+	for g.awaitRead(ctx, scheduler, g.registrationView) {
 		g.mu.Lock()
 		from := g.registrations.nextOffset
 		g.mu.Unlock()
 		sent := g.clock.Now()
-		events, next, err := g.readRegistrations(ctx, from, known)
+		events, next, err := g.readRegistrations(ctx, from, loaded)
 		if errors.Is(err, ErrTrimmed) {
-			known = false
+			loaded = false
 			continue
 		}
-		g.recordRead(ctx, turn, &g.feeds.registrationsUnreachable, "registrations", err)
+		g.recordRead(ctx, scheduler, &g.feeds.registrationsUnreachable, "registrations", err)
 		if err == nil {
-			g.applyRegistrations(sent, from, next, events, !known)
-			known = true
+			g.applyRegistrations(sent, from, next, events, !loaded)
+			loaded = true
 		}
 	}
 }
 
-// registrationView is what the next turn at the registrations depends on.
+// registrationView returns the state on which the next read of the registrations
+// depends.
 func (g *Gateway) registrationView() feedturn.View {
 	g.mu.Lock()
 	known, upTo := g.registrations.nextOffset != unreadOffset, g.registrations.knownUpTo
@@ -65,36 +66,36 @@
 	return feedturn.View{Known: known, KnownUpTo: upTo, Reader: g.peers.isFleetReader(), Standby: g.peers.isDomainReader(), FleetSize: g.peers.fleetSize()}
 }
 
-func (g *Gateway) readRegistrations(ctx context.Context, next int64, known bool) ([]directory.Event, int64, error) {
+func (g *Gateway) readRegistrations(ctx context.Context, offset int64, loaded bool) ([]directory.Event, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if !known {
+	if !loaded {
 		return g.store.AllRegistrations(ctx)
 	}
-	return g.store.RegistrationsSince(ctx, next)
+	return g.store.RegistrationsSince(ctx, offset)
 }
 
-// register takes in the registrations from one place in the feed to another,
-// as the store held them at that time; whole says that they are all there is.
-// A peer's report may have come meanwhile that holds more: then these are old.
-func (g *Gateway) applyRegistrations(at time.Duration, from, next int64, events []directory.Event, whole bool) {
+// applyRegistrations applies the registrations between two offsets as the store held
+// them at asOf. complete is set if events holds all registrations. If a peer has
+// reported a later offset meanwhile, the events are outdated and have no effect.
+func (g *Gateway) applyRegistrations(asOf time.Duration, from, next int64, events []directory.Event, complete bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f := &g.registrations
-	if next < f.nextOffset {
+	state := &g.registrations
+	if next < state.nextOffset {
 		return
 	}
 	before := g.directory.Revision()
 	var changes []directory.Event
-	if whole {
-		changes = g.directory.ReplaceAll(at, events)
-		f.changes.Reset(next)
+	if complete {
+		changes = g.directory.ReplaceAll(asOf, events)
+		state.changes.Reset(next)
 	} else {
-		changes = g.directory.ApplyEvents(at, events)
-		f.changes.Add(from, next, changes)
+		changes = g.directory.ApplyEvents(asOf, events)
+		state.changes.Add(from, next, changes)
 	}
-	first := f.nextOffset == unreadOffset
-	f.nextOffset, f.knownUpTo = next, max(f.knownUpTo, at)
+	first := state.nextOffset == unreadOffset
+	state.nextOffset, state.knownUpTo = next, max(state.knownUpTo, asOf)
 	if g.directory.Revision() == before && !first {
 		return
 	}
@@ -105,28 +106,28 @@
 	g.updatePools()
 }
 
-// targetNews is what this instance passes on to a peer that would read on at a
-// place in the registrations; nil when the peer has it from others, or when what
-// it lacks was dropped here. The caller holds g.mu.
-func (g *Gateway) registrationChanges(now time.Duration, place int64, passOn bool) *wire.RegistrationChanges {
-	f := &g.registrations
-	if !passOn || place == unreadOffset || f.nextOffset == unreadOffset {
+// registrationChanges returns the changes since an offset, for a peer. It returns nil
+// if the peer gets them from other instances or if changes since the offset were
+// dropped here. The caller holds g.mu.
+func (g *Gateway) registrationChanges(now time.Duration, offset int64, forward bool) *wire.RegistrationChanges {
+	state := &g.registrations
+	if !forward || offset == unreadOffset || state.nextOffset == unreadOffset {
 		return nil
 	}
-	events, ok := f.changes.Since(place)
+	events, ok := state.changes.Since(offset)
 	if !ok {
 		return nil
 	}
-	return &wire.RegistrationChanges{NextOffset: f.nextOffset, AgeMillis: (now - f.knownUpTo).Milliseconds() + 1, Events: events}
+	return &wire.RegistrationChanges{NextOffset: state.nextOffset, AgeMillis: (now - state.knownUpTo).Milliseconds() + 1, Events: events}
 }
 
-// takeTargetNews takes in a peer's report of the registrations, asked for at that
-// time by an instance that stood at that place.
-func (g *Gateway) applyRegistrationChanges(asked time.Duration, place int64, n *wire.RegistrationChanges) {
-	if n == nil {
+// applyRegistrationChanges applies changes reported by a peer in response to a request
+// that was sent at sentAt with the given offset.
+func (g *Gateway) applyRegistrationChanges(sentAt time.Duration, offset int64, changes *wire.RegistrationChanges) {
+	if changes == nil {
 		return
 	}
-	g.applyRegistrations(asked-time.Duration(n.AgeMillis)*time.Millisecond, place, n.NextOffset, n.Events, false)
+	g.applyRegistrations(sentAt-time.Duration(changes.AgeMillis)*time.Millisecond, offset, changes.NextOffset, changes.Events, false)
 }
 
 func logRegistrationEvent(e directory.Event) {
@@ -139,7 +140,8 @@
 		"born", r.StartedMs, "seq", r.Seq, "versions", r.Versions)
 }
 
-// updatePools gives each service's pool its targets. The caller holds g.mu.
+// updatePools passes the current targets on to the pool of each service. The caller
+// holds g.mu.
 func (g *Gateway) updatePools() {
 	t := g.table.Load()
 	if t == nil {
@@ -157,15 +159,15 @@
 	g.updateRollout()
 }
 
-// engineOf is the pool of a call's service.
+// enginePoolOf returns the pool of a call's service.
 func (g *Gateway) enginePoolOf(c *call) *enginePool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.enginePoolFor(c.service.Name)
 }
 
-// goals are the versions that each service's models should have. The caller
-// holds g.mu.
+// forEachModel calls visit for every model of every service with known weights
+// versions. The caller holds g.mu.
 func (g *Gateway) forEachModel(visit func(s *routing.Service, model string, v *namedVersions)) {
 	t := g.table.Load()
 	if t == nil {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -18,13 +18,13 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Callers got answers on weights replaced 25 s before, after all instances had
-// lost power in a rollout. No target served version 3, few 4 and most still 2. The
-// store told the new processes that 4 is the newest, not since when, and nothing
-// of 3, so the bound on old weights began anew with each: the logs show that all
-// took 4 to be 3 s old and excluded no target.
+// Guards against responses on weights replaced 25 s before, after all instances lost
+// power during a rollout. No target served version 3, few served 4 and most still 2.
+// The store gave the new processes version 4 as the newest but neither its naming time
+// nor version 3. Each process assumed that 4 was 3 s old, the bound on old weights
+// started anew, and no target was excluded.
 func TestRestartedFleetExcludesReplacedWeights(t *testing.T) {
-	for name, then := range map[string]func(p *testGateway){
+	for name, afterRestart := range map[string]func(p *testGateway){
 		"nothing more is named":    func(*testGateway) {},
 		"a newer version is named": func(p *testGateway) { p.applyOperatorUpdate(p.clock.Now(), namedVersionUpdate(5)) },
 		"restarted twice": func(p *testGateway) {
@@ -36,38 +36,40 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := &memoryStore{newest: 4, targets: targetsOnVersions(4, 4, 2, 2, 2, 2, 2)}
-			lived := startTestGateway(store, "a")
-			lived.applyExchangeResponse(lived.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
+			survivor := startTestGateway(store, "a")
+			survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 				{Model: "m", Version: 3, AgeMillis: 25000, Observed: true}, {Model: "m", Version: 4, AgeMillis: 6000, Observed: true},
 			}})
-			lived.versionRecordStep(t.Context())
-			is.Equal(lived.excludedVersions(), []int64{2, 2, 2, 2, 2})
+			survivor.versionRecordStep(t.Context())
+			is.Equal(survivor.excludedVersions(), []int64{2, 2, 2, 2, 2})
 
-			restarted := startTestGateway(store, "b") // lived is gone: nobody else tells
+			restarted := startTestGateway(store, "b") // the survivor is gone, so no peer reports
 			restarted.versionRecordStep(t.Context())
-			then(restarted)
+			afterRestart(restarted)
 			is.Equal(restarted.excludedVersions(), []int64{2, 2, 2, 2, 2})
 		})
 	}
 }
 
-// All instances are without power for 6 s. Version 4 was 3 s old when they went
-// and is 9 s old when the next processes start: the bound has gone on.
+// Guards against a bound that stops while all instances are down. They have no power
+// for 6 s; version 4 was 3 s old before that and is 9 s old when the next processes
+// start.
 func TestWeightsBoundContinuesWhileAllInstancesAreDown(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 4, targets: targetsOnVersions(4, 3, 3, 3)}
-	lived := startTestGateway(store, "a")
-	lived.versionRecordStep(t.Context()) // found at its start, taken to be 3 s old
-	is.Equal(lived.excludedVersions(), nil)
+	survivor := startTestGateway(store, "a")
+	survivor.versionRecordStep(t.Context()) // found at start, assumed to be 3 s old
+	is.Equal(survivor.excludedVersions(), nil)
 	restarted := startTestGateway(store, "b")
 	restarted.wallClock = func() time.Time { return time.Now().Add(6 * time.Second) }
 	restarted.versionRecordStep(t.Context())
 	is.Equal(restarted.excludedVersions(), []int64{3, 3, 3})
 }
 
-// The first of the instances is suspended for 8 s, in which version 3 is named,
-// and all others are restarted. It hears of the version as it wakes; counted
-// from there, callers would get replaced weights for 8 s more.
+// Guards against replaced weights being used for 8 s too long. The first-ranked
+// instance is suspended for 8 s, version 3 is named meanwhile, and all others are
+// restarted. The instance learns of the version when it resumes, which must not count
+// as its naming time.
 func TestSuspendedInstanceReadsVersionRecord(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
@@ -80,9 +82,9 @@
 	is.Equal(suspended.excludedVersions(), []int64{2, 2, 2})
 }
 
-// All instances are suspended for 8 s, and version 3 is named as they go to
-// sleep. Nobody has heard it as it was named and nobody has written it down:
-// counted from when they wake, callers would get replaced weights for 8 s more.
+// Guards against replaced weights being used for 8 s too long. All instances are
+// suspended for 8 s, and version 3 is named at the start of that time, so that none
+// observed or recorded it.
 func TestVersionNamedWhileAllInstancesAreSuspended(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}, "a")
@@ -91,9 +93,9 @@
 	is.Equal(p.excludedVersions(), []int64{2, 2, 2})
 }
 
-// All instances sleep through the publication of version 3. One reads it from the
-// store, the other hears of it from the first and then reads it too: by its own
-// reading it knows no better since when.
+// Guards against an estimate that is taken for an observation. All instances are
+// suspended when version 3 is named. One reads it from the store; the other gets it
+// from the first one and then reads it too, which gives no better naming time.
 func TestReadingAReportedVersionIsNotAnObservation(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
@@ -105,24 +107,25 @@
 	is.Equal(other.excludedVersions(), []int64{2, 2, 2})
 }
 
-// Versions are named every 1.35 s while one instance sleeps. Its peers tell it
-// all that still count, not the last few: from when these are due, callers
+// Guards against a resumed instance that gets only the last few versions from its peers
+// rather than all that matter for the bound. Versions were named every 1.35 s; callers
 // would get version 2, 12 s after it was replaced.
 func TestPeersReportAllRelevantVersions(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(10, 2, 2, 2)}
-	lived, woken := startTestGateway(store, "a"), startTestGateway(store, "b")
+	survivor, resumed := startTestGateway(store, "a"), startTestGateway(store, "b")
 	for v := int64(3); v <= 10; v++ {
 		age := 1350 * (10 - v)
-		lived.applyExchangeResponse(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: v, AgeMillis: age, Observed: true}}})
+		survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: v, AgeMillis: age, Observed: true}}})
 	}
-	woken.applyExchangeResponse(woken.clock.Now(), wire.Identity{}, 0, lived.exchangeResponse(lived.clock.Now(), wire.Identity{}, wire.Exchange{}))
-	is.Equal(lived.excludedVersions(), []int64{2, 2, 2})
-	is.Equal(woken.excludedVersions(), []int64{2, 2, 2})
+	resumed.applyExchangeResponse(resumed.clock.Now(), wire.Identity{}, 0, survivor.exchangeResponse(survivor.clock.Now(), wire.Identity{}, wire.Exchange{}))
+	is.Equal(survivor.excludedVersions(), []int64{2, 2, 2})
+	is.Equal(resumed.excludedVersions(), []int64{2, 2, 2})
 }
 
-// One instance is suspended for 8 s; version 3 is named as it wakes. It takes
-// the version to be 8 s old until a peer that heard it tells.
+// Guards against an estimate that outlives an observation. One instance is suspended
+// for 8 s, and version 3 is named when it resumes. It assumes that the version is 8 s
+// old until a peer that observed it reports its age.
 func TestPeerObservationReplacesEstimate(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}, "a")
@@ -132,9 +135,9 @@
 	is.Equal(p.excludedVersions(), nil)
 }
 
-// The store is away for 6 s, and version 3 is named as it returns. Were it taken
-// to be as old as the silence, all instances would spare all targets before the
-// first has loaded it, and callers would be refused.
+// Guards against refused callers after an outage of the store. The store is down for 6
+// s, and version 3 is named when it returns. If the version's age included the outage,
+// all instances would exclude all targets before the first one has loaded it.
 func TestVersionNamedAfterStoreOutageIsNew(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 2, targets: targetsOnVersions(2, 2, 2, 2)}, "a")
@@ -143,39 +146,42 @@
 	is.Equal(p.excludedVersions(), nil)
 }
 
-// The time of day of a restarted machine is an hour ahead, so it takes a version
-// for an hour older. Instances that heard the version as it was named, and
-// whoever they have told, go on by that.
+// Guards against a wrong wall clock that overrides observations. The clock of a
+// restarted machine is an hour ahead, so it estimates a version to be an hour too old.
+// Instances that observed the version, and those that they reported it to, use the
+// observed time.
 func TestObservationOverridesEstimates(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
-	lived := startTestGateway(store, "a")
-	lived.applyOperatorUpdate(lived.clock.Now(), namedVersionUpdate(3))
-	lived.versionRecordStep(t.Context())
+	survivor := startTestGateway(store, "a")
+	survivor.applyOperatorUpdate(survivor.clock.Now(), namedVersionUpdate(3))
+	survivor.versionRecordStep(t.Context())
 	store.newest = 3
-	ahead := startTestGateway(store, "b")
-	ahead.wallClock = func() time.Time { return time.Now().Add(time.Hour) }
-	ahead.versionRecordStep(t.Context())
-	is.Equal(ahead.excludedVersions(), []int64{2, 2, 2})
-	tell := func(from, to *testGateway) {
+	fastClock := startTestGateway(store, "b")
+	fastClock.wallClock = func() time.Time { return time.Now().Add(time.Hour) }
+	fastClock.versionRecordStep(t.Context())
+	is.Equal(fastClock.excludedVersions(), []int64{2, 2, 2})
+	exchange := func(from, to *testGateway) {
 		to.applyExchangeResponse(to.clock.Now(), wire.Identity{}, 0, from.exchangeResponse(from.clock.Now(), wire.Identity{}, wire.Exchange{}))
 	}
-	tell(ahead, lived)
-	is.Equal(lived.excludedVersions(), nil)
-	tell(lived, ahead)
-	is.Equal(ahead.excludedVersions(), nil)
+	exchange(fastClock, survivor)
+	is.Equal(survivor.excludedVersions(), nil)
+	exchange(survivor, fastClock)
+	is.Equal(fastClock.excludedVersions(), nil)
 }
 
-// slept makes a process one that has just been suspended, without a word since.
+// simulateSuspension puts a gateway into the state right after a suspension, before it
+// has received anything.
 func simulateSuspension(p *testGateway, d time.Duration) {
 	now := p.clock.Now()
 	p.contacts = contactAt(now - d)
 	p.suspension.tick(now - d)
 }
 
-// In a rolling upgrade a process of the code before, which says nothing of how
-// it knows an age, found version 4 at its own start. Its word must not replace
-// what the record tells: the restarted instance would use old weights again.
+// Guards against a restarted instance that uses old weights again during a rolling
+// upgrade. A process of an earlier release, whose reports don't say whether an age was
+// observed, found version 4 when it started. Its report must not replace the recorded
+// time.
 func TestReportWithoutObservedFlagIsAnEstimate(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 4, targets: targetsOnVersions(4, 3, 3, 3)}
@@ -186,24 +192,25 @@
 	is.Equal(p.excludedVersions(), []int64{3, 3, 3})
 }
 
-// The first instance had no word for a while and writes version 3 down 6 s late.
-// Another one, first when that is gone, heard it and corrects the record; else
-// the next that start would count the bound from 6 s too late.
+// Guards against a bound that counts from 6 s too late. The first-ranked instance had
+// no contact for a while and records version 3 6 s late. Another instance that observed
+// the version becomes first-ranked and corrects the record for later starts.
 func TestLateVersionRecordIsCorrected(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 3, targets: targetsOnVersions(3, 2, 2, 2)}
 	startTestGateway(store, "a").versionRecordStep(t.Context())
-	lived := startTestGateway(store, "b")
-	lived.applyExchangeResponse(lived.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9000, Observed: true}}})
-	lived.versionRecordStep(t.Context())
+	survivor := startTestGateway(store, "b")
+	survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9000, Observed: true}}})
+	survivor.versionRecordStep(t.Context())
 	restarted := startTestGateway(store, "c")
 	restarted.versionRecordStep(t.Context())
 	is.Equal(restarted.excludedVersions(), []int64{2, 2, 2})
 }
 
-// The time of day of the machine that wrote the record was 3 s ahead, so a
-// restarted process takes version 3 for 2 s younger than it is. It sends for
-// longer to targets on 2, but no request may wait there past the bound.
+// Guards against requests that wait past the bound at outdated targets. The wall clock
+// of the machine that wrote the record was 3 s ahead, so a restarted process estimates
+// version 3 to be 2 s younger than it is. It sends requests to targets on version 2 for
+// longer, but no request may wait there past the bound.
 func TestRequestsDoNotWaitOnEstimatedAge(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 3, targets: targetsOnVersions(2)}
@@ -218,52 +225,53 @@
 	is.True(cut)
 }
 
-// The store is paid for each call. In quiet times nobody asks for the record; in
-// a rollout the first instance reads and writes once, and the others do nothing.
+// Guards against needless store calls, which are charged for. Without a rollout no
+// instance reads the record; in a rollout the first-ranked one reads and writes it
+// once, and the others do nothing.
 func TestVersionRecordCalls(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(2, 2)}
 	first, other := startTestGateway(store, "a"), startTestGateway(store, "b")
 	other.peers.known["a"] = &peerState{updatedAt: other.clock.Now() + time.Hour}
-	for _, p := range []*testGateway{first, other} { // they have run for long
+	for _, p := range []*testGateway{first, other} { // both have been running for a minute
 		p.applyExchangeResponse(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 2, AgeMillis: 60000}}})
 	}
-	look := func() {
+	runSteps := func() {
 		for range 5 {
 			first.versionRecordStep(t.Context())
 			other.versionRecordStep(t.Context())
 		}
 	}
-	look()
+	runSteps()
 	is.Equal(store.versionRecordCalls, 0)
 	first.applyOperatorUpdate(first.clock.Now(), namedVersionUpdate(3))
 	other.applyOperatorUpdate(other.clock.Now(), namedVersionUpdate(3))
-	look()
+	runSteps()
 	is.Equal(store.versionRecordCalls, 2)
 }
 
-// An instance that heard of version 3 as it was named comes to write the record
-// down, and the record has it already, with a time of day that is wrong by an
-// hour. Nothing changes for its callers.
+// Guards against a wrong record that overrides an observation. An instance that
+// observed version 3 is about to record it, but the record already has it, with a time
+// that is wrong by an hour. Nothing changes for its callers.
 func TestOwnObservationOverridesRecord(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
-	lived := startTestGateway(store, "a")
-	lived.applyOperatorUpdate(lived.clock.Now(), namedVersionUpdate(3))
+	survivor := startTestGateway(store, "a")
+	survivor.applyOperatorUpdate(survivor.clock.Now(), namedVersionUpdate(3))
 	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(-time.Hour)}}}
-	lived.versionRecordStep(t.Context())
-	is.Equal(len(store.versionRecord.Versions), 2) // it wrote what was missing
-	is.Equal(lived.excludedVersions(), nil)
+	survivor.versionRecordStep(t.Context())
+	is.Equal(len(store.versionRecord.Versions), 2) // it added the missing version
+	is.Equal(survivor.excludedVersions(), nil)
 }
 
-// probed is a gateway whose loops do not run.
+// testGateway is a gateway whose loops are not running.
 type testGateway struct {
 	*Gateway
 	store   *memoryStore
 	targets []directory.Registration
 }
 
-// startOn is a process that has just read the store.
+// startTestGateway returns a gateway that has just read the store.
 func startTestGateway(store *memoryStore, instance string) *testGateway {
 	g := New(Settings{Instance: instance, Domain: "d1", WeightsBound: 10 * time.Second, ConfigBound: 2 * time.Second, LeaseGap: 3300 * time.Millisecond}, stubDialect{}, store, unresponsiveTargets{})
 	g.applyOperatorUpdate(g.clock.Now(), store.operatorUpdate())
@@ -272,7 +280,8 @@
 	return &testGateway{Gateway: g, store: store, targets: store.targets}
 }
 
-// excluded are the versions of the targets that get no requests, in order.
+// excludedVersions returns the versions of the targets that get no requests, in
+// ascending order.
 func (p *testGateway) excludedVersions() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,14 +314,14 @@
 	return OperatorUpdate{Versions: []routing.WeightsVersion{{Model: "m", Version: version}}}
 }
 
-// memoryStore is a store that holds one model's newest version, targets and
-// the record of named versions.
+// memoryStore holds one model's newest version, the targets, the lease and the record
+// of named versions.
 type memoryStore struct {
-	Store              // what a test does not need is not there
+	Store              // nil: methods that tests do not need
 	newest             int64
 	targets            []directory.Registration
 	versionRecord      weights.VersionRecord
-	versionRecordCalls int // for the record of named versions
+	versionRecordCalls int // calls that read or write versionRecord
 
 	lease      orderlease.Record
 	leaseReads int
@@ -353,19 +362,19 @@
 	return true, nil
 }
 
-// contactsOf are those of an instance with one word from the store.
+// contactAt returns a tracker with one read of the store at the given time.
 func contactAt(at time.Duration) *keys.ContactTracker {
 	c := keys.NewContactTracker("d1")
 	c.LogRead(at)
 	return c
 }
 
-// silentDialect is enough to build a gateway.
+// stubDialect implements just enough to create a gateway.
 type stubDialect struct{ Dialect }
 
 func (stubDialect) ReadyPath() string { return "/ready" }
 
-// deafTargets answer neither questions nor orders.
+// unresponsiveTargets answers no call.
 type unresponsiveTargets struct{}
 
 var errNoAnswer = errors.New("target: no answer")
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// rolloutEvery is the pause between two looks at the rollout.
+	// rolloutInterval is the interval between two steps of the rollout.
 	rolloutInterval = 100 * time.Millisecond
-	// orderTimeout bounds a question or an order to a target.
+	// targetCallTimeout bounds a state query or an order to a target.
 	targetCallTimeout = time.Second
-	// candidateStagger is the delay between instances that would begin a
-	// rollout: the first in order of their names has mostly begun by then.
+	// candidateStagger is the delay per rank before an instance tries to take the
+	// lease: usually the first-ranked instance has taken it by then.
 	candidateStagger = 250 * time.Millisecond
 )
 
-// runRollouts brings the targets to the named versions, while this instance
-// holds the lease.
+// runRollouts brings the targets to the named versions while this instance holds the
+// lease.
 func (g *Gateway) runRollouts(ctx context.Context) {
 	for sleep(ctx, rolloutInterval) {
-		// A holder that drains goes on while it can: the next one would have
-		// to wait for the lease to lapse.
+		// A draining holder continues as long as it can, since its successor would have
+		// to wait until the lease expires.
 		if g.draining.Load() && !g.lease.isLastHolder() {
 			continue
 		}
@@ -36,41 +36,41 @@
 	}
 }
 
-// releaseLease lets another instance go on with orders at once.
+// releaseLease releases the lease so that another instance can send orders at once.
 func (g *Gateway) releaseLease(ctx context.Context) {
-	at, record, ok := g.lease.release()
+	offset, record, ok := g.lease.release()
 	if !ok {
 		return
 	}
-	if _, err := g.leaseStore.write(ctx, true, at, record); err != nil {
-		logline.Error(err, "lease_unreleased")
+	if _, err := g.leaseStore.write(ctx, true, offset, record); err != nil {
+		logline.Error(err, "lease_release_failed")
 	}
 }
 
-// rolloutStep is one look at the rollout.
+// rolloutStep makes one step of the pending rollouts.
 func (g *Gateway) rolloutStep(ctx context.Context) {
-	work := g.pendingRollouts()
-	if len(work) == 0 {
+	pending := g.pendingRollouts()
+	if len(pending) == 0 {
 		g.setOrderedTargets(nil)
 		g.readIdleLease(ctx)
 		return
 	}
 	g.rolloutIdleSince = never
-	g.maintainLease(ctx, work)
+	g.maintainLease(ctx, pending)
 	token, held := g.lease.held(g.clock.Now())
-	for _, w := range work {
+	for _, rollout := range pending {
 		var actions weights.Actions
 		g.mu.Lock()
 		if held {
-			actions = g.planner.Tick(g.clock.Now(), w.goal, w.targets)
+			actions = g.planner.Tick(g.clock.Now(), rollout.goal, rollout.targets)
 		} else {
-			actions = g.planner.TrackLoads(g.clock.Now(), w.goal, w.targets)
+			actions = g.planner.TrackLoads(g.clock.Now(), rollout.goal, rollout.targets)
 		}
 		ordered := g.planner.LoadingTargets()
 		g.mu.Unlock()
 		g.setOrderedTargets(ordered)
 		for _, l := range actions.Completed {
-			logline.Info("weights_loaded", "target", l.Target.ID, "model", w.goal.Model, "version", l.Version, "took", l.Took, "loading", len(ordered))
+			logline.Info("weights_loaded", "target", l.Target.ID, "model", rollout.goal.Model, "version", l.Version, "took", l.Took, "loading", len(ordered))
 		}
 		for _, a := range actions.Queries {
 			go g.queryState(ctx, a.Target)
@@ -82,7 +82,7 @@
 	}
 }
 
-// rollingOut is a goal that some targets do not serve yet.
+// pendingRollout is a goal that some targets don't serve yet.
 type pendingRollout struct {
 	goal    weights.Goal
 	targets []directory.Registration
@@ -92,32 +92,32 @@
 func (g *Gateway) pendingRollouts() []pendingRollout {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var work []pendingRollout
-	g.forEachModel(func(s *routing.Service, model string, all *namedVersions) {
-		v := all.newest()
-		goal := weights.Goal{Service: s.Name, Model: model, Version: v.version, OldestServing: g.oldestServing[s.Name+"/"+model]}
-		goal.Deadlines = g.weightsDeadlines(all)
+	var pending []pendingRollout
+	g.forEachModel(func(s *routing.Service, model string, versions *namedVersions) {
+		newest := versions.newest()
+		goal := weights.Goal{Service: s.Name, Model: model, Version: newest.version, OldestServing: g.oldestServing[s.Name+"/"+model]}
+		goal.Deadlines = g.weightsDeadlines(versions)
 		targets := g.directory.Usable(s.Name)
 		if pool := g.engines[s.Name]; pool != nil {
 			goal.Unreachable = pool.unanswering()
 		}
 		if g.planner.HasPending(goal, targets) {
-			work = append(work, pendingRollout{goal: goal, targets: targets, namedAt: v.namedAt})
+			pending = append(pending, pendingRollout{goal: goal, targets: targets, namedAt: newest.namedAt})
 		}
 	})
-	return work
+	return pending
 }
 
-// keepLease renews or takes the lease where that is due.
-func (g *Gateway) maintainLease(ctx context.Context, work []pendingRollout) {
+// maintainLease takes or renews the lease if that is due.
+func (g *Gateway) maintainLease(ctx context.Context, pending []pendingRollout) {
 	now := g.clock.Now()
-	if _, held := g.lease.held(now); !held && !g.shouldSeekLease(now, work[0].namedAt) {
+	if _, held := g.lease.held(now); !held && !g.shouldSeekLease(now, pending[0].namedAt) {
 		return
 	}
 	if g.lease.readDue(now) {
 		if err := g.readLease(ctx); err != nil {
-			// While the store is away, all instances with a rollout to do
-			// would else ask ten times a second.
+			// During an outage of the store, all instances with a pending rollout would
+			// otherwise read ten times a second.
 			g.lease.handleReadFailure(g.clock.Now(), feedturn.RetryDelay(g.peers.fleetSize(), g.newRand()))
 			logline.Error(err, "lease_unread")
 			return
@@ -142,32 +142,32 @@
 func (g *Gateway) writeLease(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	at, record, due := g.lease.propose(g.clock.Now())
+	offset, record, due := g.lease.propose(g.clock.Now())
 	if !due {
 		return nil
 	}
-	written, err := g.leaseStore.write(ctx, g.lease.wasLastKnownHolder(), at, record)
-	if g.lease.handleWrite(g.clock.Now(), at, record, written, err) {
+	written, err := g.leaseStore.write(ctx, g.lease.wasLastKnownHolder(), offset, record)
+	if g.lease.handleWrite(g.clock.Now(), offset, record, written, err) {
 		logline.Info("lease_taken", "token", record.Token)
 	}
 	return err
 }
 
-// quietLease is how long no rollout is to be done before the lease is read once:
-// by then its holder has stopped renewing it.
+// idleLeaseDelay is the time without a pending rollout after which the lease is read
+// once. By then its holder has stopped renewing it.
 const idleLeaseDelay = 2 * time.Second
 
-// seeQuietLease reads the lease once after a start or a rollout. The wait for the
-// end of another holder's right counts from when its record was first seen. Seen
-// only when there is work again, a holder that was gone long before would hold up
-// the next rollout for 4.8 s. One instance a failure domain does so: three calls a
-// rollout.
+// readIdleLease reads the lease once after a start or a rollout. The wait for another
+// holder's lease to expire counts from when its record was first read. If it were read
+// only when the next rollout is pending, a holder that disappeared long before would
+// delay that rollout by 4.8 s. Only one instance per failure domain does this, which
+// costs three calls per rollout in a fleet of three domains.
 func (g *Gateway) readIdleLease(ctx context.Context) {
 	now := g.clock.Now()
 	if g.rolloutIdleSince == never {
 		g.rolloutIdleSince = now
 	}
-	if seen := g.rolloutIdleSince + idleLeaseDelay; now < seen || !g.lease.rereadDue(now, seen) || !g.peers.isDomainReader() {
+	if dueAt := g.rolloutIdleSince + idleLeaseDelay; now < dueAt || !g.lease.rereadDue(now, dueAt) || !g.peers.isDomainReader() {
 		return
 	}
 	if err := g.readLease(ctx); err != nil {
@@ -176,15 +176,15 @@
 	}
 }
 
-// leaseReadEvery is the pause between reads of another holder's record.
+// leaseReadInterval is the interval between reads of another holder's record.
 const leaseReadInterval = time.Second
 
-// maySeekLease says whether this instance should look for the lease: no peer
-// holds it, and those that come first have had the time to take
-// it. Each look is a call to the store, and in a large fleet the looks of all
-// would cost more than the rollout. A holder publishes its record, so all know
-// since when it has been unchanged once its holder falls silent.
-func (g *Gateway) shouldSeekLease(now, workSince time.Duration) bool {
+// shouldSeekLease reports whether this instance should try to take the lease: no peer
+// holds it, and the instances that rank before this one have had time to take it. Each
+// attempt is a call to the store; in a large fleet the attempts of all instances would
+// cost more than the rollout. A holder publishes its record, so all instances know
+// since when it has been unchanged if the holder disappears.
+func (g *Gateway) shouldSeekLease(now, pendingSince time.Duration) bool {
 	if g.peers.leaseHeldByPeer() {
 		g.leaseHeldByPeerAt = now
 		return false
@@ -192,11 +192,11 @@
 	if g.lease.wasLastKnownHolder() {
 		return true
 	}
-	return now >= max(workSince, g.leaseHeldByPeerAt)+time.Duration(g.peers.rank())*candidateStagger
+	return now >= max(pendingSince, g.leaseHeldByPeerAt)+time.Duration(g.peers.rank())*candidateStagger
 }
 
-// setOrdered notes which targets this instance has ordered. Here that counts at
-// once; peers get it with the next update.
+// setOrderedTargets records the targets that load on this instance's orders. They count
+// here at once; peers learn of them with the next update.
 func (g *Gateway) setOrderedTargets(ordered []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,7 +207,7 @@
 	g.updateRollout()
 }
 
-// with is a set with more members; the set itself stays as it is.
+// union returns a copy of set with more members.
 func union(set map[string]bool, more []string) map[string]bool {
 	out := maps.Clone(set)
 	if out == nil {
@@ -222,16 +222,16 @@
 func (g *Gateway) queryState(ctx context.Context, t directory.Registration) {
 	ctx, cancel := context.WithTimeout(ctx, targetCallTimeout)
 	defer cancel()
-	asked := g.clock.Now()
+	queriedAt := g.clock.Now()
 	o, err := g.control.State(ctx, t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		logline.Error(err, "state_unknown", "target", t.ID)
+		logline.Error(err, "target_state_failed", "target", t.ID)
 		g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), nil)
 		return
 	}
-	o.QueriedAt = asked
+	o.QueriedAt = queriedAt
 	g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), &o)
 	for model, v := range o.Versions {
 		if pool := g.engines[t.Service]; pool != nil && !o.Busy {
@@ -240,13 +240,13 @@
 	}
 }
 
-// giveOrder sends an order if the lease still allows it: the process may have
-// been suspended since it was decided.
+// sendOrder sends an order if the lease is still valid: the process may have been
+// suspended since the order was planned.
 func (g *Gateway) sendOrder(ctx context.Context, s weights.OutgoingOrder) {
-	// An order that is still on its way when the right ends could reach its
-	// target next to one of another holder.
-	left := g.lease.validUntil() - g.clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, min(targetCallTimeout, left))
+	// An order that is still in flight when the lease expires could reach its target at
+	// the same time as an order of the next holder.
+	validFor := g.lease.validUntil() - g.clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, min(targetCallTimeout, validFor))
 	defer cancel()
 	if token, held := g.lease.held(g.clock.Now()); !held || token != s.Order.Token {
 		g.mu.Lock()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,38 +14,39 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// call is one request on its way through.
+// call is the state of one request from its arrival to its final response.
 type call struct {
 	*Request
 	w     http.ResponseWriter
 	r     *http.Request
 	table *routing.Table
 	route *routing.Route
-	// account holds the request's key; nil when the route needs none.
+	// account owns the request's key; nil if the route requires no key.
 	account *routing.Account
 	keyHash string
 	service *routing.Service
 
 	startedAt time.Duration
-	// due is when the final answer has to be out; 0 for never.
+	// deadline is the time by which the final response is due; 0 if there is none.
 	deadline time.Duration
-	// tokens is what the request has taken of its account's rate, asked what
-	// it counts.
+	// chargedTokens is what the request was charged against its account's rate,
+	// requestedTokens its full cost.
 	chargedTokens, requestedTokens float64
-	// sent counts the targets that it was sent to, ran says that one of them
-	// may have run it.
+	// sendCount is the number of times the request was sent to a target. mayHaveRun is
+	// set if one of the targets may have run it.
 	sendCount  int
 	mayHaveRun bool
-	// lastEventAt is when the last event of a stream went out; 0 for none.
+	// lastEventAt is the time at which the last event of a stream was sent to the
+	// caller; 0 if none was.
 	lastEventAt time.Duration
-	// prepaid is set while the next attempt is taken from the retry budget.
+	// retryCharged is set if the next attempt is already charged to the retry budget.
 	retryCharged atomic.Bool
-	// wrote is set once the head of the answer is out.
+	// headWritten is set once the response headers are written.
 	headWritten bool
-	// fingerprint names the request among its repeats.
+	// fingerprint is the same for all repeats of a request.
 	fingerprint uint64
-	// tried is the target of the last attempt, choice why it was chosen and
-	// placedAt when.
+	// lastTarget is the target of the last attempt, choice the reason for choosing it
+	// and placedAt the time of that choice.
 	lastTarget string
 	choice     choice
 	placedAt   time.Duration
@@ -55,9 +56,9 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := &call{w: w, r: r, startedAt: g.clock.Now()}
 	if g.draining.Load() {
-		// The caller moves to another instance after this answer. Its idle
-		// connections stay open meanwhile: a request that crosses the close
-		// of one is lost to its caller.
+		// The caller switches to another instance after this response. Its idle
+		// connections stay open meanwhile, since a request that is sent while its
+		// connection closes is lost.
 		w.Header().Set("Connection", "close")
 	}
 	req, err := g.dialect.Decode(r)
@@ -72,7 +73,7 @@
 	switch {
 	case refusal == nil:
 	case refusal.abort:
-		panic(http.ErrAbortHandler) // net/http's way to cut a connection
+		panic(http.ErrAbortHandler) // makes net/http close the connection
 	default:
 		g.refuse(c, refusal)
 	}
@@ -97,8 +98,8 @@
 	return g.forward(ctx, c)
 }
 
-// admitCurrent takes the request's part of its account's rate, by the configuration that
-// is in force then: while the body came in, there may have been another one.
+// admitWithCurrentConfig charges the request to its account's rate under the active
+// configuration, which may have changed while the body was read.
 func (g *Gateway) admitWithCurrentConfig(c *call) *Refusal {
 	for {
 		refusal, current := g.admit(c)
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// headerBytes is the size of a request's head on the wire.
+// headerBytes returns the size of the request line and headers on the wire.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestHeadOverhead
 	for name, values := range r.Header {
@@ -146,19 +147,19 @@
 }
 
 const (
-	// headFraming is the bytes of the request line and the Host line beside
-	// their values, and of the empty line.
+	// requestHeadOverhead is the size of the request line, the Host line and the final
+	// empty line without their values.
 	requestHeadOverhead = len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	headerLineOverhead  = len(": \r\n")
 )
 
-// notReadyRetry is the hint of an instance that just started: about the time
-// of a few reads of the store.
+// notReadyRetryAfter is the Retry-After of an instance that has just started: about the
+// time of a few reads of the store.
 const notReadyRetryAfter = 300 * time.Millisecond
 
-// authorize checks the request's key against the configuration in force now.
-// It is called when the request comes in and again right before each send: the
-// key may be withdrawn while the request waits.
+// authorize checks the request's key against the request's configuration. It is called
+// on arrival and again right before each attempt, since the key may be withdrawn while
+// the request waits.
 func (g *Gateway) authorize(c *call) *Refusal {
 	if !c.table.RequiresKey(c.route) {
 		return nil
@@ -177,8 +178,9 @@
 	return nil
 }
 
-// unknown refuses a request for what the configuration in force does not have. A
-// newer one may have it.
+// unknownRefusal returns the refusal of a request for something that the active
+// configuration doesn't contain. A newer configuration may contain it; if there may be
+// one, the caller is told to retry.
 func (g *Gateway) unknownRefusal(status int, reason string) *Refusal {
 	if g.configs.isOutdated() || g.contactAge() > g.settings.ConfigBound {
 		return unavailableRefusal("config_pending", configRetryAfter)
@@ -186,40 +188,41 @@
 	return &Refusal{Status: status, Reason: reason, NotRun: true}
 }
 
-// configOverdue says that a newer configuration exists and may have to be in force by
-// now: it was written after this instance's last contact with the store.
+// configOverdue reports whether a newer configuration exists and may have to be active
+// by now. It was written after this instance's last contact with the store.
 func (g *Gateway) configOverdue() bool {
 	return g.configs.isOutdated() && g.contactAge() > time.Duration(configOverdueFraction*float64(g.settings.ConfigBound))
 }
 
 const (
-	// overdueShare is the part of the time within which a configuration must be in
-	// force after which the one before is no longer used: a request takes a while to
-	// reach its target.
+	// configOverdueFraction is the fraction of the configuration bound after which the
+	// previous configuration is no longer used. The rest is for the request's way to
+	// its target.
 	configOverdueFraction = 0.9
-	// configRetry is the hint of an instance that waits for a newer configuration.
+	// configRetryAfter is the Retry-After of an instance that waits for a newer
+	// configuration.
 	configRetryAfter = 200 * time.Millisecond
 )
 
-// keysStaleRetry is the hint of an instance that cannot check keys: its
-// callers' next connections go to another one.
+// keysStaleRetryAfter is the Retry-After of an instance that can't check keys. Its
+// callers' next connections go to another instance.
 const keysStaleRetryAfter = 200 * time.Millisecond
 
-// bound gives the context of the request: it ends when the caller leaves or
-// the time is over.
+// withDeadline returns the context of the request. It ends when the caller disconnects
+// or the deadline passes.
 func (g *Gateway) withDeadline(c *call) (context.Context, context.CancelFunc) {
-	left := c.Patience
-	if t := c.route.Timeout; t > 0 && (left == 0 || t < left) {
-		left = t
+	timeout := c.Patience
+	if t := c.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
+		timeout = t
 	}
-	if left == 0 {
+	if timeout == 0 {
 		return context.WithCancel(c.r.Context())
 	}
-	c.deadline = c.startedAt + left
-	return context.WithTimeout(c.r.Context(), left)
+	c.deadline = c.startedAt + timeout
+	return context.WithTimeout(c.r.Context(), timeout)
 }
 
-// left is the time until the final answer is due.
+// timeLeft returns the time until the deadline, or 0 if there is none.
 func (g *Gateway) timeLeft(c *call) time.Duration {
 	if c.deadline == 0 {
 		return 0
@@ -236,7 +239,7 @@
 		return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: "body_too_large", NotRun: true}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		// An error leaves the server's own read limit in force.
+		// On error, the server's own read timeout stays in effect.
 		_ = http.NewResponseController(c.w).SetReadDeadline(deadline)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
@@ -255,16 +258,16 @@
 	return nil
 }
 
-// defaultMaxBody bounds a body where the configuration does not.
+// defaultMaxBodyBytes bounds the body if the configuration doesn't.
 const defaultMaxBodyBytes = 4 << 20
 
-// admit takes the request's part of its account's rate. Where the configuration in force
-// is no longer that of the request, it does nothing and says so.
+// admit charges the request to its account's rate. If the request's configuration is no
+// longer the active one, it does nothing and returns current as false.
 func (g *Gateway) admit(c *call) (refusal *Refusal, current bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.table.Load() != c.table {
-		return nil, false // it changes under g.mu, together with the limits
+		return nil, false // the table changes under g.mu, together with the limits
 	}
 	if g.crashes.refused(g.clock.Now(), c.fingerprint) {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "crashes_targets", NotRun: true, RetryAfter: crashRetryAfter}, true
@@ -289,15 +292,14 @@
 }
 
 const (
-	// minRateRetry keeps a caller over its rate from coming back at once.
+	// minRateRetryAfter keeps callers over their rate from retrying at once.
 	minRateRetryAfter = 100 * time.Millisecond
-	// barredRetry is the hint to a caller whose request crashes targets: it
-	// will be refused for as long as it is remembered.
+	// crashRetryAfter is the Retry-After for a request that crashes targets. It is
+	// refused for as long as its crashes are remembered.
 	crashRetryAfter = 10 * time.Second
 )
 
-// refund gives back what a request that has not run took of its account's
-// rate.
+// refund returns the charged tokens of a request that has not run to its account.
 func (g *Gateway) refund(c *call) {
 	if c.account == nil || c.chargedTokens == 0 {
 		return
@@ -308,7 +310,7 @@
 	c.chargedTokens = 0
 }
 
-// refuse writes a refusal and its log line.
+// refuse writes a refusal and logs it.
 func (g *Gateway) refuse(c *call, refusal *Refusal) {
 	if refusal.NotRun {
 		g.refund(c)
@@ -321,9 +323,9 @@
 	g.logRefusal(c, refusal)
 }
 
-// logRefusal writes what was decided and what it was decided by: the
-// configuration and its age, the tokens asked for, and how much of the fleet
-// reports, by which the account's rate is shared.
+// logRefusal logs a refusal with the data it is based on: the configuration and its
+// age, the requested tokens, and the number of reporting instances, which determines
+// the share of the account's rate.
 func (g *Gateway) logRefusal(c *call, refusal *Refusal) {
 	version := int64(0)
 	if c.table != nil {
@@ -354,7 +356,7 @@
 	return c.account.Name
 }
 
-// limitsOf gives the accounts' limits of a configuration.
+// accountLimits returns the rate limits of a configuration's accounts.
 func accountLimits(c *routing.Config) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit, len(c.Accounts))
 	for _, a := range c.Accounts {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Settings of a gateway.
+// Settings holds the settings of a gateway.
 type Settings struct {
 	Instance string
 	Domain   string
 
-	// Capacity is the work of hubs that the instance can do beside its own; those
-	// with more take the fleet's duties first.
+	// Capacity is the instance's spare capacity for the work of a hub. Instances with
+	// more capacity rank first.
 	Capacity int
 	// LinkMbps is the rate of the instance's link in Mbit/s.
 	LinkMbps float64
@@ -18,30 +18,32 @@
 	PeerListen    string
 	MetricsListen string
 
-	// KeyCutoff is the time without contact with the store after which requests
-	// with keys are refused: a key may have been withdrawn meanwhile.
+	// KeyCutoff is the time without contact with the store after which requests with
+	// keys are refused: a key may have been withdrawn meanwhile.
 	KeyCutoff time.Duration
-	// KeyReadyAge is the time without contact after which the instance asks the
-	// balancer for no more callers.
+	// KeyReadyAge is the time without contact with the store after which the instance
+	// reports itself as not ready to the balancer.
 	KeyReadyAge time.Duration
-	// RetryRatio is the repeated sends for each request of a service, and
-	// RetryReserve the most that are saved up, over the whole fleet.
+	// RetryRatio is the number of retries allowed per request of a service,
+	// RetryReserve the maximum number of retries saved up over the whole fleet.
 	RetryRatio   float64
 	RetryReserve float64
-	// WeightsBound is the time after which no request may begin on older
-	// weights than the newest named.
+	// WeightsBound is the time after the naming of a version within which the last
+	// request on older weights may begin.
 	WeightsBound time.Duration
-	// ConfigBound is the time after which a configuration must be in force.
+	// ConfigBound is the time within which a new configuration must be active on all
+	// instances.
 	ConfigBound time.Duration
-	// DrainBound is the time after which a target that said that it drains
-	// must get no new work.
+	// DrainBound is the time within which a target that announces that it drains must
+	// stop getting new requests.
 	DrainBound time.Duration
-	// LeaseGap is the least time between orders of two instances to a target.
+	// LeaseGap is the minimum time between orders of two instances to the same target.
 	LeaseGap time.Duration
 	// PrefillTokensPerSecond is the prefill rate of a model server.
 	PrefillTokensPerSecond float64
-	// BalancerLag is how long callers are still sent here after the instance
-	// said that it is not ready; DrainTimeout bounds what runs after that.
+	// BalancerLag is the time for which callers are still sent to the instance after it
+	// reports that it isn't ready. DrainTimeout bounds the requests that run after
+	// that.
 	BalancerLag  time.Duration
 	DrainTimeout time.Duration
 }
--- a/internal/gateway/sharedlease.go
+++ b/internal/gateway/sharedlease.go
@@ -7,14 +7,15 @@
 	"github.com/mastictray/mastictray/internal/orderlease"
 )
 
-// sharedLease guards the lease: orders look at it right before they are sent.
+// sharedLease guards the order lease for concurrent use: orders check it right before
+// they are sent.
 type sharedLease struct {
 	mu     sync.Mutex
 	lease  *orderlease.Lease
 	readAt time.Duration
-	// notBefore is the end of the pause after a read that failed.
+	// notBefore is the end of the delay after a failed read.
 	notBefore time.Duration
-	// taken is set while the present holding has been logged.
+	// takenLogged is set once taking the lease has been logged.
 	takenLogged bool
 }
 
@@ -24,7 +25,7 @@
 	return s.lease.Held(now)
 }
 
-// heldRecord is the record while this instance may send orders by it.
+// heldRecord returns the record and whether this instance may send orders under it.
 func (s *sharedLease) heldRecord(now time.Duration) (orderlease.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,8 +51,8 @@
 	return s.lease.WasLastKnownHolder()
 }
 
-// readDue says that the record has to be read: it is not known, or another
-// holder's may have been renewed or be about to lapse.
+// readDue reports whether the record has to be read: it is unknown, or another holder
+// may have renewed it or be about to lose it.
 func (s *sharedLease) readDue(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,15 +66,15 @@
 	return !held && now-s.readAt > leaseReadInterval
 }
 
-// readBefore says that the record was last read before a time, and may be read
-// now.
-func (s *sharedLease) rereadDue(now, at time.Duration) bool {
+// rereadDue reports whether the record was last read earlier than before and may be
+// read now.
+func (s *sharedLease) rereadDue(now, before time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now >= s.notBefore && s.readAt < at && !s.lease.IsLastHolder()
+	return now >= s.notBefore && s.readAt < before && !s.lease.IsLastHolder()
 }
 
-// unread takes in a read that failed: the next one waits for the pause.
+// handleReadFailure delays the next read by pause.
 func (s *sharedLease) handleReadFailure(now, pause time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,15 +88,15 @@
 	s.lease.HandleRead(now, r)
 }
 
-// propose gives the record to write now and notes that it is on its way.
+// propose returns the record to write now and marks it as sent.
 func (s *sharedLease) propose(now time.Duration) (int64, orderlease.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, r, ok := s.lease.Propose(now)
+	offset, r, ok := s.lease.Propose(now)
 	if ok {
 		s.lease.MarkSent(now)
 	}
-	return at, r, ok
+	return offset, r, ok
 }
 
 func (s *sharedLease) release() (int64, orderlease.Record, bool) {
@@ -104,17 +105,18 @@
 	return s.lease.Release()
 }
 
-// wrote takes in what became of a proposed record; true when the lease is new.
-func (s *sharedLease) handleWrite(now time.Duration, at int64, r orderlease.Record, written bool, err error) bool {
+// handleWrite records the result of writing a proposed record. It returns true if the
+// lease was newly taken.
+func (s *sharedLease) handleWrite(now time.Duration, offset int64, r orderlease.Record, written bool, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || !written {
-		s.lease.HandleWriteFailure(at, err == nil)
+		s.lease.HandleWriteFailure(offset, err == nil)
 		s.takenLogged = false
 		return false
 	}
-	s.lease.HandleWritten(now, at, r)
-	taken := !s.takenLogged
+	s.lease.HandleWritten(now, offset, r)
+	newlyTaken := !s.takenLogged
 	s.takenLogged = true
-	return taken
+	return newlyTaken
 }
--- a/internal/gateway/sharedlease_test.go
+++ b/internal/gateway/sharedlease_test.go
@@ -9,10 +9,10 @@
 	"github.com/mastictray/mastictray/internal/orderlease"
 )
 
-// The store is away during a rollout, and each instance looks at the rollout
-// ten times a second. A read of the lease that failed is not made again before
-// its pause is over: sixty instances would else send the returning store six
-// hundred calls a second, which all are counted.
+// Guards against a flood of lease reads during an outage of the store in a rollout.
+// Each instance steps its rollout ten times a second; without a delay after a failed
+// read, sixty instances would send six hundred calls a second to the recovering store,
+// all of which count towards its rate limit.
 func TestFailedLeaseReadIsDelayed(t *testing.T) {
 	is := is.New(t)
 	s := &sharedLease{lease: orderlease.New("a", orderlease.DefaultSettings())}
@@ -22,10 +22,9 @@
 	is.True(s.readDue(400 * time.Millisecond))
 }
 
-// The holder of the last rollout is gone for good, in quiet times. A version is
-// named, and its rollout must not wait for the end of a right that ended long
-// ago: callers would have old weights for 4.8 s more. The instance has seen the
-// record in time, by one call.
+// Guards against a rollout that waits for the expiry of a lease whose holder
+// disappeared long ago: callers would get old weights for 4.8 s more. An instance
+// without a pending rollout reads the record in advance, in one call.
 func TestIdleInstanceReadsLeaseOfGoneHolder(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(2, 2), lease: orderlease.Record{Holder: "gone", Instance: "z", NextOffset: 7}}
@@ -38,6 +37,6 @@
 	}
 	is.Equal(store.leaseReads, 1)
 	later := p.clock.Now() + p.settings.LeaseGap + orderlease.DefaultSettings().TTL + time.Millisecond
-	_, _, may := p.lease.propose(later)
-	is.True(may)
+	_, _, due := p.lease.propose(later)
+	is.True(due)
 }
--- a/internal/gateway/slowlink_test.go
+++ b/internal/gateway/slowlink_test.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// slowLinkBytes is the bytes that a slow link carries in a second.
+	// slowLinkBytesPerSecond is the rate of a slow link.
 	slowLinkBytesPerSecond = 500_000
 	slowLinkChunkBytes     = 5_000
-	// configPatience bounds the wait for a configuration that is sure to come.
+	// configWaitTimeout bounds the wait for a configuration that is certain to arrive.
 	configWaitTimeout = 10 * time.Second
-	// peerHost is a loopback address that outgoing connections do not use: one of these
-	// could else take a port between its choice and the start of what listens there.
+	// peerHost is a loopback address that outgoing connections don't use. One of these
+	// could otherwise take the port between its selection and the start of the
+	// listener.
 	peerHost = "127.77.0.1"
 )
 
-// slowLink listens for connections and passes them on to an address, at the rate
-// of a slow link in the direction of the caller.
-func startSlowLink(t *testing.T, to string) string {
+// startSlowLink starts a proxy to an address that sends to the caller at the rate of a
+// slow link.
+func startSlowLink(t *testing.T, address string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +39,7 @@
 			if err != nil {
 				return
 			}
-			callee, err := net.Dial("tcp", to)
+			callee, err := net.Dial("tcp", address)
 			if err != nil {
 				caller.Close()
 				continue
@@ -50,7 +51,7 @@
 	return l.Addr().String()
 }
 
-// passOn copies bytes with a pause after each part, until one side ends.
+// copyWithPauses copies bytes with a pause after each chunk until one side closes.
 func copyWithPauses(to, from net.Conn, pause time.Duration) {
 	defer to.Close()
 	defer from.Close()
@@ -67,7 +68,7 @@
 	}
 }
 
-// announcedStore is a store in which instances find each other, and nothing else.
+// announcementStore is a store that only supports announcements.
 type announcementStore struct {
 	*memoryStore
 	announced []Announced
@@ -83,7 +84,7 @@
 	return s.announced, nil
 }
 
-// withRoutes is a configuration of that many routes.
+// configWithRoutes returns a configuration with n routes.
 func configWithRoutes(version int64, n int) *routing.Config {
 	c := &routing.Config{Version: version}
 	for i := range n {
@@ -96,7 +97,7 @@
 	return c
 }
 
-// startPeers runs the exchanges of a gateway that finds these peers.
+// startPeers starts the exchanges of a gateway that finds the given peers.
 func startPeers(t *testing.T, name string, c *routing.Config, announced ...Announced) *Gateway {
 	t.Helper()
 	l, err := net.Listen("tcp", peerHost+":0")
@@ -124,8 +125,8 @@
 	return g
 }
 
-// Guards against an instance that keeps an old configuration because the newer
-// one takes longer on its link than one exchange may take.
+// Guards against an instance that keeps an old configuration because the transfer of
+// the newer one takes longer on its link than the timeout of one exchange.
 func TestLargeConfigCrossesSlowLink(t *testing.T) {
 	is := is.New(t)
 	source := startPeers(t, "source", configWithRoutes(2, 3000))
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -11,36 +11,36 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// Status is the state of an instance as operators see it.
+// Status is the state of an instance as shown to operators.
 type Status struct {
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
 	Domain      string `json:"domain"`
 	// Role is "mesh", "hub" or "follower".
 	Role string `json:"role"`
-	// Config is the version of the configuration in force; 0 for none.
+	// Config is the version of the active configuration; 0 if there is none.
 	Config int64 `json:"config_version"`
-	// HoldsOrders says that the instance holds the lease for orders.
+	// HoldsOrders is set if the instance holds the order lease.
 	HoldsOrders bool `json:"holds_orders"`
-	// Followers are the instances whose updates come here from themselves.
+	// Followers are the instances whose updates arrive directly rather than through
+	// another instance.
 	Followers []string       `json:"followers"`
 	Domains   []DomainStatus `json:"domains"`
 }
 
-// DomainStatus is what an instance knows of the other instances of one failure
-// domain.
+// DomainStatus is what an instance knows of the other instances of one failure domain.
 type DomainStatus struct {
 	Domain    string `json:"domain"`
 	Known     int    `json:"known"`
 	Reporting int    `json:"reporting"`
-	// OldestUpdateMS is the age of the oldest of the last updates of those that
-	// report, in milliseconds.
+	// OldestUpdateMS is the maximum age of the last updates of the reporting instances,
+	// in milliseconds.
 	OldestUpdateMS int64 `json:"oldest_update_ms"`
-	// Via are the instances from which updates of this domain come.
+	// Via are the instances that forward the updates of this domain.
 	Via []string `json:"via"`
 }
 
-// status gives the state of this instance.
+// status returns the state of this instance.
 func (g *Gateway) status() Status {
 	now := g.clock.Now()
 	_, holds := g.lease.held(now)
@@ -52,7 +52,7 @@
 	return s
 }
 
-// describe adds what is known of the other instances.
+// addToStatus adds the state of the other instances.
 func (p *peers) addToStatus(now time.Duration, out *Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,15 +91,15 @@
 	slices.SortFunc(out.Domains, func(a, b DomainStatus) int { return cmp.Compare(a.Domain, b.Domain) })
 }
 
-// serveState answers the state as JSON.
+// serveState serves the state as JSON.
 func (g *Gateway) serveState(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(g.status()); err != nil {
-		logline.Error(err, "state_unsent")
+		logline.Error(err, "state_write_failed")
 	}
 }
 
-// serveMetrics answers the metrics, with those of the fleet as they are now.
+// serveMetrics serves the metrics, with the current values of the fleet's gauges.
 func (g *Gateway) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	s := g.status()
 	for _, d := range s.Domains {
--- a/internal/gateway/versionrecord.go
+++ b/internal/gateway/versionrecord.go
@@ -9,106 +9,108 @@
 	"github.com/mastictray/mastictray/internal/weights"
 )
 
-// versionRecordEvery is the pause between two looks at whether the record of named
-// versions has to be read or written. A kill of all instances within it, right
-// after a version was named, leaves the version without a record.
+// versionRecordInterval is the interval between two checks of whether the record of
+// named versions has to be read or written. If all instances are killed within one
+// interval after a version is named, the version is not recorded.
 const versionRecordInterval = 100 * time.Millisecond
 
-// keptVersions is the versions of each model in the record: more than are named
-// within the bound on old weights, so that one is older than it.
+// maxRecordedVersions is the maximum number of versions of each model in the record.
+// More than that are never named within the bound on old weights, so at least one
+// version is older than the bound.
 const maxRecordedVersions = 32
 
-// rereadVersions is the pause before a record that lacks a version is read
-// again: its writer may not have got to it.
+// versionRecordRereadDelay is the delay before a record that lacks a version is read
+// again: its writer may not have written the version yet.
 const versionRecordRereadDelay = time.Second
 
-// rewriteVersions is the pause after a write that failed. One instance writes, so
-// it need not be as long as where all come back together.
+// versionRecordRetryDelay is the delay after a failed write. Only one instance writes,
+// so the delay can be shorter than where all instances retry.
 const versionRecordRetryDelay = 300 * time.Millisecond
 
-// timeOfDayMargin is added to ages by the record: times of day jump by seconds.
-// With the part of the bound that estimateShare leaves, and no
-// waits in it for versions whose age is an estimate, 3 s may be wrong.
+// wallClockMargin is added to ages computed from the record, since wall clocks jump by
+// seconds. Versions of estimated age also have an earlier cutoff, after which requests
+// neither start nor wait at outdated targets. Together, these tolerate an error of 3 s.
 const wallClockMargin = time.Second
 
-// versionRecord is the record of named versions as this process knows it.
-// Only the loop that keeps it uses it.
+// versionRecord is this process's copy of the record of named versions. Only the loop
+// that maintains the record uses it.
 type versionRecord struct {
 	weights.VersionRecord
-	// current is set while no write is known to have come after.
+	// upToDate is set while no later write is known.
 	upToDate bool
-	// notBefore ends the pause after a failed call, or before the next read.
+	// notBefore is the end of the delay after a failed call or before the next read.
 	notBefore time.Duration
 }
 
-// keepVersionRecord writes down when versions are named, and reads it where this
-// process did not receive them as they were. Nothing else survives the end of all
-// instances: a bound that began anew with each process let requests begin on
-// weights replaced 25 s before.
+// maintainVersionRecord records when versions are named, and reads the record if this
+// process didn't receive a version when it was named. No other copy survives a restart
+// of all instances: when each process counted the bound from its own start, requests
+// began on weights replaced 25 s before.
 func (g *Gateway) maintainVersionRecord(ctx context.Context) {
 	for sleep(ctx, versionRecordInterval) {
 		g.versionRecordStep(ctx)
 	}
 }
 
-// versionRecordStep is one look at the record. While all targets serve what was named
-// last, no age matters and the store is not asked.
+// versionRecordStep reads or writes the record if needed. While all targets serve the
+// newest named version, ages don't matter and the store isn't called.
 func (g *Gateway) versionRecordStep(ctx context.Context) {
 	now := g.clock.Now()
 	if now < g.versionRecord.notBefore || len(g.pendingRollouts()) == 0 {
 		return
 	}
-	missing, doubtful := g.unrecordedVersions()
-	writes := len(missing) > 0 && g.peers.rank() == 0
-	if !writes && !doubtful {
+	missing, needsRead := g.unrecordedVersions()
+	mustWrite := len(missing) > 0 && g.peers.rank() == 0
+	if !mustWrite && !needsRead {
 		return
 	}
-	if !g.versionRecord.upToDate || !writes {
+	if !g.versionRecord.upToDate || !mustWrite {
 		if err := g.readVersionRecord(ctx); err != nil {
 			g.versionRecordFailed(err, "version_record_unread", feedturn.RetryDelay(g.peers.fleetSize(), g.newRand()))
 			return
 		}
-		missing, doubtful = g.unrecordedVersions()
+		missing, needsRead = g.unrecordedVersions()
 	}
 	switch {
-	case writes && len(missing) > 0:
+	case mustWrite && len(missing) > 0:
 		if err := g.writeVersionRecord(ctx, missing); err != nil {
 			g.versionRecordFailed(err, "version_record_unwritten", versionRecordRetryDelay)
 		}
-	case doubtful:
+	case needsRead:
 		g.versionRecord.notBefore = g.clock.Now() + versionRecordRereadDelay
 	}
 }
 
-// unrecorded are the known versions that the record lacks, or has no more than
-// an estimate of; doubtful says that the record could tell this process more: it
-// did not receive a version as it was named, which is not due anyhow.
-func (g *Gateway) unrecordedVersions() (missing []weights.NamedVersion, doubtful bool) {
+// unrecordedVersions returns the known versions that the record lacks or has only an
+// estimate of. needsRead is set if the record could improve what this process knows:
+// for one of these versions it has only an estimate, by which the version is not due
+// yet.
+func (g *Gateway) unrecordedVersions() (missing []weights.NamedVersion, needsRead bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, wall := g.clock.Now(), g.wallClock()
+	now, wallNow := g.clock.Now(), g.wallClock()
 	due := now - g.settings.WeightsBound
 	for model, versions := range g.versions {
 		for _, v := range versions.newestDueAndLater(due) {
-			named := weights.NamedVersion{Model: model, Version: v.version, NamedAt: wall.Add(v.namedAt - now), Estimated: v.estimated}
+			named := weights.NamedVersion{Model: model, Version: v.version, NamedAt: wallNow.Add(v.namedAt - now), Estimated: v.estimated}
 			if !g.versionRecord.Covers(named) {
 				missing = append(missing, named)
-				doubtful = doubtful || v.estimated && v.namedAt > due
+				needsRead = needsRead || v.estimated && v.namedAt > due
 			}
 		}
 	}
-	return missing, doubtful
+	return missing, needsRead
 }
 
 func (g *Gateway) readVersionRecord(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	n, err := g.store.ReadVersionRecord(ctx)
+	record, err := g.store.ReadVersionRecord(ctx)
 	if err != nil {
 		return err
 	}
-	g.versionRecord.VersionRecord, g.versionRecord.upToDate = n, true
-	g.applyVersionRecord(n.Versions)
+	g.versionRecord.VersionRecord, g.versionRecord.upToDate = record, true
+	g.applyVersionRecord(record.Versions)
 	return nil
 }
 
@@ -134,14 +136,14 @@
 	logline.Error(err, event)
 }
 
-// takeVersionRecord puts into force what the record tells of versions that nobody has
-// reported from an instance that received them as they were named.
+// applyVersionRecord applies the recorded times to versions that no instance has
+// reported as observed.
 func (g *Gateway) applyVersionRecord(list []weights.NamedVersion) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, wall := g.clock.Now(), g.wallClock()
+	now, wallNow := g.clock.Now(), g.wallClock()
 	for _, v := range list {
-		known, age := g.versionsOf(v.Model), max(0, wall.Sub(v.NamedAt))+wallClockMargin
+		known, age := g.versionsOf(v.Model), max(0, wallNow.Sub(v.NamedAt))+wallClockMargin
 		if known.improvesEstimate(v.Version, now-age) {
 			known.addEstimate(v.Version, now-age)
 			logline.Info("weights_dated", "model", v.Model, "version", v.Version, "age", age)
