--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -36,14 +36,14 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			store := &memoryStore{newest: 4, targets: targetsOnVersions(4, 4, 2, 2, 2, 2, 2)}
-			survivor := startTestGateway(store, "a")
-			survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
+			original := startTestGateway(store, "a")
+			original.applyExchangeResponse(original.clock.Now(), wire.Identity{Instance: "x"}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 				{Model: "m", Version: 3, AgeMillis: 25000, Observed: true}, {Model: "m", Version: 4, AgeMillis: 6000, Observed: true},
 			}})
-			survivor.versionRecordStep(t.Context())
-			is.Equal(survivor.excludedVersions(), []int64{2, 2, 2, 2, 2})
+			original.versionRecordStep(t.Context())
+			is.Equal(original.excludedVersions(), []int64{2, 2, 2, 2, 2})
 
-			restarted := startTestGateway(store, "b") // the survivor is gone, so no peer reports
+			restarted := startTestGateway(store, "b") // the original is gone, so no peer reports
 			restarted.versionRecordStep(t.Context())
 			afterRestart(restarted)
 			is.Equal(restarted.excludedVersions(), []int64{2, 2, 2, 2, 2})
@@ -57,9 +57,9 @@
 func TestWeightsBoundContinuesWhileAllInstancesAreDown(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 4, targets: targetsOnVersions(4, 3, 3, 3)}
-	survivor := startTestGateway(store, "a")
-	survivor.versionRecordStep(t.Context()) // found at start, assumed to be 3 s old
-	is.Equal(survivor.excludedVersions(), nil)
+	original := startTestGateway(store, "a")
+	original.versionRecordStep(t.Context()) // found at start, assumed to be 3 s old
+	is.Equal(original.excludedVersions(), nil)
 	restarted := startTestGateway(store, "b")
 	restarted.wallClock = func() time.Time { return time.Now().Add(6 * time.Second) }
 	restarted.versionRecordStep(t.Context())
@@ -113,13 +113,13 @@
 func TestPeersReportAllRelevantVersions(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(10, 2, 2, 2)}
-	survivor, resumed := startTestGateway(store, "a"), startTestGateway(store, "b")
+	observer, resumed := startTestGateway(store, "a"), startTestGateway(store, "b")
 	for v := int64(3); v <= 10; v++ {
 		age := 1350 * (10 - v)
-		survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: v, AgeMillis: age, Observed: true}}})
+		observer.applyExchangeResponse(observer.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: v, AgeMillis: age, Observed: true}}})
 	}
-	resumed.applyExchangeResponse(resumed.clock.Now(), wire.Identity{}, 0, survivor.exchangeResponse(survivor.clock.Now(), wire.Identity{}, wire.Exchange{}))
-	is.Equal(survivor.excludedVersions(), []int64{2, 2, 2})
+	resumed.applyExchangeResponse(resumed.clock.Now(), wire.Identity{}, 0, observer.exchangeResponse(observer.clock.Now(), wire.Identity{}, wire.Exchange{}))
+	is.Equal(observer.excludedVersions(), []int64{2, 2, 2})
 	is.Equal(resumed.excludedVersions(), []int64{2, 2, 2})
 }
 
@@ -135,8 +135,8 @@
 	is.Equal(p.excludedVersions(), nil)
 }
 
-// Guards against refused callers after an outage of the store. The store is down for 6
-// s, and version 3 is named when it returns. If the version's age included the outage,
+// Guards against refused callers after an outage of the store. The store is down for
+// 6 s, and version 3 is named when it returns. If the version's age included the outage,
 // all instances would exclude all targets before the first one has loaded it.
 func TestVersionNamedAfterStoreOutageIsNew(t *testing.T) {
 	is := is.New(t)
@@ -153,9 +153,9 @@
 func TestObservationOverridesEstimates(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
-	survivor := startTestGateway(store, "a")
-	survivor.applyOperatorUpdate(survivor.clock.Now(), namedVersionUpdate(3))
-	survivor.versionRecordStep(t.Context())
+	observer := startTestGateway(store, "a")
+	observer.applyOperatorUpdate(observer.clock.Now(), namedVersionUpdate(3))
+	observer.versionRecordStep(t.Context())
 	store.newest = 3
 	fastClock := startTestGateway(store, "b")
 	fastClock.wallClock = func() time.Time { return time.Now().Add(time.Hour) }
@@ -164,9 +164,9 @@
 	exchange := func(from, to *testGateway) {
 		to.applyExchangeResponse(to.clock.Now(), wire.Identity{}, 0, from.exchangeResponse(from.clock.Now(), wire.Identity{}, wire.Exchange{}))
 	}
-	exchange(fastClock, survivor)
-	is.Equal(survivor.excludedVersions(), nil)
-	exchange(survivor, fastClock)
+	exchange(fastClock, observer)
+	is.Equal(observer.excludedVersions(), nil)
+	exchange(observer, fastClock)
 	is.Equal(fastClock.excludedVersions(), nil)
 }
 
@@ -193,15 +193,16 @@
 }
 
 // Guards against a bound that counts from 6 s too late. The first-ranked instance had
-// no contact for a while and records version 3 6 s late. Another instance that observed
-// the version becomes first-ranked and corrects the record for later starts.
+// no contact for a while and records version 3 with a delay of 6 s. Another instance,
+// which observed the version, becomes first-ranked and corrects the record for later
+// starts.
 func TestLateVersionRecordIsCorrected(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 3, targets: targetsOnVersions(3, 2, 2, 2)}
 	startTestGateway(store, "a").versionRecordStep(t.Context())
-	survivor := startTestGateway(store, "b")
-	survivor.applyExchangeResponse(survivor.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9000, Observed: true}}})
-	survivor.versionRecordStep(t.Context())
+	observer := startTestGateway(store, "b")
+	observer.applyExchangeResponse(observer.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9000, Observed: true}}})
+	observer.versionRecordStep(t.Context())
 	restarted := startTestGateway(store, "c")
 	restarted.versionRecordStep(t.Context())
 	is.Equal(restarted.excludedVersions(), []int64{2, 2, 2})
@@ -256,12 +257,12 @@
 func TestOwnObservationOverridesRecord(t *testing.T) {
 	is := is.New(t)
 	store := &memoryStore{newest: 2, targets: targetsOnVersions(3, 2, 2, 2)}
-	survivor := startTestGateway(store, "a")
-	survivor.applyOperatorUpdate(survivor.clock.Now(), namedVersionUpdate(3))
+	observer := startTestGateway(store, "a")
+	observer.applyOperatorUpdate(observer.clock.Now(), namedVersionUpdate(3))
 	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(-time.Hour)}}}
-	survivor.versionRecordStep(t.Context())
+	observer.versionRecordStep(t.Context())
 	is.Equal(len(store.versionRecord.Versions), 2) // it added the missing version
-	is.Equal(survivor.excludedVersions(), nil)
+	is.Equal(observer.excludedVersions(), nil)
 }
 
 // testGateway is a gateway whose loops are not running.
