--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -16,111 +16,112 @@
 	return g.peers
 }
 
-func announced(name string, revision int64, alive ...string) Announced {
+func announcementOf(name string, revision int64, alive ...string) Announced {
 	return Announced{Announcement: Announcement{Instance: name, Incarnation: "1", Domain: "d1", Alive: alive}, Revision: revision}
 }
 
-// Four instances start at once. The first to write reads the announcements
-// before there are others, and its record is the first one of the topic. The
-// others have to find it all the same, or it serves alone with the whole rate
-// of each account.
-func TestFirstRecordOfTheTopicIsFound(t *testing.T) {
+// Guards against an instance that serves alone with the whole rate of each account
+// because its peers ignore its announcement. Four instances start at once; the first to
+// write reads the announcements before the others have written theirs, and its record
+// is the first one of the topic, at offset 0.
+func TestAnnouncementAtOffsetZeroIsFound(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.True(p.known["a"] != nil)
-	alone := newTestPeers("a")
-	alone.take(0, []Announced{announced("a", 0)})
-	is.Equal(alone.announcePause(0), announceEvery)
+	first := newTestPeers("a")
+	first.applyAnnouncements(0, []Announced{announcementOf("a", 0)})
+	is.Equal(first.announceDelay(0), fastAnnounceInterval)
 }
 
-// A machine is gone for good. Its record stays in the store; read again, it
-// must not bring the instance back to life, and with it a part of the rates.
-func TestRecordOfAGonePeerDoesNotBringItBack(t *testing.T) {
+// Guards against a peer that is gone for good but returns with each read of its old
+// announcement, and with it its share of the rates.
+func TestOldAnnouncementDoesNotRestoreExpiredPeer(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
-	p.expire(goneAfter + time.Second)
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
+	p.expirePeers(peerExpiry + time.Second)
 	is.Equal(len(p.known), 0)
-	p.take(goneAfter+2*time.Second, []Announced{announced("a", 0), announced("b", 1)})
+	p.applyAnnouncements(peerExpiry+2*time.Second, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
 	is.Equal(len(p.known), 0)
-	p.take(goneAfter+3*time.Second, []Announced{announced("b", 5)}) // it was only away
+	p.applyAnnouncements(peerExpiry+3*time.Second, []Announced{announcementOf("b", 5)}) // it has announced itself again
 	is.Equal(len(p.known), 1)
 }
 
-// An instance is suspended for 8 s. The silence of its peers is its own: it must
-// not take them for gone as it wakes. Alone in its count it would spend the whole
-// rate of each account beside all others, for as long as they are not announced
-// again.
-func TestWokenInstanceKeepsItsPeers(t *testing.T) {
+// Guards against an instance that is suspended for 8 s and removes its peers when it
+// resumes, because it has received nothing from them. Until they are announced again it
+// would count itself as alone and spend the whole rate of each account in addition to
+// all others.
+func TestSuspendedInstanceKeepsItsPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("a", 0), announced("b", 1), announced("c", 2)})
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1), announcementOf("c", 2)})
 	p.g.suspension.tick(100 * time.Millisecond)
-	p.look(100 * time.Millisecond)
-	p.look(8 * time.Second)
+	p.expireUnlessSuspended(100 * time.Millisecond)
+	p.expireUnlessSuspended(8 * time.Second)
 	is.Equal(len(p.known), 2)
 	p.known["b"].updatedAt = 8500 * time.Millisecond
-	for now := 8 * time.Second; now < 11*time.Second; now += exchangeEvery {
+	for now := 8 * time.Second; now < 11*time.Second; now += exchangeInterval {
 		p.g.suspension.tick(now)
-		p.look(now)
+		p.expireUnlessSuspended(now)
 	}
-	is.Equal(len(p.known), 1) // c is gone indeed
+	is.Equal(len(p.known), 1) // c is really gone
 }
 
-// Two halves of the fleet cannot talk, and both reach the store. The first
-// instance of the other half announces whom it hears. This one keeps them in
-// its count, or each half would spend the whole rate of each account; and it
-// announces its own half in turn.
-func TestOtherHalfIsKnownByItsFirst(t *testing.T) {
+// Guards against two halves of a partitioned fleet that each spend the whole rate of
+// each account. Both reach the store. The first-ranked instance of the other half
+// announces which peers it hears; this instance keeps them in its count and announces
+// its own half in turn.
+func TestPartitionedPeersAreKeptByAnnouncements(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
-	p.take(0, []Announced{announced("b", 1), announced("c", 2), announced("d", 3)})
+	p.applyAnnouncements(0, []Announced{announcementOf("b", 1), announcementOf("c", 2), announcementOf("d", 3)})
 	now := 5 * time.Second
 	p.known["b"].updatedAt = now
-	is.True(p.announcesOthers(now))
-	is.Equal(p.overdue(now), map[string]int64{"c": 5000, "d": 5000})
-	p.take(now, []Announced{announced("b", 1), announced("c", 9, "d"), announced("d", 3)})
-	now += goneAfter - time.Second
+	is.True(p.mustAnnounceOthers(now))
+	is.Equal(p.overduePeers(now), map[string]int64{"c": 5000, "d": 5000})
+	p.applyAnnouncements(now, []Announced{announcementOf("b", 1), announcementOf("c", 9, "d"), announcementOf("d", 3)})
+	now += peerExpiry - time.Second
 	p.known["b"].updatedAt = now
-	p.expire(now)
+	p.expirePeers(now)
 	is.Equal(len(p.known), 3)
-	is.Equal(p.overdue(now)["d"], (goneAfter - time.Second).Milliseconds())
+	is.Equal(p.overduePeers(now)["d"], (peerExpiry - time.Second).Milliseconds())
 }
 
-// The second instance hears the first one, which looks into the store for the
-// silent third: it makes no calls itself, and keeps what it is told. Once the
-// first one hears the third, the second has to tell of itself.
-func TestOthersLeaveTheStoreToTheFirst(t *testing.T) {
+// Guards against store calls by instances that needn't search for silent peers. The
+// second-ranked instance hears the first-ranked one, which searches the store for the
+// silent third; it makes no calls and applies the reports. Once the first-ranked
+// instance hears the third again, the second has to announce itself.
+func TestOnlyFirstRankedSearchesForSilentPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
-	p.take(0, []Announced{announced("a", 1), announced("c", 2)})
-	now := goneAfter
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 1), announcementOf("c", 2)})
+	now := peerExpiry
 	p.known["a"].updatedAt = now
-	p.takeOverdue(now, map[string]int64{"c": 100})
-	is.True(!p.announcesOthers(now))
-	is.Equal(p.announcePause(now), othersAnnounceEvery)
-	p.expire(now + time.Second)
+	p.applyOverdueReport(now, map[string]int64{"c": 100})
+	is.True(!p.mustAnnounceOthers(now))
+	is.Equal(p.announceDelay(now), otherAnnounceInterval)
+	p.expirePeers(now + time.Second)
 	is.Equal(len(p.known), 2)
-	now += goneAfter/2 + time.Second
-	p.known["a"].updatedAt = now // and no report of the third any more
-	is.True(p.announcesOthers(now))
+	now += peerExpiry/2 + time.Second
+	p.known["a"].updatedAt = now // without a report of c
+	is.True(p.mustAnnounceOthers(now))
 }
 
-// Guards against two calls more to the store by each of hundreds of instances that
-// start together: while the first announcement is answered, no peer has reported.
-func TestInstanceAnnouncesOnceAtItsStart(t *testing.T) {
+// Guards against two additional store calls by each of hundreds of instances that start
+// together: when the first announcement is answered, no peer has reported yet.
+func TestInstanceAnnouncesOnceAtStart(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
 	is.True(p.announceDue(0))
-	p.take(0, []Announced{announced("a", 0), announced("b", 1)})
-	p.announceAt = p.announcePause(0)
-	is.Equal(p.announceAt, announceEvery) // as long as it is alone
-	now := announceEvery
+	p.applyAnnouncements(0, []Announced{announcementOf("a", 0), announcementOf("b", 1)})
+	p.announceAt = p.announceDelay(0)
+	is.Equal(p.announceAt, fastAnnounceInterval) // while no peer reports
+	now := fastAnnounceInterval
 	p.known["a"].updatedAt = now
 	is.True(!p.announceDue(now))
-	is.Equal(p.announceAt, othersAnnounceEvery)
+	is.Equal(p.announceAt, otherAnnounceInterval)
 	p.known["a"].updatedAt = never
-	is.True(!p.announceDue(now + announceEvery)) // it may report yet
-	is.True(p.announceDue(now + 2*announceEvery))
+	is.True(!p.announceDue(now + fastAnnounceInterval)) // it may still report
+	is.True(p.announceDue(now + 2*fastAnnounceInterval))
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -17,68 +17,67 @@
 )
 
 const (
-	// exchangeEvery is the least pause between two messages to a peer. What
-	// an account spends in it on all instances is its possible debt.
-	exchangeEvery = 125 * time.Millisecond
-	// exchangeShare lengthens the pause for each peer that an instance calls, so
-	// that its messages take a bounded part of its processor.
-	exchangeShare = 5 * time.Millisecond
-	// followEvery is the pause between two messages to the hub that an instance
-	// follows.
-	followEvery = 200 * time.Millisecond
-	// exchangeTimeout bounds one exchange; a peer that takes longer is not
-	// called for retryFailed.
+	// exchangeInterval is the minimum interval between two exchanges with a peer. The
+	// tokens that an account spends on all instances in one interval bound its
+	// overspending.
+	exchangeInterval = 125 * time.Millisecond
+	// exchangeIntervalPerPeer makes the interval longer for each peer that an instance
+	// calls, so that its exchanges use a bounded fraction of its CPU.
+	exchangeIntervalPerPeer = 5 * time.Millisecond
+	// followInterval is the interval between two exchanges of a follower with its hub.
+	followInterval = 200 * time.Millisecond
+	// exchangeTimeout bounds one exchange. A peer that takes longer isn't called for
+	// failedPeerBackoff.
 	exchangeTimeout = 800 * time.Millisecond
-	// lateAfter is when an instance calls another hub beside one that has not
-	// answered: after the pause of two messages, and a bit.
-	lateAfter = 300 * time.Millisecond
-	// retryFailed is how long an instance follows another hub after a failed
-	// call.
-	retryFailed = 2 * time.Second
-	// minFreshFor is how long a peer's last update stands for its present
-	// state, and freshUpdates that time in the time that an update takes, so
-	// that one lost changes nothing.
-	minFreshFor  = time.Second
-	freshUpdates = 4
-	// announceEvery is the pause between announcements of the first of the
-	// instances in the order of duties, while a peer is silent.
-	announceEvery = 2 * time.Second
-	// calmAnnounceEvery is that pause while there are updates of all peers, and
-	// othersAnnounceEvery the pause of the other instances.
-	calmAnnounceEvery   = 15 * time.Second
-	othersAnnounceEvery = time.Minute
-	// goneAfter is when a silent peer that is no longer announced counts as
-	// gone, and its part of the accounts' rates falls to the others. One that
-	// is only cut off from the others is announced all the while, by itself or
-	// by the first of those that it exchanges updates with; one that is cut off
-	// from the store too has stopped serving callers with keys by then, since it
-	// cannot check them.
-	goneAfter = 7 * time.Second
+	// lateCallThreshold is the time without a response after which an instance calls a
+	// second hub: slightly more than two exchange intervals.
+	lateCallThreshold = 300 * time.Millisecond
+	// failedPeerBackoff is the time after a failed call for which an instance follows
+	// another hub.
+	failedPeerBackoff = 2 * time.Second
+	// minUpdateMaxAge is the minimum time for which a peer's last update counts as
+	// fresh. updateMaxAgeFactor gives that time in multiples of the propagation time,
+	// so that the loss of one update makes no difference.
+	minUpdateMaxAge    = time.Second
+	updateMaxAgeFactor = 4
+	// fastAnnounceInterval is the interval between announcements of the first-ranked
+	// instance while a peer is silent.
+	fastAnnounceInterval = 2 * time.Second
+	// firstAnnounceInterval is the interval for the first-ranked instance while all
+	// peers report, otherAnnounceInterval the one for all other instances.
+	firstAnnounceInterval = 15 * time.Second
+	otherAnnounceInterval = time.Minute
+	// peerExpiry is the time after which a silent peer that is no longer announced is
+	// removed, so that the others get its share of the accounts' rates. A peer that is
+	// only cut off from this side keeps being announced, by itself or by the
+	// first-ranked instance on its own side. A peer that is cut off from the store as
+	// well can't check keys and has stopped serving callers with keys by then.
+	peerExpiry = 7 * time.Second
 )
 
-// peers is this instance's view of the other instances.
+// peers holds this instance's view of the other instances.
 type peers struct {
 	g    *Gateway
 	node *peer.Node
 
-	// taking is held while updates are taken in, so that those of one origin
-	// come into force in their order. It is locked before all others.
-	taking sync.Mutex
+	// mergeMu is held while updates are merged and applied, so that updates of one
+	// origin are applied in order. It is locked before all other locks.
+	mergeMu sync.Mutex
 
 	mu    sync.Mutex
 	table *replica.Table
 	known map[string]*peerState // by instance
-	// plan is the last plan of calls, and turn counts the plans.
-	plan hubs.Plan
-	turn int
-	// dropped are the announcements of peers that are gone: they stay in the
-	// store, and would bring each back whenever they are read.
-	dropped map[string]int64
-	// read is set once the announcements were read.
-	read bool
-	// announcing is set while a call to the store is under way. announcedAt is
-	// when the last one was answered, never after a failure, and announceAt when
-	// the next one is to be thought of.
+	// plan is the last plan of calls, round the number of plans made so far.
+	plan  hubs.Plan
+	round int
+	// removedRevisions holds the revisions of the announcements of removed peers. These
+	// stay in the store and would add the peer again on every read.
+	removedRevisions map[string]int64
+	// announcementsRead is set once the announcements have been read.
+	announcementsRead bool
+	// announcing is set while an announcement is in flight. announcedAt is the time at
+	// which the last one was answered, or never if it failed. announceAt is the time at
+	// which announceDue considers the next one.
 	announcing  bool
 	announcedAt time.Duration
 	announceAt  time.Duration
@@ -86,70 +85,72 @@
 
 type peerState struct {
 	Announced
-	// updatedAt is when the peer made the last update that has come here.
+	// updatedAt is the time at which the peer made its newest update that has arrived
+	// here.
 	updatedAt time.Duration
-	// via is the instance from which that came.
+	// via is the instance that forwarded that update, or the peer itself.
 	via string
-	// announcedAt is when a new announcement of it was last seen in the store,
-	// by itself or by another instance.
+	// announcedAt is the time at which a new announcement of the peer was last seen in
+	// the store, written by itself or by another instance.
 	announcedAt time.Duration
-	// missedAt is when the first of the instances last reported that it has no
-	// update of this one either.
-	missedAt time.Duration
-	// state is its last update, config the newest configuration that it has,
-	// fleet the instances that it knows, as it answered last.
-	state  wire.InstanceState
-	config int64
-	fleet  int
-	// calling is set while a call is under way, since calledAt; failedAt is when
-	// the last one failed, never after an answer.
-	calling  bool
-	calledAt time.Duration
-	failedAt time.Duration
-	// sent is the version of this instance's table that the peer has, received
-	// the place in the peer's table that this instance has.
-	sent     uint64
-	received wire.UpdateCursor
+	// reportedOverdueAt is the time at which the first-ranked instance last reported
+	// that it has no fresh update of this peer either.
+	reportedOverdueAt time.Duration
+	// state is the peer's last update, configVersion the newest configuration that it
+	// has, and fleetSize the number of instances it knows according to its last
+	// response.
+	state         wire.InstanceState
+	configVersion int64
+	fleetSize     int
+	// callInFlight is set while a call that started at calledAt is in flight. failedAt
+	// is the time of the last call if it failed, or never after a response.
+	callInFlight bool
+	calledAt     time.Duration
+	failedAt     time.Duration
+	// ackedVersion is the version of this instance's table that the peer has,
+	// receivedCursor this instance's position in the peer's table.
+	ackedVersion   uint64
+	receivedCursor wire.UpdateCursor
 }
 
-// newState is that of a peer without an update yet.
-func newState(now time.Duration, a Announced) *peerState {
-	return &peerState{Announced: a, updatedAt: never, announcedAt: now, missedAt: never, failedAt: never}
+// newPeerState returns the state of a peer before its first update.
+func newPeerState(now time.Duration, a Announced) *peerState {
+	return &peerState{Announced: a, updatedAt: never, announcedAt: now, reportedOverdueAt: never, failedAt: never}
 }
 
 func newPeers(g *Gateway) *peers {
-	return &peers{g: g, table: replica.New(g.self, minFreshFor), known: map[string]*peerState{}, dropped: map[string]int64{}}
+	return &peers{g: g, table: replica.New(g.self, minUpdateMaxAge), known: map[string]*peerState{}, removedRevisions: map[string]int64{}}
 }
 
-// run finds the peers and exchanges messages with them until ctx ends.
+// run discovers the peers and exchanges state with them until ctx ends.
 func (p *peers) run(ctx context.Context) {
-	if !p.start(ctx) {
+	if !p.startNode(ctx) {
 		return
 	}
 	var transfers sync.WaitGroup
 	defer transfers.Wait()
 	transfers.Go(func() { p.g.configs.run(ctx) })
 	for {
-		p.announceWhenDue(ctx)
-		p.exchangeAll(ctx)
-		p.apply()
-		if !sleep(ctx, p.pace()) {
+		p.announceIfDue(ctx)
+		p.publishAndExchange(ctx)
+		p.applyToGateway()
+		if !sleep(ctx, p.callInterval()) {
 			return
 		}
 	}
 }
 
-// start gets the secret and listens for peers. Until that is done this
-// instance serves alone, with its part of a fleet of unknown size.
-func (p *peers) start(ctx context.Context) bool {
+// startNode gets the peer secret and listens for peers. Until it succeeds, this
+// instance serves alone with its share in a fleet of unknown size.
+func (p *peers) startNode(ctx context.Context) bool {
 	var secret []byte
 	for secret == nil {
-		call, cancel := context.WithTimeout(ctx, storeTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 		var err error
-		secret, err = p.g.store.PeerSecret(call, []byte(p.g.self.Incarnation))
+		secret, err = p.g.store.PeerSecret(callCtx, []byte(p.g.self.Incarnation))
 		cancel()
 		if err != nil {
-			logline.Error(err, "peer_secret_unread")
+			logline.Error(err, "peer_secret_read_failed")
 			secret = nil
 			if !sleep(ctx, p.g.jitter(time.Second)) {
 				return false
@@ -158,13 +159,13 @@
 	}
 	listener, err := net.Listen("tcp", p.g.self.Address)
 	if err != nil {
-		logline.Error(errors.Wrapf(err, "listen for peers at %s", p.g.self.Address), "peers_off")
+		logline.Error(errors.Wrapf(err, "listen for peers at %s", p.g.self.Address), "peer_listen_failed")
 		return false
 	}
 	node := peer.NewNode(peer.Options{Self: p.g.self, Secret: secret})
-	node.Handle(wire.KindExchange, p.serve)
-	node.Handle(wire.KindOrderLease, p.serveLease)
-	node.Handle(wire.KindConfigPart, p.g.configs.serve)
+	node.Handle(wire.KindExchange, p.handleExchange)
+	node.Handle(wire.KindOrderLease, p.handleLeaseRequest)
+	node.Handle(wire.KindConfigPart, p.g.configs.handlePartRequest)
 	node.Serve(listener)
 	p.mu.Lock()
 	p.node = node
@@ -181,85 +182,87 @@
 	}
 }
 
-// fleetSize is the number of instances that may be serving, this one too.
+// fleetSize returns the number of instances that may be serving, including this one.
 func (p *peers) fleetSize() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sizeLocked()
+	return p.fleetSizeLocked()
 }
 
-func (p *peers) sizeLocked() int {
-	if !p.read {
-		return max(unknownFleet, 1+len(p.known))
+func (p *peers) fleetSizeLocked() int {
+	if !p.announcementsRead {
+		return max(unknownFleetSize, 1+len(p.known))
 	}
 	return 1 + len(p.known)
 }
 
-// pace is the pause between two plans of calls.
-func (p *peers) pace() time.Duration {
+// callInterval returns the interval between two plans of calls.
+func (p *peers) callInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.paceLocked()
+	return p.callIntervalLocked()
 }
 
-func (p *peers) paceLocked() time.Duration {
+func (p *peers) callIntervalLocked() time.Duration {
 	if p.plan.Mesh {
-		return max(exchangeEvery, exchangeShare*time.Duration(len(p.known)))
+		return max(exchangeInterval, exchangeIntervalPerPeer*time.Duration(len(p.known)))
 	}
 	if p.plan.Hub {
-		return max(exchangeEvery, exchangeShare*time.Duration(len(p.plan.Calls)))
+		return max(exchangeInterval, exchangeIntervalPerPeer*time.Duration(len(p.plan.Calls)))
 	}
-	return followEvery
+	return followInterval
 }
 
-// updateTime is the time after which an update of an instance has reached all
-// others: in a mesh one pause, else those of the instance, of a hub, and of the
-// instances that follow one. The caller holds p.mu.
-func (p *peers) updateTime() time.Duration {
+// propagationTime returns the time within which an update of an instance reaches all
+// others: one call interval in a mesh, otherwise the interval of a hub plus that of its
+// followers. The caller holds p.mu.
+func (p *peers) propagationTime() time.Duration {
 	if p.plan.Mesh {
-		return p.paceLocked()
+		return p.callIntervalLocked()
 	}
-	return exchangeEvery + followEvery
+	return exchangeInterval + followInterval
 }
 
-// freshFor is how long a peer's last update stands for its present state. The
+// updateMaxAge returns the time for which a peer's last update counts as fresh. The
 // caller holds p.mu.
-func (p *peers) freshFor() time.Duration {
-	return max(minFreshFor, freshUpdates*p.updateTime())
+func (p *peers) updateMaxAge() time.Duration {
+	return max(minUpdateMaxAge, updateMaxAgeFactor*p.propagationTime())
 }
 
-// fresh says whether a peer's last update stands for its present state. The
+// isFresh reports whether a peer's last update still describes its present state. The
 // caller holds p.mu.
-func (p *peers) fresh(now time.Duration, s *peerState) bool { return now-s.updatedAt <= p.freshFor() }
+func (p *peers) isFresh(now time.Duration, s *peerState) bool {
+	return now-s.updatedAt <= p.updateMaxAge()
+}
 
-// reporting is the number of peers with a fresh update.
-func (p *peers) reporting() int {
+// reportingCount returns the number of peers with a fresh update.
+func (p *peers) reportingCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reportingLocked(p.g.clock.Now())
+	return p.reportingCountLocked(p.g.clock.Now())
 }
 
-func (p *peers) reportingLocked(now time.Duration) int {
+func (p *peers) reportingCountLocked(now time.Duration) int {
 	n := 0
 	for _, s := range p.known {
-		if p.fresh(now, s) {
+		if p.isFresh(now, s) {
 			n++
 		}
 	}
 	return n
 }
 
-// instance is this instance in the order of duties.
-func (p *peers) instance() hubs.Instance {
+// hubInstance returns this instance's properties for ranking.
+func (p *peers) hubInstance() hubs.Instance {
 	return hubs.Instance{Name: p.g.self.Instance, Domain: p.g.self.Domain, Capacity: p.g.settings.Capacity}
 }
 
-func (s *peerState) instance() hubs.Instance {
+func (s *peerState) hubInstance() hubs.Instance {
 	return hubs.Instance{Name: s.Instance, Domain: s.Domain, Capacity: s.Capacity}
 }
 
-// rank is the number of peers with a fresh update that reach the store and come
-// before this instance in the order of duties.
+// rank returns the number of peers with a fresh update that reach the store and rank
+// before this instance.
 func (p *peers) rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,35 +270,35 @@
 }
 
 func (p *peers) rankLocked(now time.Duration) int {
-	rank, self := 0, p.instance()
+	rank, self := 0, p.hubInstance()
 	for _, s := range p.known {
-		if hubs.Compare(s.instance(), self) < 0 && !s.state.Leaving && !s.state.StoreUnreachable && p.fresh(now, s) {
+		if hubs.Compare(s.hubInstance(), self) < 0 && !s.state.Leaving && !s.state.StoreUnreachable && p.isFresh(now, s) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// reads says whether this instance reads the store's feeds for the fleet.
-func (p *peers) reads() bool { return !p.g.closing.Load() && p.rank() == 0 }
+// isFleetReader reports whether this instance reads the store's feeds for the fleet.
+func (p *peers) isFleetReader() bool { return !p.g.draining.Load() && p.rank() == 0 }
 
-// firstOfDomain says whether this instance comes first in the order of duties among all
-// of its failure domain that are announced, also before they report.
-func (p *peers) firstOfDomain() bool {
+// isFirstInDomain reports whether this instance ranks first among all announced
+// instances of its failure domain, including those that don't report yet.
+func (p *peers) isFirstInDomain() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.known {
-		if s.Domain == p.g.self.Domain && !s.state.Leaving && hubs.Compare(s.instance(), p.instance()) < 0 {
+		if s.Domain == p.g.self.Domain && !s.state.Leaving && hubs.Compare(s.hubInstance(), p.hubInstance()) < 0 {
 			return false
 		}
 	}
-	return p.read
+	return p.announcementsRead
 }
 
-// readsForDomain says whether this instance is the first of its failure domain to
-// read the store's feeds when the fleet's reader does not.
-func (p *peers) readsForDomain() bool {
-	if p.g.closing.Load() {
+// isDomainReader reports whether this instance is the first of its failure domain to
+// read the store's feeds if the fleet's reader doesn't.
+func (p *peers) isDomainReader() bool {
+	if p.g.draining.Load() {
 		return false
 	}
 	p.mu.Lock()
@@ -303,20 +306,20 @@
 	now := p.g.clock.Now()
 	var members []feedturn.Peer
 	for _, s := range p.known {
-		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.fresh(now, s) {
-			members = append(members, feedturn.Peer{Instance: s.instance(), StoreUnreachable: s.state.StoreUnreachable})
+		if s.Domain == p.g.self.Domain && !s.state.Leaving && p.isFresh(now, s) {
+			members = append(members, feedturn.Peer{Instance: s.hubInstance(), StoreUnreachable: s.state.StoreUnreachable})
 		}
 	}
-	return feedturn.IsReader(p.instance(), members)
+	return feedturn.IsReader(p.hubInstance(), members)
 }
 
-// ordersHeld says that a peer holds the lease for orders.
-func (p *peers) ordersHeld() bool {
+// leaseHeldByPeer reports whether a peer holds the order lease.
+func (p *peers) leaseHeldByPeer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.g.clock.Now()
 	for _, s := range p.known {
-		if s.state.OrderLease != nil && p.fresh(now, s) {
+		if s.state.OrderLease != nil && p.isFresh(now, s) {
 			return true
 		}
 	}
