--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -117,14 +117,14 @@
 		f.recs = append(f.recs, a.Records...)
 	case storedAnswerLost:
 		f.recs = append(f.recs, a.Records...)
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	case refused:
 		err = platform.ErrOutage
 	case lostUnknown:
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	case lateUnknown:
 		f.late = append(f.late, a.Records)
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	}
 	n.m.AppendDone(n.now, a.ID, err)
 	f.ready(n)
--- a/internal/cli/stream.go
+++ b/internal/cli/stream.go
@@ -91,7 +91,7 @@
 		_, err := e.Log.Append(ctx, platform.StreamConfig, [][]byte{record})
 		return err
 	})
-	if errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrOutcomeUnknown) {
 		return nil
 	}
 	return errors.Wrapf(err, "append to the log peer=%s", e.cmd.Log)
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -128,7 +128,7 @@
 // outcomeOfSend says not_run only when the connection was never made: any
 // later failure may have come after the target read the request.
 func outcomeOfSend(err error) openai.Outcome {
-	if platform.NotConnected(err) {
+	if platform.IsDialError(err) {
 		return openai.NotRun
 	}
 	return openai.MayHaveRun
--- a/internal/platform/httplog.go
+++ b/internal/platform/httplog.go
@@ -56,7 +56,7 @@
 
 // Append implements Log. A call that fails after the connection was made may
 // have taken effect, so everything but a refusal by status or a failed dial
-// comes back as ErrUnknown: a writer that took it for a failure and appended
+// comes back as ErrOutcomeUnknown: a writer that took it for a failure and appended
 // again would store its record twice.
 func (l *HTTPLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	req := appendRequest{Records: make([]string, len(records))}
@@ -85,7 +85,7 @@
 	}
 	var ans appendAnswer
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&ans); err != nil {
-		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s: answer", stream, l.base), ErrUnknown)
+		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s: answer", stream, l.base), ErrOutcomeUnknown)
 	}
 	return ans.FirstOffset, nil
 }
@@ -144,21 +144,21 @@
 	case http.StatusGone:
 		return ErrTrimmed
 	default:
-		return errors.Mark(errors.Newf("status %d", status), ErrUnknown)
+		return errors.Mark(errors.Newf("status %d", status), ErrOutcomeUnknown)
 	}
 }
 
 // lostCallError tells a call that never left from one whose answer was lost.
 func lostCallError(err error) error {
-	if NotConnected(err) {
+	if IsDialError(err) {
 		return ErrOutage
 	}
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
 
-// NotConnected reports that a call failed before its connection was made: only
+// IsDialError reports that a call failed before its connection was made: only
 // then is it sure that no byte of it has reached the other side.
-func NotConnected(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -27,9 +27,9 @@
 	ErrOutage = errors.New("log service: outage")
 	// ErrRateLimited: refused for its rate; it had no effect.
 	ErrRateLimited = errors.New("log service: rate limited")
-	// ErrUnknown: the answer was lost, the append may have taken effect.
+	// ErrOutcomeUnknown: the answer was lost, the append may have taken effect.
 	// The caller settles it by reading the stream, never by appending again.
-	ErrUnknown = errors.New("log service: outcome unknown")
+	ErrOutcomeUnknown = errors.New("log service: outcome unknown")
 	// ErrTrimmed: the offset asked for is older than the retained records.
 	ErrTrimmed = errors.New("log service: offset trimmed")
 )
@@ -57,7 +57,7 @@
 type Log interface {
 	// Append stores the records in order, in one call, at consecutive
 	// offsets, and returns the first. Errors: ErrOutage, ErrRateLimited,
-	// ErrUnknown.
+	// ErrOutcomeUnknown.
 	Append(ctx context.Context, stream string, records [][]byte) (Offset, error)
 	// Read returns at most limit records from an offset on. It waits up to
 	// wait for one to appear when there is none yet. Errors: ErrOutage,
--- a/internal/rate/links_test.go
+++ b/internal/rate/links_test.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if f.rng.Float64() < f.lost/2 {
-		p.leases.Appended(rec.Seq, platform.ErrUnknown)
+		p.leases.Appended(rec.Seq, platform.ErrOutcomeUnknown)
 		return
 	}
 	f.schedule(f.delay(), nil, func() { f.log = append(f.log, data) })
