--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,5 +1,4 @@
-// Package platform holds the client side of the services that the platform
-// gives: the append-only log, the lagging instance list and the weight store.
-// All three are spoken to over HTTP with JSON bodies; the shapes are in
-// docs/PROTOCOLS.md.
+// Package platform contains HTTP clients for two services of the platform: the
+// append-only log and the instance list, which lags behind the real state.
+// Bodies are JSON; docs/PROTOCOLS.md specifies them.
 package platform
--- a/internal/platform/httplog.go
+++ b/internal/platform/httplog.go
@@ -16,10 +16,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswerBytes bounds what is read of one answer of the platform.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 64 << 20
 
-// HTTPLog speaks to the log service over HTTP.
+// HTTPLog is an HTTP client of the log service. It implements Log.
 type HTTPLog struct {
 	base   string
 	client *http.Client
@@ -38,11 +38,11 @@
 	Records []string `json:"records"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	FirstOffset Offset `json:"first_offset"`
 }
 
-type readAnswer struct {
+type readResponse struct {
 	Start   Offset       `json:"start"`
 	Next    Offset       `json:"next"`
 	Records []readRecord `json:"records"`
@@ -54,10 +54,10 @@
 	Data   string `json:"data"`
 }
 
-// Append implements Log. A call that fails after the connection was made may
-// have taken effect, so everything but a refusal by status or a failed dial
-// comes back as ErrOutcomeUnknown: a writer that took it for a failure and appended
-// again would store its record twice.
+// Append implements Log. A call that fails after the connection was established
+// may have taken effect. Therefore every failure other than an error status or a
+// failed dial is reported as ErrOutcomeUnknown: a writer that treated it as a
+// failure and appended again would store its records twice.
 func (l *HTTPLog) Append(ctx context.Context, stream string, records [][]byte) (Offset, error) {
 	req := appendRequest{Records: make([]string, len(records))}
 	for i, r := range records {
@@ -67,73 +67,73 @@
 	if err != nil {
 		return 0, errors.Wrapf(err, "append stream=%s: encode", stream)
 	}
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, l.recordsURL(stream), bytes.NewReader(body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, l.recordsURL(stream), bytes.NewReader(body))
 	if err != nil {
 		return 0, errors.Wrapf(err, "append stream=%s peer=%s", stream, l.base)
 	}
-	hr.Header.Set("Content-Type", "application/json")
-	// Without GetBody the transport cannot send the append a second time by
-	// itself when a kept connection breaks.
-	hr.GetBody = nil
-	resp, err := l.client.Do(hr)
+	httpReq.Header.Set("Content-Type", "application/json")
+	// Without GetBody the transport cannot retry the append on its own when a
+	// keep-alive connection breaks.
+	httpReq.GetBody = nil
+	resp, err := l.client.Do(httpReq)
 	if err != nil {
-		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s", stream, l.base), lostCallError(err))
+		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s", stream, l.base), transportError(err))
 	}
 	defer resp.Body.Close()
-	if err := refusal(resp.StatusCode); err != nil {
+	if err := statusError(resp.StatusCode); err != nil {
 		return 0, errors.Wrapf(err, "append stream=%s peer=%s", stream, l.base)
 	}
-	var ans appendAnswer
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&ans); err != nil {
-		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s: answer", stream, l.base), ErrOutcomeUnknown)
+	var result appendResponse
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&result); err != nil {
+		return 0, errors.Mark(errors.Wrapf(err, "append stream=%s peer=%s: decode response", stream, l.base), ErrOutcomeUnknown)
 	}
-	return ans.FirstOffset, nil
+	return result.FirstOffset, nil
 }
 
 // Read implements Log.
 func (l *HTTPLog) Read(ctx context.Context, stream string, from Offset, limit int, wait time.Duration) (Batch, error) {
 	u := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", l.recordsURL(stream), from, limit, wait.Milliseconds())
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return Batch{}, errors.Wrapf(err, "read stream=%s peer=%s", stream, l.base)
 	}
-	resp, err := l.client.Do(hr)
+	resp, err := l.client.Do(httpReq)
 	if err != nil {
 		return Batch{}, errors.Mark(errors.Wrapf(err, "read stream=%s peer=%s", stream, l.base), ErrOutage)
 	}
 	defer resp.Body.Close()
-	refused := refusal(resp.StatusCode)
-	if refused != nil && !errors.Is(refused, ErrTrimmed) {
-		return Batch{}, errors.Wrapf(refused, "read stream=%s peer=%s", stream, l.base)
+	statusErr := statusError(resp.StatusCode)
+	if statusErr != nil && !errors.Is(statusErr, ErrTrimmed) {
+		return Batch{}, errors.Wrapf(statusErr, "read stream=%s peer=%s", stream, l.base)
 	}
-	var ans readAnswer
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&ans); err != nil {
-		return Batch{}, errors.Mark(errors.Wrapf(err, "read stream=%s peer=%s: answer", stream, l.base), ErrOutage)
+	var result readResponse
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&result); err != nil {
+		return Batch{}, errors.Mark(errors.Wrapf(err, "read stream=%s peer=%s: decode response", stream, l.base), ErrOutage)
 	}
-	if refused != nil {
-		return Batch{Start: ans.Start}, errors.Wrapf(refused, "read stream=%s from=%d start=%d", stream, from, ans.Start)
+	if statusErr != nil {
+		return Batch{Start: result.Start}, errors.Wrapf(statusErr, "read stream=%s from=%d start=%d", stream, from, result.Start)
 	}
-	return ans.batch(stream)
+	return result.toBatch(stream)
 }
 
 func (l *HTTPLog) recordsURL(stream string) string {
 	return l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-func (a readAnswer) batch(stream string) (Batch, error) {
+func (a readResponse) toBatch(stream string) (Batch, error) {
 	b := Batch{Start: a.Start, Next: a.Next, Records: make([]Record, len(a.Records))}
 	for i, r := range a.Records {
 		data, err := base64.StdEncoding.DecodeString(r.Data)
 		if err != nil {
-			return Batch{}, errors.Mark(errors.Wrapf(err, "read stream=%s offset=%d", stream, r.Offset), ErrOutage)
+			return Batch{}, errors.Mark(errors.Wrapf(err, "read stream=%s offset=%d: decode data", stream, r.Offset), ErrOutage)
 		}
 		b.Records[i] = Record{Offset: r.Offset, Time: time.UnixMilli(r.TimeMS), Data: data}
 	}
 	return b, nil
 }
 
-// refusal maps the status of an answer to the log's errors.
-func refusal(status int) error {
+// statusError maps an HTTP status to the errors of Log. It returns nil for 200.
+func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
 		return nil
@@ -148,16 +148,17 @@
 	}
 }
 
-// lostCallError tells a call that never left from one whose answer was lost.
-func lostCallError(err error) error {
+// transportError returns ErrOutage for a call that was never sent, and
+// ErrOutcomeUnknown for one whose response was lost.
+func transportError(err error) error {
 	if IsDialError(err) {
 		return ErrOutage
 	}
 	return ErrOutcomeUnknown
 }
 
-// IsDialError reports that a call failed before its connection was made: only
-// then is it sure that no byte of it has reached the other side.
+// IsDialError reports whether a call failed while its connection was being
+// established. Only then is it certain that the server received no byte of it.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/platform/instances.go
+++ b/internal/platform/instances.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// InstanceRole says what runs on an instance of the platform's list.
+// InstanceRole is the kind of process that an instance runs.
 type InstanceRole string
 
-// InstanceState is the platform's word on an instance.
+// InstanceState is the lifecycle state that the platform reports for an instance.
 type InstanceState string
 
 // Roles and states of the instance list.
@@ -25,7 +25,7 @@
 	StateLeaving InstanceState = "leaving"
 )
 
-// Instance is one row of the list.
+// Instance is one entry of the instance list.
 type Instance struct {
 	ID      string        `json:"id"`
 	Address string        `json:"address"`
@@ -34,25 +34,27 @@
 	State   InstanceState `json:"state"`
 }
 
-// InstanceList is the platform's lagging list of instances.
+// InstanceList is the platform's list of instances as it was at AsOf. It lags
+// behind the real state.
 type InstanceList struct {
 	AsOf      time.Time
 	Instances []Instance
 }
 
-// InstanceLister reads the platform's instance list.
+// InstanceLister fetches the platform's instance list.
 type InstanceLister interface {
-	// Instances returns the list as the platform last saw it.
+	// Instances returns the most recent list that the platform has.
 	Instances(ctx context.Context) (InstanceList, error)
 }
 
-// HTTPInstances reads the instance list over HTTP.
+// HTTPInstances fetches the instance list over HTTP.
 type HTTPInstances struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPInstances returns a client of the list service at baseURL.
+// NewHTTPInstances returns a client of the list service at baseURL. A nil client
+// means http.DefaultClient.
 func NewHTTPInstances(baseURL string, client *http.Client) *HTTPInstances {
 	if client == nil {
 		client = http.DefaultClient
@@ -61,25 +63,25 @@
 }
 
 // Instances implements InstanceLister.
-func (h *HTTPInstances) Instances(ctx context.Context) (InstanceList, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.base+"/v1/instances", nil)
+func (c *HTTPInstances) Instances(ctx context.Context) (InstanceList, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/instances", nil)
 	if err != nil {
-		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s", h.base)
+		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s", c.base)
 	}
-	resp, err := h.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
-		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s", h.base)
+		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s", c.base)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return InstanceList{}, errors.Newf("read instance list peer=%s: status %d", h.base, resp.StatusCode)
+		return InstanceList{}, errors.Newf("read instance list peer=%s: status %d", c.base, resp.StatusCode)
 	}
-	var ans struct {
+	var body struct {
 		AsOfMS    int64      `json:"as_of_ms"`
 		Instances []Instance `json:"instances"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&ans); err != nil {
-		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s: answer", h.base)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil {
+		return InstanceList{}, errors.Wrapf(err, "read instance list peer=%s: decode response", c.base)
 	}
-	return InstanceList{AsOf: time.UnixMilli(ans.AsOfMS), Instances: ans.Instances}, nil
+	return InstanceList{AsOf: time.UnixMilli(body.AsOfMS), Instances: body.Instances}, nil
 }
