--- a/cmd/mastictray-gateway/cgo.go
+++ b/cmd/mastictray-gateway/cgo.go
@@ -1,6 +1,7 @@
 package main
 
-// The instances run programs that are linked against the system's C library.
+// Importing C links the program against the system's C library, as the platform's
+// instances require.
 
 // #include <stdlib.h>
 import "C"
--- a/cmd/mastictray-gateway/main.go
+++ b/cmd/mastictray-gateway/main.go
@@ -1,6 +1,6 @@
-// Command mastictray-gateway serves callers by routes on the platform: it
-// reads routes, keys and rates from the platform's store and finds its targets
-// and peers there.
+// Command mastictray-gateway is the gateway process of an entry instance. It
+// forwards client requests to targets. Routes, API keys, rate limits, targets and
+// peer instances come from the platform's store.
 package main
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/mastictray/mastictray/platform"
 )
 
-// settingsVariable holds the path of the settings file.
+// settingsVariable is the environment variable with the path of the settings file.
 const settingsVariable = "MASTICTRAY_CONFIG"
 
 func main() {
 	var s Settings
 	options := []kong.Option{
 		kong.Name("mastictray-gateway"),
-		kong.Description("Routes callers' requests by host and path to the targets that serve them soonest."),
+		kong.Description("Routes client requests by host and path to the targets expected to respond first."),
 		kong.Vars{"version": "0.2.0"},
 	}
-	// Without a file all settings come from flags.
+	// Without a settings file, all settings come from flags.
 	if file := os.Getenv(settingsVariable); file != "" {
 		options = append(options, kong.Configuration(settings.Loader, file))
 	}
@@ -46,39 +46,42 @@
 		return err
 	}
 	defer klog.Flush()
-	limitMemory(s.MemoryMB)
+	configureMemory(s.MemoryMB)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	logReloads()
-	g := gateway.New(s.gateway(), platform.Dialect{}, platform.NewStore(s.StoreAddress), platform.NewControl())
-	return g.Run(ctx)
+	logReloadSignals()
+	gw := gateway.New(s.gatewaySettings(), platform.Dialect{}, platform.NewStore(s.StoreAddress), platform.NewControl())
+	return gw.Run(ctx)
 }
 
-// logReloads notes each request to read the settings again. They are bounds of
-// the platform and addresses, fixed for the life of a process; what operators
-// change comes through the store.
-func logReloads() {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
+// logReloadSignals logs each SIGHUP and otherwise ignores it. The settings are
+// addresses and limits of the platform, fixed for the lifetime of the process;
+// what operators change at run time comes from the store.
+func logReloadSignals() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
-		for range asked {
-			logline.Info("reload_asked", "settings", "read at the start only")
+		for range signals {
+			logline.Info("reload_ignored", "settings", "read at startup only")
 		}
 	}()
 }
 
 const (
-	// gcPercent trades processor time for memory: the live heap is a few
-	// megabytes, so collecting twice as often costs little.
+	// gcPercent trades CPU time for memory. The live heap is a few megabytes,
+	// so collecting twice as often as by default costs little.
 	gcPercent = 50
-	// memoryShare is the part of the instance's memory that the runtime keeps
-	// within; the rest is for the kernel's buffers, which count too.
-	memoryShare = 0.6
+	// memoryFraction is the fraction of the instance's memory that the Go
+	// runtime may use. Kernel buffers count toward the instance's memory and
+	// take the rest.
+	memoryFraction = 0.6
 )
 
-func limitMemory(megabytes int) {
+// configureMemory sets the garbage collection target and, unless megabytes is 0,
+// the memory limit of the Go runtime.
+func configureMemory(megabytes int) {
 	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(megabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(megabytes<<20)))
 	}
 }
--- a/cmd/mastictray-gateway/settings.go
+++ b/cmd/mastictray-gateway/settings.go
@@ -9,90 +9,96 @@
 	"github.com/mastictray/mastictray/internal/gateway"
 )
 
-// Settings of a gateway process. Every field can be set in the INI file or by
-// flag.
+// Settings are the settings of a gateway process. Each field can be set in the
+// settings file or by a flag.
 type Settings struct {
 	Version kong.VersionFlag `help:"Print the version, then exit."`
 
 	InstanceID string `required:"" help:"Name of this instance." group:"identity"`
 	Domain     string `required:"" help:"Failure domain of this instance." group:"identity"`
 
-	CallerListen  string `required:"" help:"ip:port for callers." group:"listeners"`
-	ReadyListen   string `required:"" help:"ip:port where the balancer asks whether the instance is ready." group:"listeners"`
-	PeerListen    string `required:"" help:"ip:port for other instances." group:"listeners"`
-	MetricsListen string `help:"ip:port for metrics; empty for none." group:"listeners"`
+	CallerListen  string `required:"" help:"ip:port for client requests." group:"listeners"`
+	ReadyListen   string `required:"" help:"ip:port for the load balancer's readiness checks." group:"listeners"`
+	PeerListen    string `required:"" help:"ip:port for peer instances." group:"listeners"`
+	MetricsListen string `help:"ip:port for metrics; empty disables them." group:"listeners"`
 
 	StoreAddress string `required:"" help:"ip:port of the platform's store." group:"platform"`
 
-	CPUShare float64 `name:"cpu-share" default:"1" help:"Part of a core that the instance may use." group:"limits"`
-	CPUSpeed float64 `name:"cpu-speed" default:"1" help:"Speed of that core, as a multiple of a usual one." group:"limits"`
-	LinkMbps float64 `name:"link-mbps" default:"1000" help:"Rate of the instance's link in Mbit/s." group:"limits"`
+	CPUShare float64 `name:"cpu-share" default:"1" help:"CPU cores that the instance may use; may be a fraction." group:"limits"`
+	CPUSpeed float64 `name:"cpu-speed" default:"1" help:"Speed of a core relative to the platform's standard core." group:"limits"`
+	LinkMbps float64 `name:"link-mbps" default:"1000" help:"Bandwidth of the instance's network link in Mbit/s." group:"limits"`
 
-	MemoryMB     int           `name:"memory-mb" help:"Memory of the instance in MB; 0 for no limit." group:"limits"`
-	KeyBound     time.Duration `default:"5s" help:"A withdrawn key must not be used later than this." group:"limits"`
-	RetryRatio   float64       `default:"0.2" help:"Most repeated sends for each request of a service, over all instances." group:"limits"`
-	RetryReserve float64       `default:"50" help:"Repeated sends allowed on top, over all instances." group:"limits"`
-	WeightsBound time.Duration `default:"10s" help:"No request begins on older weights later than this after newer ones were named." group:"limits"`
-	ConfigBound  time.Duration `default:"2s" help:"A configuration is in force everywhere not later than this." group:"limits"`
-	DrainBound   time.Duration `default:"2s" help:"A draining target gets no new work later than this." group:"limits"`
-	LeaseGap     time.Duration `default:"3s" help:"Least time between orders of two instances to one target." group:"limits"`
-	PrefillRate  float64       `default:"80000" help:"Prompt tokens that a model server reads in a second." group:"limits"`
+	MemoryMB     int           `name:"memory-mb" help:"Memory of the instance in MB; 0 means no limit." group:"limits"`
+	KeyBound     time.Duration `default:"5s" help:"Longest time for which a withdrawn key may still be accepted." group:"limits"`
+	RetryRatio   float64       `default:"0.2" help:"Maximum retries per request of a service, over all instances." group:"limits"`
+	RetryReserve float64       `default:"50" help:"Burst of retries allowed in addition, over all instances." group:"limits"`
+	WeightsBound time.Duration `default:"10s" help:"Longest time after a weights version is published for which requests may still start on an older one." group:"limits"`
+	ConfigBound  time.Duration `default:"2s" help:"Longest time until a new configuration is in force on all instances." group:"limits"`
+	DrainBound   time.Duration `default:"2s" help:"Longest time for which a draining target may still get new requests." group:"limits"`
+	LeaseGap     time.Duration `default:"3s" help:"Minimum time between orders of two different instances to the same target." group:"limits"`
+	PrefillRate  float64       `default:"80000" help:"Prefill rate of a model server in prompt tokens per second." group:"limits"`
 
-	BalancerLag time.Duration `default:"2800ms" help:"After SIGTERM requests are still accepted for this long, until the balancer has noticed." group:"shutdown"`
-	Grace       time.Duration `default:"8s" help:"Time from SIGTERM to the end of the process." group:"shutdown"`
+	BalancerLag time.Duration `default:"2800ms" help:"Time after SIGTERM for which requests are still accepted, until the load balancer stops sending them." group:"shutdown"`
+	Grace       time.Duration `default:"8s" help:"Time from SIGTERM until the process must have exited." group:"shutdown"`
 }
 
-// Validate reports settings that cannot work.
+// Validate returns an error for settings that are out of range or contradict each
+// other.
 func (s *Settings) Validate() error {
 	if s.Grace <= s.BalancerLag+exitMargin {
-		return errors.Newf("grace=%v: expected more than balancer-lag=%v and %v", s.Grace, s.BalancerLag, exitMargin)
+		return errors.Newf("grace=%v must exceed balancer-lag=%v by more than %v", s.Grace, s.BalancerLag, exitMargin)
 	}
 	if s.CPUShare <= 0 || s.CPUSpeed <= 0 || s.LinkMbps <= 0 {
-		return errors.Newf("cpu-share=%v cpu-speed=%v link-mbps=%v: expected more than 0", s.CPUShare, s.CPUSpeed, s.LinkMbps)
+		return errors.Newf("cpu-share=%v cpu-speed=%v link-mbps=%v: all must be greater than 0", s.CPUShare, s.CPUSpeed, s.LinkMbps)
 	}
 	if s.KeyBound <= keyMargin {
-		return errors.Newf("key-bound=%v: expected more than %v", s.KeyBound, keyMargin)
+		return errors.Newf("key-bound=%v must be greater than %v", s.KeyBound, keyMargin)
 	}
 	return nil
 }
 
 const (
-	// exitMargin is left of the grace for leaving the store and the exit.
+	// exitMargin is the end of the grace period that is reserved for withdrawing
+	// the instance from the store and exiting.
 	exitMargin = 700 * time.Millisecond
-	// keyMargin is kept to the bound on withdrawn keys: a request is sent to
-	// its target some time after its key was looked at.
+	// keyMargin is subtracted from KeyBound, since a request is sent to its
+	// target some time after its key was checked.
 	keyMargin = 500 * time.Millisecond
-	// keyReadyShare is the part of that bound after which the balancer is
-	// asked for no more callers.
-	keyReadyShare = 0.5
-	// retryShare is the part of the retry bounds that is used: instances come
-	// and go, and each has its part from the size of the fleet that it sees.
-	retryShare = 0.7
-	// leaseFactor lengthens the pause between two holders for clocks that do
-	// not run alike.
-	leaseFactor = 1.1
+	// keyReadyFraction is the fraction of KeyBound without contact with the store
+	// after which the instance reports itself as not ready.
+	keyReadyFraction = 0.5
+	// retryBudgetFraction is the fraction of the retry limits that is used. Each
+	// instance derives its share from the fleet size that it sees, so while
+	// instances join and leave the shares can add up to more than the whole.
+	retryBudgetFraction = 0.7
+	// leaseGapFactor lengthens LeaseGap, the pause between the orders of two lease
+	// holders, to allow for clocks that run at different rates.
+	leaseGapFactor = 1.1
 )
 
 const (
-	// hubCores and hubMbps are what a hub's work takes of a core and of a link:
-	// an answer to each of its followers several times a second.
+	// hubCores and hubMbps are the CPU cores and the bandwidth that the work of a
+	// hub takes: it responds to each of its followers several times a second.
 	hubCores = 0.03
 	hubMbps  = 12
 )
 
-// capacity is the work of hubs that the instance can do beside its own.
-func (s *Settings) capacity() int {
+// hubCapacity returns how many times over the instance could do the work of a hub
+// in addition to its own.
+func (s *Settings) hubCapacity() int {
 	return int(min(s.CPUShare*s.CPUSpeed/hubCores, s.LinkMbps/hubMbps))
 }
 
-func (s *Settings) gateway() gateway.Settings {
+// gatewaySettings converts s to the settings of package gateway, with safety margins
+// applied to the limits.
+func (s *Settings) gatewaySettings() gateway.Settings {
 	return gateway.Settings{
-		Instance: s.InstanceID, Domain: s.Domain, Capacity: s.capacity(), LinkMbps: s.LinkMbps,
+		Instance: s.InstanceID, Domain: s.Domain, Capacity: s.hubCapacity(), LinkMbps: s.LinkMbps,
 		CallerListen: s.CallerListen, ReadyListen: s.ReadyListen, PeerListen: s.PeerListen, MetricsListen: s.MetricsListen,
 		KeyCutoff:   s.KeyBound - keyMargin,
-		KeyReadyAge: time.Duration(keyReadyShare * float64(s.KeyBound)),
-		RetryRatio:  retryShare * s.RetryRatio, RetryReserve: retryShare * s.RetryReserve,
-		WeightsBound: s.WeightsBound, ConfigBound: s.ConfigBound, DrainBound: s.DrainBound, LeaseGap: time.Duration(leaseFactor * float64(s.LeaseGap)),
+		KeyReadyAge: time.Duration(keyReadyFraction * float64(s.KeyBound)),
+		RetryRatio:  retryBudgetFraction * s.RetryRatio, RetryReserve: retryBudgetFraction * s.RetryReserve,
+		WeightsBound: s.WeightsBound, ConfigBound: s.ConfigBound, DrainBound: s.DrainBound, LeaseGap: time.Duration(leaseGapFactor * float64(s.LeaseGap)),
 		PrefillTokensPerSecond: s.PrefillRate,
 		BalancerLag:            s.BalancerLag, DrainTimeout: s.Grace - s.BalancerLag - exitMargin,
 	}
--- a/cmd/mastictray-gateway/settings_test.go
+++ b/cmd/mastictray-gateway/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func parse(t *testing.T, args ...string) (*Settings, error) {
+func parseSettings(t *testing.T, args ...string) (*Settings, error) {
 	t.Helper()
 	var s Settings
 	parser, err := kong.New(&s, kong.Vars{"version": "test"})
@@ -22,37 +22,38 @@
 	return &s, err
 }
 
-// The balancer needs up to three seconds to notice that an instance is not
-// ready. A request taken after that, on a connection that a caller kept, may
-// still run when the process has to end, and is then cut off. So new requests
-// end before the three seconds do, and most of the grace is left for answers.
+// The load balancer needs up to three seconds to notice that an instance is not
+// ready. A request accepted after that, on a keep-alive connection, could still be
+// running when the process has to exit and would be aborted. The gateway therefore
+// stops accepting requests before the three seconds are over, and most of the grace
+// period is left for requests in progress.
 func TestShutdownTimesFitTheGrace(t *testing.T) {
 	is := is.New(t)
-	s, err := parse(t)
+	s, err := parseSettings(t)
 	is.NoErr(err)
-	g := s.gateway()
-	is.True(g.BalancerLag < 3*time.Second)
-	is.True(g.BalancerLag >= 2*time.Second)
-	is.Equal(g.BalancerLag+g.DrainTimeout+exitMargin, s.Grace)
+	gw := s.gatewaySettings()
+	is.True(gw.BalancerLag < 3*time.Second)
+	is.True(gw.BalancerLag >= 2*time.Second)
+	is.Equal(gw.BalancerLag+gw.DrainTimeout+exitMargin, s.Grace)
 }
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, arg := range []string{"--grace=3s", "--key-bound=400ms"} {
 		t.Run(arg, func(t *testing.T) {
 			is := is.New(t)
-			_, err := parse(t, arg)
+			_, err := parseSettings(t, arg)
 			is.True(err != nil)
 		})
 	}
 }
 
-func TestBoundsKeepTheirMargins(t *testing.T) {
+func TestSafetyMarginsAreApplied(t *testing.T) {
 	is := is.New(t)
-	s, err := parse(t, "--key-bound=5s", "--lease-gap=3s", "--retry-ratio=0.2", "--retry-reserve=50")
+	s, err := parseSettings(t, "--key-bound=5s", "--lease-gap=3s", "--retry-ratio=0.2", "--retry-reserve=50")
 	is.NoErr(err)
-	g := s.gateway()
-	is.Equal(g.KeyCutoff, 4500*time.Millisecond)
-	is.True(g.KeyReadyAge < g.KeyCutoff)
-	is.True(g.LeaseGap > 3*time.Second)
-	is.True(g.RetryRatio < 0.2 && g.RetryReserve < 50)
+	gw := s.gatewaySettings()
+	is.Equal(gw.KeyCutoff, 4500*time.Millisecond)
+	is.True(gw.KeyReadyAge < gw.KeyCutoff)
+	is.True(gw.LeaseGap > 3*time.Second)
+	is.True(gw.RetryRatio < 0.2 && gw.RetryReserve < 50)
 }
