--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -120,14 +120,14 @@
 		f.log = append(f.log, a.Records...)
 	case appendStoredAnswerLost:
 		f.log = append(f.log, a.Records...)
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	case appendRefused:
 		err = platform.ErrOutage
 	case appendLost:
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	case appendLate:
 		f.lateAppends = append(f.lateAppends, a.Records)
-		err = platform.ErrUnknown
+		err = platform.ErrOutcomeUnknown
 	}
 	n.machine.AppendDone(n.now, a.ID, err)
 	f.ready(n)
--- a/internal/rate/links_test.go
+++ b/internal/rate/links_test.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if f.rng.Float64() < f.lossProbability/2 {
-		p.leases.HandleAppendResult(rec.Seq, platform.ErrUnknown)
+		p.leases.HandleAppendResult(rec.Seq, platform.ErrOutcomeUnknown)
 		return
 	}
 	f.schedule(f.delay(), nil, func() { f.log = append(f.log, data) })
