--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -98,12 +98,12 @@
 		return unknown, err
 	}
 	defer resp.Body.Close()
-	verdict := g.dialect.Judge(resp)
-	if verdict.Limit > 0 || verdict.Genuine || verdict.NotRun {
-		g.limits.observe(c.placedAt, l.target.Incarnation(), verdict.Limit)
+	verdict := g.dialect.Inspect(resp)
+	if verdict.RateLimit > 0 || verdict.Signed || verdict.NotRun {
+		g.limits.observe(c.placedAt, l.target.Incarnation(), verdict.RateLimit)
 	}
-	if verdict.Weights > 0 && c.Prompt != nil {
-		g.engineOf(c).served(l.target.Incarnation(), c.Prompt.Model, verdict.Weights)
+	if verdict.WeightsVersion > 0 && c.Prompt != nil {
+		g.engineOf(c).served(l.target.Incarnation(), c.Prompt.Model, verdict.WeightsVersion)
 	}
 	switch {
 	case verdict.NotRun:
@@ -111,7 +111,7 @@
 			g.engineOf(c).refused(l.target.Incarnation())
 		}
 		return notRun, errors.Newf("status %d, not run", resp.StatusCode)
-	case !verdict.Genuine:
+	case !verdict.Signed:
 		return unknown, errors.Newf("status %d without the target's signature", resp.StatusCode)
 	case resp.StatusCode >= http.StatusInternalServerError && g.worthRepeating(ctx, c):
 		return unknown, errors.Wrapf(errServerError, "status %d", resp.StatusCode)
@@ -133,7 +133,7 @@
 		t := time.AfterFunc(wait, conn.Close)
 		defer t.Stop()
 	}
-	return conn.Send(ctx, req, func(resp *http.Response) bool { return g.dialect.Answers(c.Request, resp) })
+	return conn.Send(ctx, req, func(resp *http.Response) bool { return g.dialect.MatchesRequest(c.Request, resp) })
 }
 
 // tryTime is how long an attempt may stay without an answer before another
@@ -163,17 +163,17 @@
 }
 
 // outgoing is what goes with the request to the target.
-func (g *Gateway) outgoing(c *call, l *leg, s *relay) Outgoing {
-	o := Outgoing{
-		Target: l.target.ID, Account: accountName(c), Left: g.left(c), Urgency: urgency(c),
+func (g *Gateway) outgoing(c *call, l *leg, s *relay) TargetParams {
+	o := TargetParams{
+		Target: l.target.ID, Account: accountName(c), Timeout: g.left(c), Urgency: urgency(c),
 		FetchFrom: l.source, LastEventID: s.resumeAfter(),
 	}
 	if c.Prompt != nil {
 		// Pieces made on one version must not serve another: targets look
 		// neither at versions nor at accounts when they fetch. So the scope
 		// names both, and the target must have the version that it names.
-		o.Weights = weightsFor(c, &l.target)
-		o.CacheScope = strconv.FormatInt(o.Weights, 10) + "/" + cacheScope(c)
+		o.WeightsVersion = weightsFor(c, &l.target)
+		o.CacheScope = strconv.FormatInt(o.WeightsVersion, 10) + "/" + cacheScope(c)
 		plan := g.cache.plan(o.CacheScope, sharedPieces(c), pieceTokens(c))
 		// All targets share the store's link, and each has its own: the store is
 		// asked only for pieces that it is known to hold beyond what the source
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -158,7 +158,7 @@
 		return q
 	}
 	q.Placement.PromptTokens = c.Prompt.Tokens
-	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutput
+	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutputTokens
 	q.Placement.Chain, q.Placement.PieceEnds = chainOf(c)
 	return q
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -22,8 +22,8 @@
 	Body   []byte
 	// Key is the caller's key; empty for none. It is never logged.
 	Key string
-	// Patience is how long the caller waits; 0 when it does not say.
-	Patience time.Duration
+	// Timeout is how long the caller waits; 0 when it does not say.
+	Timeout time.Duration
 	// Prompt is set for requests to model servers.
 	Prompt *Prompt
 	// LastEventID resumes a stream behind this event; empty for none.
@@ -39,8 +39,8 @@
 	// Tokens is the size of the prompt, MaxOutput the most tokens of answer;
 	// Counted says that the caller gave them.
 	Tokens    int
-	MaxOutput int
-	Counted   bool
+	MaxOutputTokens int
+	TokensDeclared   bool
 }
 
 // Piece is one part of a prompt.
@@ -49,20 +49,20 @@
 	Tokens int
 }
 
-// Outgoing is what the router adds to a request for one target.
-type Outgoing struct {
+// TargetParams is what the router adds to a request for one target.
+type TargetParams struct {
 	// Target is the incarnation that must run the request; any other at the
 	// address refuses it.
 	Target string
 	// Account owns the key that came with the request; empty for none.
 	Account string
-	// Left is the time that the target may take.
-	Left time.Duration
+	// Timeout is the time that the target may take.
+	Timeout time.Duration
 	// Urgency is from 0, the most urgent, to 9.
 	Urgency int
-	// Weights is the version of the weights that the target must have; it
+	// WeightsVersion is the version of the weights that the target must have; it
 	// refuses the request otherwise. 0 for any.
-	Weights int64
+	WeightsVersion int64
 	// FetchFrom is the address of a target that holds more of the prompt
 	// than this one, or of a store; empty for none.
 	FetchFrom string
@@ -76,19 +76,19 @@
 	LastEventID string
 }
 
-// Verdict says what an answer's head proves.
-type Verdict struct {
+// ResponseInfo says what an answer's head proves.
+type ResponseInfo struct {
 	// NotRun is set when the target states that it did not run the request.
 	NotRun bool
-	// Genuine is set when the answer bears the target's own signature. What
+	// Signed is set when the answer bears the target's own signature. What
 	// lacks it is not passed on as a success.
-	Genuine bool
-	// Weights is the version of the weights that the answer was made on; 0
+	Signed bool
+	// WeightsVersion is the version of the weights that the answer was made on; 0
 	// when the answer does not say.
-	Weights int64
-	// Limit is the requests a second that the target takes from all instances
+	WeightsVersion int64
+	// RateLimit is the requests a second that the target takes from all instances
 	// together; 0 for any number.
-	Limit float64
+	RateLimit float64
 }
 
 // Refusal is a final answer of the router's own.
@@ -112,11 +112,11 @@
 	// Decode reads the head of a caller's request. The body is not read.
 	Decode(r *http.Request) (*Request, error)
 	// Encode gives the header of the request as a target gets it.
-	Encode(r *Request, o Outgoing) http.Header
-	// Answers says whether an answer belongs to the request.
-	Answers(r *Request, resp *http.Response) bool
-	// Judge reads what an answer proves.
-	Judge(resp *http.Response) Verdict
+	Encode(r *Request, o TargetParams) http.Header
+	// MatchesRequest says whether an answer belongs to the request.
+	MatchesRequest(r *Request, resp *http.Response) bool
+	// Inspect reads what an answer proves.
+	Inspect(resp *http.Response) ResponseInfo
 	// RelayHeader gives the header of an answer for the caller.
 	RelayHeader(resp *http.Response) http.Header
 	// Refuse writes a refusal.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -208,7 +208,7 @@
 // bound gives the context of the request: it ends when the caller leaves or
 // the time is over.
 func (g *Gateway) bound(c *call) (context.Context, context.CancelFunc) {
-	left := c.Patience
+	left := c.Timeout
 	if t := c.route.Timeout; t > 0 && (left == 0 || t < left) {
 		left = t
 	}
@@ -275,8 +275,8 @@
 	c.tokens = 1
 	if c.account.CountTokens {
 		c.tokens = c.account.DefaultTokens
-		if c.Prompt != nil && c.Prompt.Counted {
-			c.tokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
+		if c.Prompt != nil && c.Prompt.TokensDeclared {
+			c.tokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutputTokens)
 		}
 	}
 	c.asked = c.tokens
