--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -17,6 +17,6 @@
 	is := is.New(t)
 	const forgotten = 300 * time.Millisecond
 	g := &Gateway{}
-	is.True(g.freshFor(&call{route: &routing.Route{Kind: routing.NonIdempotent}}) < forgotten)
-	is.True(g.freshFor(&call{route: &routing.Route{Kind: routing.Idempotent}}) > forgotten)
+	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.NonIdempotent}}) < forgotten)
+	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.Idempotent}}) > forgotten)
 }
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// cacheEventsWait is how long a question to a store waits for news;
+	// cachePollWait is how long a question to a store waits for news;
 	// shorter ones are charged as probes.
-	cacheEventsWait = time.Second
-	// cacheEventsEvery is the pause between questions, so that many events
+	cachePollWait = time.Second
+	// cachePollInterval is the pause between questions, so that many events
 	// come in one answer.
-	cacheEventsEvery = 400 * time.Millisecond
-	// cacheRetry is the pause after a question without an answer.
-	cacheRetry = 500 * time.Millisecond
+	cachePollInterval = 400 * time.Millisecond
+	// cacheRetryDelay is the pause after a question without an answer.
+	cacheRetryDelay = 500 * time.Millisecond
 	// maxCacheReaders is the instances that read a store's events, under what
 	// a store answers at once. The others hear of its life from these.
 	maxCacheReaders = 8
@@ -44,7 +44,7 @@
 	since int64
 	// answeredAt is when the store answered last, here or as a peer reported.
 	answeredAt time.Duration
-	reading    bool
+	polling    bool
 }
 
 func newCacheStores(g *Gateway) *cacheStores {
@@ -55,19 +55,19 @@
 func (s *cacheStores) run(ctx context.Context) {
 	for {
 		reads := s.g.peers.rank() < maxCacheReaders
-		for _, address := range s.locate(reads) {
-			go s.read(ctx, address)
+		for _, address := range s.updateStores(reads) {
+			go s.poll(ctx, address)
 		}
-		if !sleep(ctx, cacheEventsEvery) {
+		if !sleep(ctx, cachePollInterval) {
 			return
 		}
 	}
 }
 
-// locate finds the stores in the configuration in force, and gives those to
+// updateStores finds the stores in the configuration in force, and gives those to
 // read now.
-func (s *cacheStores) locate(reads bool) []string {
-	addresses := cacheAddresses(s.g.table.Load())
+func (s *cacheStores) updateStores(reads bool) []string {
+	addresses := cacheStoreAddresses(s.g.table.Load())
 	now := s.g.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	var out []string
 	for address, store := range s.stores {
 		switch {
-		case reads && !store.reading:
-			store.reading = true
+		case reads && !store.polling:
+			store.polling = true
 			out = append(out, address)
 		case !reads:
 			store.index.StopFollowing()
@@ -98,8 +98,8 @@
 	return out
 }
 
-// cacheAddresses are the addresses of the configuration's stores, in order.
-func cacheAddresses(t *routing.Table) []string {
+// cacheStoreAddresses are the addresses of the configuration's stores, in order.
+func cacheStoreAddresses(t *routing.Table) []string {
 	var out []string
 	if t == nil {
 		return nil
@@ -113,23 +113,23 @@
 	return out
 }
 
-// read asks one store what has changed.
-func (s *cacheStores) read(ctx context.Context, address string) {
+// poll asks one store what has changed.
+func (s *cacheStores) poll(ctx context.Context, address string) {
 	s.mu.Lock()
 	store := s.stores[address]
 	s.mu.Unlock()
 	if store == nil {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, cacheEventsWait+orderTimeout)
+	call, cancel := context.WithTimeout(ctx, cachePollWait+orderTimeout)
 	defer cancel()
-	news, err := s.g.control.CacheEvents(call, address, store.since, cacheEventsWait)
+	news, err := s.g.control.CacheEvents(call, address, store.since, cachePollWait)
 	if err != nil {
-		sleep(ctx, cacheRetry)
+		sleep(ctx, cacheRetryDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	store.reading = false
+	store.polling = false
 	_, was := store.index.Reachable()
 	if err != nil {
 		store.index.MarkUnreachable()
@@ -146,9 +146,9 @@
 	store.since = news.Next
 }
 
-// of is the address of the store for a prompt with these shared pieces. The
+// storeAddress is the address storeAddress the store for a prompt with these shared pieces. The
 // caller holds s.mu.
-func (s *cacheStores) of(pieces []prefix.Hash) string {
+func (s *cacheStores) storeAddress(pieces []prefix.Hash) string {
 	if len(s.addresses) == 0 || len(pieces) == 0 {
 		return ""
 	}
@@ -163,8 +163,8 @@
 type cachePlan struct {
 	// address is the store; empty for none that answers.
 	address string
-	// holds is the leading pieces that it is known to hold.
-	holds int
+	// storedPieces is the leading pieces that it is known to hold.
+	storedPieces int
 	// save says that the target should save what it reads there.
 	save bool
 }
@@ -175,7 +175,7 @@
 	now := s.g.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	address := s.of(pieces)
+	address := s.storeAddress(pieces)
 	if address == "" {
 		return cachePlan{}
 	}
@@ -184,16 +184,16 @@
 		return cachePlan{}
 	}
 	n := index.LeadingStored(now, scope, pieces)
-	return cachePlan{address: address, holds: n, save: worthSaving(n, len(pieces), tokens)}
+	return cachePlan{address: address, storedPieces: n, save: shouldSave(n, len(pieces), tokens)}
 }
 
-// worthSaving says whether a target should save a prompt to a store that holds
+// shouldSave says whether a target should save a prompt to a store that holds
 // its first pieces. It saves all that it reads, also the own part, which nobody
 // asks for again and which pushes out pieces that others need: once new weights
 // are named and every opening is saved anew, the own parts alone fill a store.
 // So a prompt is saved whose own part is not too large beside what is missing;
 // the next one with the same opening may have a smaller one.
-func worthSaving(held, shared int, tokens []int) bool {
+func shouldSave(held, shared int, tokens []int) bool {
 	missing, own := 0, 0
 	for i, n := range tokens {
 		switch {
@@ -203,45 +203,45 @@
 			missing += n
 		}
 	}
-	return missing > 0 && own <= maxOwnSaved*missing
+	return missing > 0 && own <= maxUnsharedSaveRatio*missing
 }
 
-// maxOwnSaved is the size of an own part that is saved, as a multiple of what
+// maxUnsharedSaveRatio is the size of an own part that is saved, as a multiple of what
 // the store is missing.
-const maxOwnSaved = 2
+const maxUnsharedSaveRatio = 2
 
-// saved notes that a target has read pieces that it was asked to save, by this
+// recordSave notes that a target has read pieces that it was asked to save, by this
 // instance or by a peer.
-func (s *cacheStores) saved(scope string, pieces []prefix.Hash) {
+func (s *cacheStores) recordSave(scope string, pieces []prefix.Hash) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if address := s.of(pieces); address != "" {
+	if address := s.storeAddress(pieces); address != "" {
 		s.stores[address].index.RecordSave(now, scope, pieces)
 	}
 }
 
-// answering lists the stores that this instance reads, for its peers.
-func (s *cacheStores) answering() []wire.CacheStore {
+// reachableStores lists the stores that this instance reads, for its peers.
+func (s *cacheStores) reachableStores() []wire.CacheStore {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []wire.CacheStore
 	for address, store := range s.stores {
-		if boot, ok := store.index.Reachable(); ok && store.reading {
+		if boot, ok := store.index.Reachable(); ok && store.polling {
 			out = append(out, wire.CacheStore{Address: address, BootEpoch: boot})
 		}
 	}
 	return out
 }
 
-// reported takes in which stores a peer reads. An instance that reads a store
+// applyPeerReports takes in which stores a peer reads. An instance that reads a store
 // itself knows better.
-func (s *cacheStores) reported(stores []wire.CacheStore) {
+func (s *cacheStores) applyPeerReports(stores []wire.CacheStore) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range stores {
-		if store := s.stores[t.Address]; store != nil && !store.reading {
+		if store := s.stores[t.Address]; store != nil && !store.polling {
 			store.answeredAt = now
 			store.index.MarkReachable(t.BootEpoch)
 		}
--- a/internal/gateway/cachestore_test.go
+++ b/internal/gateway/cachestore_test.go
@@ -25,7 +25,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(worthSaving(c.held, c.shared, c.tokens), c.want)
+			is.New(t).Equal(shouldSave(c.held, c.shared, c.tokens), c.want)
 		})
 	}
 }
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// defaultIdle is how long a caller's idle connection is kept where the
+	// defaultCallerIdleTimeout is how long a caller's idle connection is kept where the
 	// configuration does not say.
-	defaultIdle = 15 * time.Second
-	// idleSlack is added to it: a caller that keeps to the limit would
+	defaultCallerIdleTimeout = 15 * time.Second
+	// callerIdleSlack is added to it: a caller that keeps to the limit would
 	// otherwise send just as the connection closes.
-	idleSlack = time.Second
-	// headerTimeout bounds the time to a whole head.
-	headerTimeout = 5 * time.Second
-	// callerKeepAlive is the pause between probes of a silent caller: one
+	callerIdleSlack = time.Second
+	// readHeaderTimeout bounds the time to a whole head.
+	readHeaderTimeout = 5 * time.Second
+	// callerKeepAliveInterval is the pause between probes of a silent caller: one
 	// that was cut off must not hold its targets for long.
-	callerKeepAlive = time.Second
-	maxHeaderBytes  = 64 << 10
+	callerKeepAliveInterval = time.Second
+	maxHeaderBytes          = 64 << 10
 )
 
 // callerServer is the listeners for callers, the balancer and metrics.
@@ -41,15 +41,15 @@
 func newCallerServer(g *Gateway) *callerServer {
 	s := &callerServer{g: g, idle: map[net.Conn]time.Time{}}
 	s.callers = &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.track,
+		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.trackIdle,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(g.dialect.ReadyPath(), s.answerReady)
-	s.ready = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	s.ready = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	counts := http.NewServeMux()
 	counts.HandleFunc("GET /metrics", g.serveMetrics)
 	counts.HandleFunc("GET /admin/v1/state", g.serveState)
-	s.metrics = &http.Server{Handler: counts, ReadHeaderTimeout: headerTimeout}
+	s.metrics = &http.Server{Handler: counts, ReadHeaderTimeout: readHeaderTimeout}
 	return s
 }
 
@@ -66,7 +66,7 @@
 			continue
 		}
 		config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: callerKeepAlive, Interval: callerKeepAlive, Count: 3,
+			Enable: true, Idle: callerKeepAliveInterval, Interval: callerKeepAliveInterval, Count: 3,
 		}}
 		listener, err := config.Listen(context.Background(), "tcp", l.address)
 		if err != nil {
@@ -87,10 +87,10 @@
 	}
 }
 
-// track notes which connections are idle, and since when. The limit is the
+// trackIdle notes which connections are idle, and since when. The limit is the
 // configuration's and changes while the server runs, so the server's own,
 // which is fixed, is left off.
-func (s *callerServer) track(c net.Conn, state http.ConnState) {
+func (s *callerServer) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateIdle || state == http.StateNew {
@@ -102,14 +102,14 @@
 
 // closeIdle closes connections that were idle for too long.
 func (s *callerServer) closeIdle() {
-	limit := defaultIdle
+	limit := defaultCallerIdleTimeout
 	if t := s.g.table.Load(); t != nil && t.Config().Limits.IdleTimeout > 0 {
 		limit = t.Config().Limits.IdleTimeout
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, since := range s.idle {
-		if time.Since(since) > limit+idleSlack {
+		if time.Since(since) > limit+callerIdleSlack {
 			// The server forgets the connection once it is closed.
 			_ = c.Close()
 			delete(s.idle, c)
--- a/internal/gateway/configtransfer.go
+++ b/internal/gateway/configtransfer.go
@@ -70,7 +70,7 @@
 	link := mbps * bytesPerMbit
 	return &configTransfer{
 		g: g, link: link, wake: make(chan struct{}, 1),
-		sender: configsync.NewSender(configShare * link), receiver: configsync.NewReceiver(g.self.Instance, link, transferShare),
+		sender: configsync.NewSender(configShare * link), receiver: configsync.NewReceiver(g.self.Instance, link, transferLinkShare),
 	}
 }
 
--- a/internal/gateway/crashcount.go
+++ b/internal/gateway/crashcount.go
@@ -18,10 +18,10 @@
 	// request shares its target's fate. The third means that the request
 	// itself crashes what runs it.
 	maxCrashes = 3
-	// crashMemory is how long crashes are remembered after the last one.
-	crashMemory = 60 * time.Second
-	// maxCountedRequests bounds the requests remembered.
-	maxCountedRequests = 4096
+	// crashRetention is how long crashes are remembered after the last one.
+	crashRetention = 60 * time.Second
+	// maxTrackedRequests bounds the requests remembered.
+	maxTrackedRequests = 4096
 )
 
 // crashCounts counts the attempts that broke off, by the request's fingerprint. A
@@ -34,40 +34,40 @@
 }
 
 type crashCount struct {
-	n    int
-	last time.Duration
+	count  int
+	lastAt time.Duration
 }
 
 func newCrashCounts() crashCounts { return crashCounts{byRequest: map[uint64]crashCount{}} }
 
 // add counts a broken attempt.
 func (s *crashCounts) add(now time.Duration, fingerprint uint64) int {
-	if len(s.byRequest) >= maxCountedRequests {
+	if len(s.byRequest) >= maxTrackedRequests {
 		s.expire(now)
 	}
 	k := s.byRequest[fingerprint]
-	k.n, k.last = k.n+1, now
+	k.count, k.lastAt = k.count+1, now
 	s.byRequest[fingerprint] = k
-	return k.n
+	return k.count
 }
 
 func (s *crashCounts) expire(now time.Duration) {
 	for f, k := range s.byRequest {
-		if now-k.last > crashMemory {
+		if now-k.lastAt > crashRetention {
 			delete(s.byRequest, f)
 		}
 	}
 }
 
-// refused says whether the request is refused.
-func (s *crashCounts) refused(now time.Duration, fingerprint uint64) bool {
+// isBlocked says whether the request is isBlocked.
+func (s *crashCounts) isBlocked(now time.Duration, fingerprint uint64) bool {
 	k := s.byRequest[fingerprint]
-	return k.n >= maxCrashes && now-k.last <= crashMemory
+	return k.count >= maxCrashes && now-k.lastAt <= crashRetention
 }
 
-// fingerprint names a request among its repeats: the same caller, path and
+// requestFingerprint names a request among its repeats: the same caller, path and
 // body.
-func fingerprint(c *call) uint64 {
+func requestFingerprint(c *call) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{accountName(c), c.Method, c.Host, c.URI} {
@@ -78,9 +78,9 @@
 	return d.Sum64()
 }
 
-// noteCrash counts an attempt that broke off without the target saying why.
-func (g *Gateway) noteCrash(ctx context.Context, c *call, result outcome, err error) {
-	if ctx.Err() != nil || err == nil || result != unknown && result != broken || !connectionLost(err) {
+// recordCrash counts an attempt that broke off without the target saying why.
+func (g *Gateway) recordCrash(ctx context.Context, c *call, result outcome, err error) {
+	if ctx.Err() != nil || err == nil || result != outcomeUnknown && result != outcomeTruncated || !connectionLost(err) {
 		return
 	}
 	g.mu.Lock()
--- a/internal/gateway/crashcount_test.go
+++ b/internal/gateway/crashcount_test.go
@@ -15,21 +15,21 @@
 	s := newCrashCounts()
 	const poison, bystander = 1, 2
 	for i := range maxCrashes {
-		is.True(!s.refused(time.Duration(i)*time.Second, poison))
+		is.True(!s.isBlocked(time.Duration(i)*time.Second, poison))
 		s.add(time.Duration(i)*time.Second, poison)
 	}
 	s.add(0, bystander)
-	is.True(s.refused(3*time.Second, poison))
-	is.True(!s.refused(3*time.Second, bystander))
-	is.True(!s.refused(time.Hour, poison)) // it is tried again in the end
+	is.True(s.isBlocked(3*time.Second, poison))
+	is.True(!s.isBlocked(3*time.Second, bystander))
+	is.True(!s.isBlocked(time.Hour, poison)) // it is tried again in the end
 }
 
 func TestStrikesAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := newCrashCounts()
-	for i := range maxCountedRequests {
+	for i := range maxTrackedRequests {
 		s.add(0, uint64(i))
 	}
-	s.add(2*crashMemory, 1)
-	is.True(len(s.byRequest) < maxCountedRequests)
+	s.add(2*crashRetention, 1)
+	is.True(len(s.byRequest) < maxTrackedRequests)
 }
--- a/internal/gateway/enginemarks.go
+++ b/internal/gateway/enginemarks.go
@@ -8,9 +8,9 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// versionText names the weights of a target; what it cached under others is
+// versionKey names the weights of a target; what it cached under others is
 // does not count any more.
-func versionText(versions map[string]int64) string {
+func versionKey(versions map[string]int64) string {
 	switch len(versions) {
 	case 0:
 		return ""
@@ -26,8 +26,8 @@
 	return strconv.FormatInt(sum, 10)
 }
 
-// behind says that a target has older weights than these.
-func behind(r *directory.Registration, versions map[string]int64) bool {
+// hasOlderWeights says that a target has older weights than these.
+func hasOlderWeights(r *directory.Registration, versions map[string]int64) bool {
 	for model, version := range versions {
 		if v, ok := r.Versions[model]; ok && v < version {
 			return true
@@ -36,84 +36,84 @@
 	return false
 }
 
-// restAfterRefusal is how long a target that refused a request as a whole gets
+// refusalBackoff is how long a target that refused a request as a whole gets
 // no other: it is full or about to load, and by then peers will have reported it.
-const restAfterRefusal = 200 * time.Millisecond
+const refusalBackoff = 200 * time.Millisecond
 
-// resting says that a target takes no requests now.
-func (p *enginePool) resting(r *directory.Registration) bool {
+// isExcluded says that a target takes no requests now.
+func (p *enginePool) isExcluded(r *directory.Registration) bool {
 	at, refused := p.refusedAt[r.ID]
-	return p.loading[r.ID] || behind(r, p.bounds.least) || refused && p.now()-at < restAfterRefusal
+	return p.loading[r.ID] || hasOlderWeights(r, p.bounds.minToSend) || refused && p.now()-at < refusalBackoff
 }
 
-// refused takes in that a target refused a request as a whole.
-func (p *enginePool) refused(id directory.Incarnation) {
+// recordRefusal takes in that a target recordRefusal a request as a whole.
+func (p *enginePool) recordRefusal(id directory.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r, ok := p.regs[id.ID]; ok && r.Incarnation() == id {
+	if r, ok := p.registrations[id.ID]; ok && r.Incarnation() == id {
 		p.refusedAt[id.ID] = p.now()
-		p.mark(id.ID, &r)
+		p.refreshFilters(id.ID, &r)
 	}
 }
 
 // versionBounds are the versions of weights, by model, that bound what targets
 // with older ones get.
 type versionBounds struct {
-	// wanted are preferred; behind least no request is sent; behind wait none
+	// preferred are preferred; behind minToSend no request is sent; behind minToWait none
 	// waits any more for its first token.
-	wanted, least, wait map[string]int64
+	preferred, minToSend, minToWait map[string]int64
 }
 
-// setRollout takes the bounds on versions and the targets that load.
-func (p *enginePool) setRollout(b versionBounds, loading map[string]bool) {
+// applyRollout takes the bounds on versions and the targets that load.
+func (p *enginePool) applyRollout(b versionBounds, loading map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bounds, p.loading = b, loading
-	p.noteLoading()
-	p.markAll()
-	p.cutWaiting()
+	p.trackLoading()
+	p.refreshAllFilters()
+	p.cancelOutdatedWaits()
 	p.moveStreams()
 	p.step()
 }
 
-// cutWaiting ends the attempts that wait for their first token at targets whose
+// cancelOutdatedWaits ends the attempts that wait for their first token at targets whose
 // weights are too old. Requests sent in time may wait at a target for longer
 // than usual, and would begin on weights past the bound. The caller holds p.mu.
-func (p *enginePool) cutWaiting() {
+func (p *enginePool) cancelOutdatedWaits() {
 	for pl := range p.running {
-		r, known := p.regs[pl.target.ID]
-		if pl.prefilled || !known || r.Incarnation() != pl.target.Incarnation() || !behind(&r, p.bounds.wait) {
+		r, known := p.registrations[pl.target.ID]
+		if pl.firstTokenSeen || !known || r.Incarnation() != pl.target.Incarnation() || !hasOlderWeights(&r, p.bounds.minToWait) {
 			continue
 		}
-		logline.Info("waiting_cut", "target", r.ID, "versions", r.Versions, "oldest", p.bounds.wait, "waited", p.now()-pl.send.SentAt)
-		pl.withdrawn = true
-		pl.cut()
+		logline.Info("waiting_cut", "target", r.ID, "versions", r.Versions, "oldest", p.bounds.minToWait, "waited", p.now()-pl.send.SentAt)
+		pl.cancelledHere = true
+		pl.cancel()
 		delete(p.running, pl)
 	}
 }
 
-func (p *enginePool) markAll() {
-	for id, r := range p.regs {
-		p.mark(id, &r)
+func (p *enginePool) refreshAllFilters() {
+	for id, r := range p.registrations {
+		p.refreshFilters(id, &r)
 	}
 }
 
-func (p *enginePool) mark(id string, r *directory.Registration) {
+func (p *enginePool) refreshFilters(id string, r *directory.Registration) {
 	i, ok := p.pool.Find(id)
 	if !ok {
 		return
 	}
 	t := p.pool.Target(i)
-	t.Outdated, t.Loading = behind(r, p.bounds.wanted), p.resting(r)
+	t.Outdated, t.Loading = hasOlderWeights(r, p.bounds.preferred), p.isExcluded(r)
 	p.pool.ApplyFilters(i)
 }
 
-// served takes in the version that an answer was made on: answers tell of it
+// recordServedVersion takes in the version that an answer was made on: answers tell of it
 // sooner than registrations do.
-func (p *enginePool) served(id directory.Incarnation, model string, version int64) {
+func (p *enginePool) recordServedVersion(id directory.Incarnation, model string, version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r, ok := p.regs[id.ID]
+	r, ok := p.registrations[id.ID]
 	if !ok || r.Incarnation() != id || r.Versions[model] >= version {
 		return
 	}
@@ -123,26 +123,26 @@
 	}
 	versions[model] = version
 	r.Versions = versions
-	p.regs[id.ID] = r
+	p.registrations[id.ID] = r
 	if i, ok := p.pool.Find(id.ID); ok {
 		t := p.pool.Target(i)
-		now := identity(&r)
+		now := cacheIdentity(&r)
 		t.Version = now.Version
 		t.Cache = p.index.Observe(p.now(), now)
-		p.mark(id.ID, &r)
+		p.refreshFilters(id.ID, &r)
 	}
 }
 
-// endRests lets requests go again to targets whose rest is over.
-func (p *enginePool) endRests() {
+// expireRefusalBackoffs lets requests go again to targets whose rest is over.
+func (p *enginePool) expireRefusalBackoffs() {
 	now := p.now()
 	for id, at := range p.refusedAt {
-		if now-at < restAfterRefusal {
+		if now-at < refusalBackoff {
 			continue
 		}
 		delete(p.refusedAt, id)
-		if r, ok := p.regs[id]; ok {
-			p.mark(id, &r)
+		if r, ok := p.registrations[id]; ok {
+			p.refreshFilters(id, &r)
 		}
 	}
 }
--- a/internal/gateway/enginemove.go
+++ b/internal/gateway/enginemove.go
@@ -6,28 +6,28 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// moveAfter is the time from the announcement of a load until the streams that
+// streamMoveDelay is the time from the announcement of a load until the streams that
 // still run on the target are moved: as long as new requests may still arrive
 // there, and most short answers end meanwhile.
-const moveAfter = 200 * time.Millisecond
+const streamMoveDelay = 200 * time.Millisecond
 
-// mobility says whether an attempt that this instance ends may go elsewhere.
-type mobility struct {
+// cancelPolicy says whether an attempt that this instance ends may go elsewhere.
+type cancelPolicy struct {
 	// repeatable: it may run again.
 	repeatable bool
-	// resumable says whether it may be ended now to be resumed elsewhere. If so
+	// reserveResume says whether it may be ended now to be resumed elsewhere. If so
 	// it has taken the attempt from the retry budget: of several streams that
 	// move at once only those are ended whose resumption is paid for.
-	resumable func() bool
+	reserveResume func() bool
 }
 
-func (g *Gateway) mobility(c *call) mobility {
-	m := mobility{repeatable: c.route.Repeatable()}
+func (g *Gateway) cancelPolicyFor(c *call) cancelPolicy {
+	m := cancelPolicy{repeatable: c.route.Repeatable()}
 	last := c.sent >= c.route.MaxAttempts
-	budget := g.budget(c.service.Name)
-	reserve := moveReserve * g.retryReserve(g.peers.fleetSize())
-	m.resumable = func() bool {
-		if !m.repeatable || last || g.closing.Load() || !g.mayResume(c) || !budget.TakeRetryAbove(reserve) {
+	budget := g.retryBudget(c.service.Name)
+	reserve := streamMoveReserve * g.retryReserve(g.peers.fleetSize())
+	m.reserveResume = func() bool {
+		if !m.repeatable || last || g.closing.Load() || !g.resumeAllowed(c) || !budget.TakeRetryAbove(reserve) {
 			return false
 		}
 		c.prepaid.Store(true)
@@ -36,15 +36,15 @@
 	return m
 }
 
-// mayResume says that the configuration in force still allows the request: its
+// resumeAllowed says that the configuration in force still allows the request: its
 // key may have been withdrawn, or its route moved, since it was sent.
-func (g *Gateway) mayResume(c *call) bool {
+func (g *Gateway) resumeAllowed(c *call) bool {
 	t := g.table.Load()
 	if t == nil || g.feeds.cut() {
 		return false
 	}
 	route, ok := t.Match(c.Host, c.Path)
-	if !ok || !leadsTo(route, c.service.Name) {
+	if !ok || !routeIncludes(route, c.service.Name) {
 		return false
 	}
 	if !t.RequiresKey(route) {
@@ -54,12 +54,12 @@
 	return ok
 }
 
-// moveReserve is the part of the retry budget that moved streams leave for
+// streamMoveReserve is the part of the retry budget that moved streams leave for
 // failures.
-const moveReserve = 0.5
+const streamMoveReserve = 0.5
 
-// noteLoading notes since when targets load. The caller holds p.mu.
-func (p *enginePool) noteLoading() {
+// trackLoading notes since when targets load. The caller holds p.mu.
+func (p *enginePool) trackLoading() {
 	for id := range p.loadingSince {
 		if !p.loading[id] {
 			delete(p.loadingSince, id)
@@ -80,12 +80,12 @@
 	now := p.now()
 	for pl := range p.running {
 		since, loads := p.loadingSince[pl.target.ID]
-		if !loads || now-since < moveAfter || !pl.prefilled || p.pool.EligibleCount() == 0 || !pl.resumable() {
+		if !loads || now-since < streamMoveDelay || !pl.firstTokenSeen || p.pool.EligibleCount() == 0 || !pl.reserveResume() {
 			continue
 		}
 		logline.Info("stream_moved", "target", pl.target.ID, "ran", now-pl.send.SentAt)
-		pl.withdrawn = true
-		pl.cut()
+		pl.cancelledHere = true
+		pl.cancel()
 		delete(p.running, pl)
 	}
 }
--- a/internal/gateway/enginesilence.go
+++ b/internal/gateway/enginesilence.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// reportSilentFor is how long peers get a report of a target's silence.
-	reportSilentFor = 2 * time.Second
-	// ownAnswerFor is how long an own answer of a target outweighs the reports of peers.
-	ownAnswerFor = time.Second
+	// stallReportPeriod is how long peers get a report of a target's silence.
+	stallReportPeriod = 2 * time.Second
+	// ownAnswerValidity is how long an own answer of a target outweighs the reports of peers.
+	ownAnswerValidity = time.Second
 )
 
-// silent lists the targets found silent a short while ago.
-func (p *enginePool) silent() []string {
+// recentlyStalled lists the targets found recentlyStalled a short while ago.
+func (p *enginePool) recentlyStalled() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var ids []string
-	for id, at := range p.silentAt {
-		if p.now()-at > reportSilentFor {
-			delete(p.silentAt, id)
+	for id, at := range p.stalledAt {
+		if p.now()-at > stallReportPeriod {
+			delete(p.stalledAt, id)
 		} else {
 			ids = append(ids, id)
 		}
@@ -29,8 +29,8 @@
 	return ids
 }
 
-// unanswering are the targets that answer this instance nothing.
-func (p *enginePool) unanswering() map[string]bool {
+// openBreakers are the targets that answer this instance nothing.
+func (p *enginePool) openBreakers() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := map[string]bool{}
@@ -42,17 +42,17 @@
 	return ids
 }
 
-// suspect stops sending to targets that several peers have found silent,
+// suspectStalled stops sending to targets that several peers have found silent,
 // unless one has answered here lately: this instance may reach what they do
 // not. A probe tells soon.
-func (p *enginePool) suspect(ids []string) {
+func (p *enginePool) suspectStalled(ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	for _, id := range ids {
-		r, known := p.regs[id]
+		r, known := p.registrations[id]
 		b := p.breaker(id)
-		if !known || b.State() == overload.Open || p.silence(id).AnsweredSince(now-ownAnswerFor) {
+		if !known || b.State() == overload.Open || p.stallDetector(id).AnsweredSince(now-ownAnswerValidity) {
 			continue
 		}
 		b.Unreachable(now, p.rng)
@@ -61,26 +61,26 @@
 	p.step()
 }
 
-// checkSilence stops sending to targets that fell silent, and ends the
+// checkStalled stops sending to targets that fell silent, and ends the
 // attempts there that may go on elsewhere. It gives the targets' addresses.
-func (p *enginePool) checkSilence() []string {
+func (p *enginePool) checkStalled() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	var gone []string
-	for id, s := range p.silences {
+	for id, s := range p.stallDetectors {
 		b := p.breaker(id)
 		if b.State() == overload.Open || !s.Stalled(now) {
 			continue
 		}
 		b.Unreachable(now, p.rng)
-		gone = append(gone, p.regs[id].Address)
-		p.silentAt[id] = now
-		logline.Info("target_silent", "target", id, "address", p.regs[id].Address, "domain", p.regs[id].Domain)
+		gone = append(gone, p.registrations[id].Address)
+		p.stalledAt[id] = now
+		logline.Info("target_silent", "target", id, "address", p.registrations[id].Address, "domain", p.registrations[id].Domain)
 		for pl := range p.running {
 			// What may not be repeated waits: the target may come back.
 			if pl.target.ID == id && pl.repeatable {
-				pl.cut()
+				pl.cancel()
 			}
 		}
 	}
@@ -88,28 +88,28 @@
 	return gone
 }
 
-// sent notes that an attempt is on its way. Should its target fall silent, load
+// startAttempt notes that an attempt is on its way. Should its target fall silent, load
 // new weights, or keep it waiting until its weights are too old, cut is called.
-func (p *enginePool) sent(pl *placed, cut func(), m mobility) {
+func (p *enginePool) startAttempt(pl *enginePlacement, cut func(), m cancelPolicy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pl.cut, pl.mobility = cut, m
-	pl.leg = p.silence(pl.target.ID).Begin(p.now())
+	pl.cancel, pl.cancelPolicy = cut, m
+	pl.stallID = p.stallDetector(pl.target.ID).Begin(p.now())
 	p.running[pl] = struct{}{}
 }
 
-func (p *enginePool) silence(id string) *overload.StallDetector {
-	s := p.silences[id]
+func (p *enginePool) stallDetector(id string) *overload.StallDetector {
+	s := p.stallDetectors[id]
 	if s == nil {
 		s = &overload.StallDetector{}
-		p.silences[id] = s
+		p.stallDetectors[id] = s
 	}
 	return s
 }
 
-// progressed notes that something of an attempt's answer came.
-func (p *enginePool) progressed(pl *placed) {
+// recordProgress notes that something of an attempt's answer came.
+func (p *enginePool) recordProgress(pl *enginePlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silence(pl.target.ID).Progress(p.now(), pl.leg)
+	p.stallDetector(pl.target.ID).Progress(p.now(), pl.stallID)
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -191,7 +191,7 @@
 // apply puts what is known of the peers into force here.
 func (p *peers) apply() {
 	now := p.g.clock.Now()
-	loads := map[string]load{}
+	loads := map[string]targetLoad{}
 	loading := map[string]bool{}
 	p.mu.Lock()
 	fleet, silence, delay := p.sizeLocked(), p.freshFor(), p.updateTime()
@@ -207,7 +207,7 @@
 		}
 		for target, l := range s.state.Loads {
 			sum := loads[target]
-			loads[target] = load{Unanswered: sum.Unanswered + float64(l.PendingPromptTokens), Held: sum.Held + l.KVCacheTokens}
+			loads[target] = targetLoad{PendingPromptTokens: sum.PendingPromptTokens + float64(l.PendingPromptTokens), KVCacheTokens: sum.KVCacheTokens + l.KVCacheTokens}
 		}
 		for _, id := range s.state.LoadingTargets {
 			loading[id] = true
@@ -257,9 +257,9 @@
 
 // sentPrompt notes a prompt that a target has prefilled, and the pieces that it
 // saves under the scope, for the peers.
-func (p *peers) sentPrompt(pl *placed, scope string, saved []prefix.Hash) {
+func (p *peers) sentPrompt(pl *enginePlacement, scope string, saved []prefix.Hash) {
 	m := wire.PrefilledPrompt{
-		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: numbers(pl.send.Request.Placement.Chain), CachedTokens: pl.took(),
+		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: numbers(pl.send.Request.Placement.Chain), CachedTokens: pl.newlyCachedTokens(),
 		CacheScope: scope, SavedPieces: numbers(saved),
 	}
 	p.mu.Lock()
--- a/internal/gateway/finish.go
+++ b/internal/gateway/finish.go
@@ -8,8 +8,8 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// giveUp ends a request that no target has answered.
-func (g *Gateway) giveUp(ctx context.Context, c *call, s *relay, refusal *Refusal) *Refusal {
+// finishUnanswered ends a request that no target has answered.
+func (g *Gateway) finishUnanswered(ctx context.Context, c *call, s *responseRelay, refusal *Refusal) *Refusal {
 	if c.r.Context().Err() != nil {
 		g.metrics.left()
 		logline.Info("caller_left", "request", c.ID, "route", routeName(c), "sent", c.sent, "target", c.tried, "after", g.clock.Now()-c.began)
@@ -19,7 +19,7 @@
 		return &Refusal{abort: true}
 	}
 	if s.started {
-		return g.breakOff(c, s)
+		return g.abortAnswer(c, s)
 	}
 	switch {
 	case c.ran && ctx.Err() != nil:
@@ -31,31 +31,31 @@
 	case ctx.Err() != nil:
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
 	}
-	return unavailable("targets_full", fullRetry)
+	return unavailable("targets_full", targetsFullRetry)
 }
 
-// fullRetry is the hint when every target tried was full: a part of a second
+// targetsFullRetry is the hint when every target tried was full: a part of a second
 // in which some of their requests end.
-const fullRetry = 250 * time.Millisecond
+const targetsFullRetry = 250 * time.Millisecond
 
-// breakOff ends an answer of which a part is out, so that it does not look
+// abortAnswer ends an answer of which a part is out, so that it does not look
 // complete.
-func (g *Gateway) breakOff(c *call, s *relay) *Refusal {
+func (g *Gateway) abortAnswer(c *call, s *responseRelay) *Refusal {
 	g.metrics.brokenOff()
 	logline.Info("broken_off", "request", c.ID, "route", c.route.Name, "account", accountName(c), "sent", c.sent,
-		"target", c.tried, "events", s.events, "last_event", s.lastID, "after", g.clock.Now()-c.began)
+		"target", c.tried, "events", s.eventCount, "last_event", s.lastEventID, "after", g.clock.Now()-c.began)
 	return &Refusal{abort: true}
 }
 
-func (g *Gateway) logAttempt(c *call, l *leg, result string, err error) {
+func (g *Gateway) logFailedAttempt(c *call, l *targetAttempt, result string, err error) {
 	logline.Info("attempt_failed", "request", c.ID, "route", c.route.Name, "target", l.target.ID, "address", l.target.Address,
-		"domain", l.target.Domain, "weights", l.choice.weights, "attempt", c.sent, "result", result, "error", err, "after", g.clock.Now()-c.began)
+		"domain", l.target.Domain, "weights", l.choice.weightsVersion, "attempt", c.sent, "result", result, "error", err, "after", g.clock.Now()-c.began)
 }
 
-func (g *Gateway) logAnswered(c *call, s *relay) {
+func (g *Gateway) logAnswered(c *call, s *responseRelay) {
 	total := g.clock.Now() - c.began
 	g.metrics.answered(c, s, total)
 	logline.Sampled("answered", "request", c.ID, "route", c.route.Name, "account", accountName(c), "target", c.tried,
-		"weights", c.choice.weights, "status", s.status, "attempts", c.sent, "events", s.events, "queued", c.placedAt-c.began, "first", s.firstAt, "after", total,
-		"expected", c.choice.expected, "cached_pieces", c.choice.cached, "uncached", c.choice.uncached, "targets", c.choice.targets)
+		"weights", c.choice.weightsVersion, "status", s.status, "attempts", c.sent, "events", s.eventCount, "queued", c.placedAt-c.began, "first", s.firstByteAfter, "after", total,
+		"expected", c.choice.expectedTTFT, "cached_pieces", c.choice.cachedPieces, "uncached", c.choice.uncachedTokens, "targets", c.choice.eligibleTargets)
 }
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -14,17 +14,17 @@
 func (g *Gateway) state() (wire.InstanceState, map[string]float64) {
 	m := wire.InstanceState{
 		Capacity: g.settings.Capacity, Leaving: g.closing.Load(), StoreUnreachable: g.feeds.cut(), OrderLease: g.heldRecord(),
-		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.answering(),
+		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.reachableStores(),
 		TargetLimits: g.limits.reports(),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m.LoadingTargets = g.ordered
 	for _, pool := range g.engines {
-		for id, l := range pool.loads() {
-			m.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
+		for id, l := range pool.targetLoads() {
+			m.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.PendingPromptTokens), KVCacheTokens: l.KVCacheTokens}
 		}
-		m.SilentTargets = append(m.SilentTargets, pool.silent()...)
+		m.SilentTargets = append(m.SilentTargets, pool.recentlyStalled()...)
 	}
 	return m, g.quota.ReportSpent()
 }
@@ -71,9 +71,9 @@
 	g.mu.Unlock()
 	pools := g.enginePools()
 	for i := range changes {
-		g.limits.take(changes[i].State.TargetLimits)
+		g.limits.applyReports(changes[i].State.TargetLimits)
 		if stores := changes[i].State.CacheStores; len(stores) > 0 {
-			g.cache.reported(stores)
+			g.cache.applyPeerReports(stores)
 		}
 		if orders := changes[i].State.OrderLease; orders != nil {
 			g.lease.read(now, fromWireLease(*orders))
@@ -89,11 +89,11 @@
 // takePrompt takes in a prompt that a target has prefilled for another instance.
 func (g *Gateway) takePrompt(pools []*enginePool, s *wire.PrefilledPrompt) {
 	if len(s.SavedPieces) > 0 {
-		g.cache.saved(s.CacheScope, hashes(s.SavedPieces))
+		g.cache.recordSave(s.CacheScope, hashes(s.SavedPieces))
 	}
 	chain := hashes(s.SharedPieces)
 	for _, pool := range pools {
-		pool.noteCached(directory.Incarnation{ID: s.Target, StartedMs: s.Born}, chain, s.CachedTokens)
+		pool.recordPeerPrompt(directory.Incarnation{ID: s.Target, StartedMs: s.Born}, chain, s.CachedTokens)
 	}
 }
 
@@ -169,24 +169,24 @@
 		return
 	}
 	for _, pool := range g.enginePools() {
-		pool.suspect(ids)
+		pool.suspectStalled(ids)
 	}
 }
 
 // takePeers puts the peers' loads and the size of the fleet into force.
 // Their updates come with a delay.
-func (g *Gateway) takePeers(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]load, loading map[string]bool) {
+func (g *Gateway) takePeers(now time.Duration, fleet int, silence, delay time.Duration, loads map[string]targetLoad, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.quota.SetFleetSize(now, fleet, silence)
-	g.shareReserves(fleet)
+	g.updateRetryReserves(fleet)
 	for _, f := range g.crashes.unreported {
 		g.peers.crashed(f)
 	}
 	g.crashes.unreported = nil
 	g.loadingNow = with(loading, g.ordered)
-	g.updateRollout()
+	g.updateVersionBounds()
 	for _, pool := range g.engines {
-		pool.setPeers(delay, loads)
+		pool.setPeerLoads(delay, loads)
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -13,16 +13,16 @@
 type outcome int
 
 const (
-	// delivered: the answer went to the caller, whole.
-	delivered outcome = iota
-	// broken: a part of the answer went out and no more will come.
-	broken
-	// notRun: the target has proved that it did not run the request.
-	notRun
-	// unknown: the target may have run it.
-	unknown
-	// notSent: no byte reached the target.
-	notSent
+	// outcomeDelivered: the answer went to the caller, whole.
+	outcomeDelivered outcome = iota
+	// outcomeTruncated: a part of the answer went out and no more will come.
+	outcomeTruncated
+	// outcomeNotRun: the target has proved that it did not run the request.
+	outcomeNotRun
+	// outcomeUnknown: the target may have run it.
+	outcomeUnknown
+	// outcomeNotSent: no byte reached the target.
+	outcomeNotSent
 )
 
 // forward sends the request to targets until one has answered.
@@ -33,58 +33,58 @@
 		return unavailable("no_service", notReadyRetry)
 	}
 	c.service = service
-	g.budget(name).AddRequest()
-	s := &relay{g: g, c: c}
+	g.retryBudget(name).AddRequest()
+	s := &responseRelay{g: g, c: c}
 	unsent := 0
 	for {
-		l, refusal := g.place(ctx, c)
+		l, refusal := g.chooseTarget(ctx, c)
 		if l == nil {
-			return g.giveUp(ctx, c, s, refusal)
+			return g.finishUnanswered(ctx, c, s, refusal)
 		}
-		if refusal := g.recheck(c); refusal != nil {
-			l.ended(overload.Cancelled)
-			return g.giveUp(ctx, c, s, refusal)
+		if refusal := g.revalidate(c); refusal != nil {
+			l.onEnd(overload.Cancelled)
+			return g.finishUnanswered(ctx, c, s, refusal)
 		}
-		result := g.attempt(ctx, c, l, s)
+		result := g.runAttempt(ctx, c, l, s)
 		switch result {
-		case delivered:
+		case outcomeDelivered:
 			g.logAnswered(c, s)
 			return nil
-		case broken:
-			return g.breakOff(c, s)
-		case notSent:
-			if unsent++; unsent < maxUnsent && ctx.Err() == nil {
+		case outcomeTruncated:
+			return g.abortAnswer(c, s)
+		case outcomeNotSent:
+			if unsent++; unsent < maxUnsentAttempts && ctx.Err() == nil {
 				continue
 			}
-			return g.giveUp(ctx, c, s, nil)
-		case unknown:
+			return g.finishUnanswered(ctx, c, s, nil)
+		case outcomeUnknown:
 			c.ran = true
 		}
-		if !g.mayRepeat(ctx, c) {
-			return g.giveUp(ctx, c, s, nil)
+		if !g.takeRetry(ctx, c) {
+			return g.finishUnanswered(ctx, c, s, nil)
 		}
 	}
 }
 
-// maxUnsent bounds the targets that take no connection: after so many the
+// maxUnsentAttempts bounds the targets that take no connection: after so many the
 // service, or the link to it, is down.
-const maxUnsent = 4
+const maxUnsentAttempts = 4
 
-// mayRepeat says whether the request may be sent to another target.
-func (g *Gateway) mayRepeat(ctx context.Context, c *call) bool {
+// takeRetry says whether the request may be sent to another target.
+func (g *Gateway) takeRetry(ctx context.Context, c *call) bool {
 	if ctx.Err() != nil || c.sent >= max(1, c.route.MaxAttempts) {
 		return false
 	}
 	if c.ran && !c.route.Repeatable() {
 		return false
 	}
-	return c.prepaid.Swap(false) || g.budget(c.service.Name).TakeRetry()
+	return c.prepaid.Swap(false) || g.retryBudget(c.service.Name).TakeRetry()
 }
 
-// recheck looks again at what may have changed while the request waited: the
+// revalidate looks again at what may have changed while the request waited: the
 // configuration, the key, and the time, which does not stand still while the
 // machine is suspended.
-func (g *Gateway) recheck(c *call) *Refusal {
+func (g *Gateway) revalidate(c *call) *Refusal {
 	if c.due > 0 && g.clock.Now() >= c.due {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
 	}
@@ -94,21 +94,21 @@
 			return g.unknown(http.StatusNotFound, "no_route")
 		}
 		c.table, c.route = t, route
-		if !routesTo(c) {
-			return unavailable("route_moved", movedRetry)
+		if !routesToService(c) {
+			return unavailable("route_moved", routeMovedRetry)
 		}
 	}
 	return g.authorize(c)
 }
 
-// movedRetry is the hint when a route moved to another service while its
+// routeMovedRetry is the hint when a route moved to another service while its
 // request waited.
-const movedRetry = 50 * time.Millisecond
+const routeMovedRetry = 50 * time.Millisecond
 
-// routesTo says whether the route still leads to the request's service.
-func routesTo(c *call) bool { return leadsTo(c.route, c.service.Name) }
+// routesToService says whether the route still leads to the request's service.
+func routesToService(c *call) bool { return routeIncludes(c.route, c.service.Name) }
 
-func leadsTo(r *routing.Route, service string) bool {
+func routeIncludes(r *routing.Route, service string) bool {
 	for _, w := range r.Split {
 		if w.Service == service && w.Weight > 0 {
 			return true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 	// ordered are the targets that load by this instance's orders.
 	ordered       []string
 	versionRecord versionRecord
-	suspension    suspension
+	suspension    suspensionDetector
 	// wall is the time of day.
 	wall func() time.Time
 	// ordersHeldAt is when a peer last reported that it holds the lease for orders.
@@ -208,7 +208,7 @@
 	for sleep(ctx, sweepEvery) {
 		g.suspension.tick(g.clock.Now())
 		g.mu.Lock()
-		g.updateRollout() // bounds are reached also while no peer reports
+		g.updateVersionBounds() // bounds are reached also while no peer reports
 		g.mu.Unlock()
 		g.targets.Sweep()
 		g.callers.closeIdle()
@@ -220,7 +220,7 @@
 // connections are dropped: a probe has to make a new one.
 func (g *Gateway) checkSilence() {
 	for _, pool := range g.enginePools() {
-		for _, address := range pool.checkSilence() {
+		for _, address := range pool.checkStalled() {
 			g.targets.Forget(address)
 		}
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -66,8 +66,8 @@
 	m.set.GetOrCreateCounter(`mastictray_broken_off_total`).Inc()
 }
 
-func (m *gatewayMetrics) answered(c *call, s *relay, total time.Duration) {
+func (m *gatewayMetrics) answered(c *call, s *responseRelay, total time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`mastictray_answered_total{route=%q,status="%d",attempts="%d"}`, c.route.Name, s.status, c.sent)).Inc()
-	m.set.GetOrCreateHistogram(fmt.Sprintf(`mastictray_first_seconds{route=%q}`, c.route.Name)).Update(s.firstAt.Seconds())
+	m.set.GetOrCreateHistogram(fmt.Sprintf(`mastictray_first_seconds{route=%q}`, c.route.Name)).Update(s.firstByteAfter.Seconds())
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`mastictray_total_seconds{route=%q}`, c.route.Name)).Update(total.Seconds())
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -147,7 +147,7 @@
 		g.nameVersion(v, namedBy, "store", estimated || g.versionsOf(v.Model).knows(v.Version))
 	}
 	if atStart {
-		g.updateRollout()
+		g.updateVersionBounds()
 	}
 }
 
@@ -217,7 +217,7 @@
 		return
 	}
 	logline.Info("weights_named", "model", v.Model, "version", v.Version, "from", from, "age", g.clock.Now()-namedBy, "estimated", estimated)
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // versionsOf are the versions of a model. The caller holds g.mu.
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -19,9 +19,9 @@
 	target := func(v int64) directory.Registration {
 		return directory.Registration{Versions: map[string]int64{"m": v}}
 	}
-	is.Equal(leastByTargets([]directory.Registration{target(2), target(2), target(1)}, "m", 2), int64(2))
-	is.Equal(leastByTargets([]directory.Registration{target(2), target(1), target(1)}, "m", 2), int64(1))
-	is.Equal(leastByTargets(nil, "m", 2), int64(0))
+	is.Equal(minVersionFromTargets([]directory.Registration{target(2), target(2), target(1)}, "m", 2), int64(2))
+	is.Equal(minVersionFromTargets([]directory.Registration{target(2), target(1), target(1)}, "m", 2), int64(1))
+	is.Equal(minVersionFromTargets(nil, "m", 2), int64(0))
 	var n namedVersions
 	n.addEstimate(2, 0)
 	is.True(n.newest().estimated)
@@ -41,8 +41,8 @@
 	for _, v := range []int64{4, 4, 3, 3, 3, 2, 2, 2, 2, 2} {
 		targets = append(targets, directory.Registration{Versions: map[string]int64{"m": v}})
 	}
-	is.Equal(leastByTargets(targets, "m", 4), int64(3))
-	is.Equal(leastByTargets(targets[5:], "m", 4), int64(2)) // nobody would be left
+	is.Equal(minVersionFromTargets(targets, "m", 4), int64(3))
+	is.Equal(minVersionFromTargets(targets[5:], "m", 4), int64(2)) // nobody would be left
 }
 
 // Versions come late, in any order, from the store and from peers. The bound
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -11,44 +11,44 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// leg is one attempt at one target.
-type leg struct {
+// targetAttempt is one attempt at one target.
+type targetAttempt struct {
 	target directory.Registration
-	// source is the address of a target to fetch pieces from; empty for none.
-	source string
-	// sourceHolds is the leading pieces that it is known to hold.
-	sourceHolds int
-	// saves says that the target saves what it reads, under the scope.
-	saves bool
-	scope string
+	// fetchSource is the address of a target to fetch pieces from; empty for none.
+	fetchSource string
+	// fetchSourcePieces is the leading pieces that it is known to hold.
+	fetchSourcePieces int
+	// savesToStore says that the target savesToStore what it reads, under the scope.
+	savesToStore bool
+	cacheScope   string
 	// choice is what placement expected, for the log.
-	choice choice
-	// sent is called with what ends the attempt before its request is
+	choice placementInfo
+	// onSend is called with what ends the attempt before its request is
 	// written, progressed for each part of the answer, answered for the first one,
 	// ended once at the end, unreachable when no connection was made.
-	sent        func(cut func(), m mobility)
-	progressed  func()
-	answered    func()
-	ended       func(overload.Result)
-	unreachable func()
+	onSend        func(cut func(), m cancelPolicy)
+	onProgress    func()
+	onAnswer      func()
+	onEnd         func(overload.Result)
+	onUnreachable func()
 }
 
-// choice is what placement knew and expected when it chose a target.
-type choice struct {
-	cached   int
-	uncached int
-	expected time.Duration
-	// targets is the number that could have been chosen.
-	targets int
-	// weights is the version that the target had to have; 0 for any.
-	weights int64
+// placementInfo is what placement knew and expected when it chose a target.
+type placementInfo struct {
+	cachedPieces   int
+	uncachedTokens int
+	expectedTTFT   time.Duration
+	// eligibleTargets is the number that could have been chosen.
+	eligibleTargets int
+	// weightsVersion is the version that the target had to have; 0 for any.
+	weightsVersion int64
 }
 
-// place chooses a target for the next attempt and waits for it if need be. A
+// chooseTarget chooses a target for the next attempt and waits for it if need be. A
 // nil leg without a refusal means that the context ended.
-func (g *Gateway) place(ctx context.Context, c *call) (*leg, *Refusal) {
+func (g *Gateway) chooseTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	if c.service.Engine != nil {
-		return g.placeEngine(ctx, c)
+		return g.chooseEngineTarget(ctx, c)
 	}
 	g.mu.Lock()
 	pool := g.service(c.service.Name)
@@ -60,10 +60,10 @@
 	if !ok {
 		return nil, unavailable("no_target", noTargetRetry)
 	}
-	return &leg{
-		target: ch.target, sent: func(func(), mobility) {}, progressed: func() {}, answered: func() {},
-		ended:       func(r overload.Result) { pool.ended(ch, r) },
-		unreachable: func() { pool.unreachable(ch) },
+	return &targetAttempt{
+		target: ch.target, onSend: func(func(), cancelPolicy) {}, onProgress: func() {}, onAnswer: func() {},
+		onEnd:         func(r overload.Result) { pool.endAttempt(ch, r) },
+		onUnreachable: func() { pool.recordUnreachable(ch) },
 	}, nil
 }
 
@@ -71,11 +71,11 @@
 // time until one comes back or a breaker lets a probe through.
 const noTargetRetry = 300 * time.Millisecond
 
-func (g *Gateway) placeEngine(ctx context.Context, c *call) (*leg, *Refusal) {
+func (g *Gateway) chooseEngineTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	g.mu.Lock()
 	pool := g.engine(c.service.Name)
 	g.mu.Unlock()
-	pl, refusal := pool.acquire(ctx, g.queued(c))
+	pl, refusal := pool.acquire(ctx, g.newEngineRequest(c))
 	switch {
 	case refusal != nil:
 		reason := "queue_" + string(refusal.Reason)
@@ -86,37 +86,37 @@
 	case pl == nil:
 		return nil, nil
 	}
-	l := &leg{}
-	*l = leg{
-		target: pl.target, source: pl.source, sourceHolds: pl.sourceHolds,
-		choice: choice{cached: pl.send.Decision.CachedPieces, uncached: int(pl.send.Decision.UncachedTokens), expected: pl.send.Decision.Expected, targets: pl.targets, weights: weightsFor(c, &pl.target)},
-		answered: func() {
-			if !pl.prefilled {
-				g.noteRead(c, l, pl)
+	l := &targetAttempt{}
+	*l = targetAttempt{
+		target: pl.target, fetchSource: pl.fetchSource, fetchSourcePieces: pl.fetchSourcePieces,
+		choice: placementInfo{cachedPieces: pl.send.Decision.CachedPieces, uncachedTokens: int(pl.send.Decision.UncachedTokens), expectedTTFT: pl.send.Decision.Expected, eligibleTargets: pl.eligibleTargets, weightsVersion: expectedWeights(c, &pl.target)},
+		onAnswer: func() {
+			if !pl.firstTokenSeen {
+				g.recordPromptRead(c, l, pl)
 			}
-			pool.answered(pl)
+			pool.recordFirstToken(pl)
 		},
-		sent:        func(cut func(), m mobility) { pool.sent(pl, cut, m) },
-		progressed:  func() { pool.progressed(pl) },
-		ended:       func(r overload.Result) { pool.ended(pl, r) },
-		unreachable: func() { pool.unreachable(pl) },
+		onSend:        func(cut func(), m cancelPolicy) { pool.startAttempt(pl, cut, m) },
+		onProgress:    func() { pool.recordProgress(pl) },
+		onEnd:         func(r overload.Result) { pool.endAttempt(pl, r) },
+		onUnreachable: func() { pool.recordUnreachable(pl) },
 	}
 	return l, nil
 }
 
-// noteRead notes that a target has read the prompt, and whether it saves it.
-func (g *Gateway) noteRead(c *call, l *leg, pl *placed) {
-	if !l.saves {
+// recordPromptRead notes that a target has read the prompt, and whether it saves it.
+func (g *Gateway) recordPromptRead(c *call, l *targetAttempt, pl *enginePlacement) {
+	if !l.savesToStore {
 		g.peers.sentPrompt(pl, "", nil)
 		return
 	}
-	pieces := sharedPieces(c)
-	g.cache.saved(l.scope, pieces)
-	g.peers.sentPrompt(pl, l.scope, pieces)
+	pieces := sharedPieceHashes(c)
+	g.cache.recordSave(l.cacheScope, pieces)
+	g.peers.sentPrompt(pl, l.cacheScope, pieces)
 }
 
-// sharedPieces are the names of the prompt's pieces that other requests share.
-func sharedPieces(c *call) []prefix.Hash {
+// sharedPieceHashes are the names of the prompt's pieces that other requests share.
+func sharedPieceHashes(c *call) []prefix.Hash {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
@@ -137,9 +137,9 @@
 	return tokens
 }
 
-// queued describes the request to the queue and to placement.
-func (g *Gateway) queued(c *call) *waiting {
-	q := &waiting{Account: accountName(c), Priority: fairqueue.MaxPriority - urgency(c), Deadline: c.nextEventDue()}
+// newEngineRequest describes the request to the queue and to placement.
+func (g *Gateway) newEngineRequest(c *call) *engineRequest {
+	q := &engineRequest{Account: accountName(c), Priority: fairqueue.MaxPriority - urgency(c), Deadline: c.nextEventDeadline()}
 	switch {
 	case c.resumed():
 		// Its caller has a part of the answer and waits within a shorter bound.
@@ -159,22 +159,22 @@
 	}
 	q.Placement.PromptTokens = c.Prompt.Tokens
 	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutputTokens
-	q.Placement.Chain, q.Placement.PieceEnds = chainOf(c)
+	q.Placement.Chain, q.Placement.PieceEnds = prefixChain(c)
 	return q
 }
 
 // resumed says that the caller has a part of the answer already.
 func (c *call) resumed() bool { return c.lastEventAt > 0 }
 
-// nextEventDue is when the next event of a stream is due at the latest: the
+// nextEventDeadline is when the next event of a stream is due at the latest: the
 // first one, or after a resumption the one behind the last that went out.
 // Callers leave a stream that brings nothing for long, well before their
 // deadline; what starts after that runs for nobody.
-func (c *call) nextEventDue() time.Duration {
+func (c *call) nextEventDeadline() time.Duration {
 	if c.route.Kind != routing.Stream {
 		return c.due
 	}
-	due := max(c.began, c.lastEventAt) + max(minStreamPatience, streamObjectives*c.route.LatencyObjective, streamGaps*c.route.GapObjective)
+	due := max(c.began, c.lastEventAt) + max(minStreamWait, streamWaitObjectives*c.route.LatencyObjective, streamWaitGaps*c.route.GapObjective)
 	if c.due > 0 {
 		due = min(due, c.due)
 	}
@@ -184,15 +184,15 @@
 // How long callers wait for the next event of a stream: the longest of a time,
 // some latency objectives and some gaps. The callers' own rule, as agreed.
 const (
-	minStreamPatience = 2 * time.Second
-	streamObjectives  = 4
-	streamGaps        = 8
+	minStreamWait        = 2 * time.Second
+	streamWaitObjectives = 4
+	streamWaitGaps       = 8
 )
 
-// chainOf gives the hashes of the prompt's shared pieces, each bound to those
+// prefixChain gives the hashes of the prompt's shared pieces, each bound to those
 // before it and to who may share it. The last piece is the request's own, and
 // nothing is gained by remembering it.
-func chainOf(c *call) (chain []prefix.Hash, ends []int) {
+func prefixChain(c *call) (chain []prefix.Hash, ends []int) {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -101,7 +101,7 @@
 	for _, e := range changes {
 		logEvent(e)
 	}
-	g.limits.keep(g.directory.Has)
+	g.limits.retain(g.directory.Has)
 	g.updatePools()
 }
 
@@ -149,12 +149,12 @@
 		s := &t.Config().Services[i]
 		switch {
 		case s.Engine != nil:
-			g.engine(s.Name).update(g.directory.Usable(s.Name), s.Engine)
+			g.engine(s.Name).updateTargets(g.directory.Usable(s.Name), s.Engine)
 		case s.Cache == nil:
-			g.service(s.Name).update(g.directory.Usable(s.Name))
+			g.service(s.Name).updateTargets(g.directory.Usable(s.Name))
 		}
 	}
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // engineOf is the pool of a call's service.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -38,9 +38,9 @@
 	Pieces []Piece
 	// Tokens is the size of the prompt, MaxOutput the most tokens of answer;
 	// Counted says that the caller gave them.
-	Tokens    int
+	Tokens          int
 	MaxOutputTokens int
-	TokensDeclared   bool
+	TokensDeclared  bool
 }
 
 // Piece is one part of a prompt.
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -210,10 +210,10 @@
 	const trueAge = 10 * time.Second
 	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(3*time.Second - trueAge)}}}
 	p := startOn(store, "a")
-	pl, refusal := p.engine("engines").acquire(t.Context(), &waiting{Account: "acc"})
+	pl, refusal := p.engine("engines").acquire(t.Context(), &engineRequest{Account: "acc"})
 	is.True(refusal == nil)
 	cut := false
-	p.engine("engines").sent(pl, func() { cut = true }, mobility{})
+	p.engine("engines").startAttempt(pl, func() { cut = true }, cancelPolicy{})
 	p.versionRecordStep(t.Context())
 	is.True(cut)
 }
@@ -276,13 +276,13 @@
 func (p *probed) excluded() []int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.updateRollout()
+	p.updateVersionBounds()
 	pool := p.engine("engines")
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	var versions []int64
 	for _, r := range p.targets {
-		if behind(&r, pool.bounds.least) {
+		if hasOlderWeights(&r, pool.bounds.minToSend) {
 			versions = append(versions, r.Versions["m"])
 		}
 	}
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -99,7 +99,7 @@
 		goal.Deadlines = g.weightsDeadlines(all)
 		targets := g.directory.Usable(s.Name)
 		if pool := g.engines[s.Name]; pool != nil {
-			goal.Unreachable = pool.unanswering()
+			goal.Unreachable = pool.openBreakers()
 		}
 		if g.planner.HasPending(goal, targets) {
 			work = append(work, rollingOut{goal: goal, targets: targets, since: v.at})
@@ -204,7 +204,7 @@
 		return
 	}
 	g.ordered, g.loadingNow = ordered, with(g.loadingNow, ordered)
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // with is a set with more members; the set itself stays as it is.
@@ -235,7 +235,7 @@
 	g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), &o)
 	for model, v := range o.Versions {
 		if pool := g.engines[t.Service]; pool != nil && !o.Busy {
-			pool.served(t.Incarnation(), model, v)
+			pool.recordServedVersion(t.Incarnation(), model, v)
 		}
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -47,7 +47,7 @@
 	// tried is the target of the last attempt, choice why it was chosen and
 	// placedAt when.
 	tried    string
-	choice   choice
+	choice   placementInfo
 	placedAt time.Duration
 }
 
@@ -251,7 +251,7 @@
 		return &Refusal{Status: http.StatusBadRequest, Reason: "body_unreadable", NotRun: true}
 	}
 	c.Body = body
-	c.fingerprint = fingerprint(c)
+	c.fingerprint = requestFingerprint(c)
 	return nil
 }
 
@@ -266,7 +266,7 @@
 	if g.table.Load() != c.table {
 		return nil, false // it changes under g.mu, together with the limits
 	}
-	if g.crashes.refused(g.clock.Now(), c.fingerprint) {
+	if g.crashes.isBlocked(g.clock.Now(), c.fingerprint) {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "crashes_targets", NotRun: true, RetryAfter: barredRetry}, true
 	}
 	if c.account == nil {
--- a/internal/gateway/servicepool.go
+++ b/internal/gateway/servicepool.go
@@ -23,23 +23,23 @@
 }
 
 type serviceTarget struct {
-	reg      directory.Registration
-	inFlight int
-	breaker  *overload.Breaker
+	registration directory.Registration
+	inFlight     int
+	breaker      *overload.Breaker
 }
 
 func newServicePool(now func() time.Duration, domain string, limits *targetLimits) *servicePool {
 	return &servicePool{now: now, domain: domain, limits: limits, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// update takes the service's usable targets; what is known of those that stay
+// updateTargets takes the service's usable targets; what is known of those that stay
 // is kept.
-func (p *servicePool) update(regs []directory.Registration) {
+func (p *servicePool) updateTargets(regs []directory.Registration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := make([]serviceTarget, 0, len(regs))
 	for _, r := range regs {
-		t := serviceTarget{reg: r}
+		t := serviceTarget{registration: r}
 		if old := p.find(r.Incarnation()); old != nil {
 			t.inFlight, t.breaker = old.inFlight, old.breaker
 		} else {
@@ -52,15 +52,15 @@
 
 func (p *servicePool) find(id directory.Incarnation) *serviceTarget {
 	for i := range p.targets {
-		if p.targets[i].reg.Incarnation() == id {
+		if p.targets[i].registration.Incarnation() == id {
 			return &p.targets[i]
 		}
 	}
 	return nil
 }
 
-// chosen is a target for one attempt.
-type chosen struct {
+// serviceChoice is a target for one attempt.
+type serviceChoice struct {
 	target  directory.Registration
 	breaker *overload.Breaker
 	ticket  overload.Ticket
@@ -68,14 +68,14 @@
 
 // acquire chooses the target with the fewest requests of this instance, of the
 // own domain where that is equal. False when none may get one.
-func (p *servicePool) acquire(exclude string) (*chosen, bool) {
+func (p *servicePool) acquire(exclude string) (*serviceChoice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.scratch = p.scratch[:0]
 	for _, t := range p.targets {
 		p.scratch = append(p.scratch, placement.ServiceTarget{
-			Name: t.reg.ID, Domain: t.reg.Domain, Outstanding: t.inFlight, Usable: t.breaker.Ready(now) && p.limits.open(t.reg.Incarnation()),
+			Name: t.registration.ID, Domain: t.registration.Domain, Outstanding: t.inFlight, Usable: t.breaker.Ready(now) && p.limits.canSend(t.registration.Incarnation()),
 		})
 	}
 	i, ok := placement.LeastOutstanding(p.scratch, p.domain, exclude, maxOutstanding, p.rng)
@@ -84,16 +84,16 @@
 	}
 	t := &p.targets[i]
 	t.inFlight++
-	p.limits.sent(t.reg.Incarnation())
-	return &chosen{target: t.reg, breaker: t.breaker, ticket: t.breaker.Begin()}, true
+	p.limits.recordSend(t.registration.Incarnation())
+	return &serviceChoice{target: t.registration, breaker: t.breaker, ticket: t.breaker.Begin()}, true
 }
 
 // maxOutstanding bounds this instance's requests at one target, far above what
 // a target runs at once: it only stops a pile-up behind one that hangs.
 const maxOutstanding = 64
 
-// ended takes in the end of an attempt and what it says of the target.
-func (p *servicePool) ended(c *chosen, result overload.Result) {
+// endAttempt takes in the end of an attempt and what it says of the target.
+func (p *servicePool) endAttempt(c *serviceChoice, result overload.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.find(c.target.Incarnation()); t != nil {
@@ -102,8 +102,8 @@
 	c.breaker.End(p.now(), c.ticket, result, p.rng)
 }
 
-// unreachable takes in that the target takes no connection.
-func (p *servicePool) unreachable(c *chosen) {
+// recordUnreachable takes in that the target takes no connection.
+func (p *servicePool) recordUnreachable(c *serviceChoice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.breaker.Unreachable(p.now(), p.rng)
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// suspendedAfter is the pause between two ticks from which the process
+	// suspensionThreshold is the pause between two ticks from which the process
 	// counts as suspended: four times the usual one.
-	suspendedAfter = 4 * sweepEvery
-	// suspensionKept is how long after its end a suspension is reported. By
+	suspensionThreshold = 4 * sweepEvery
+	// suspensionReportPeriod is how long after its end a suspension is reported. By
 	// then what came in meanwhile has been read, and each live peer has sent a
 	// message or, every 2 s, been announced.
-	suspensionKept = 2500 * time.Millisecond
+	suspensionReportPeriod = 2500 * time.Millisecond
 )
 
-// suspension notices that this process was suspended, as when its machine
-// freezes. What it receives right after that may be as old as the suspension.
-type suspension struct {
+// suspensionDetector notices that this process was suspended, as when its machine
+// freezes. What it receives right after that may be as old as the suspensionDetector.
+type suspensionDetector struct {
 	mu       sync.Mutex
 	tickedAt time.Duration
-	length   time.Duration
+	duration time.Duration
 	endedAt  time.Duration
 }
 
 // tick is called all the while.
-func (s *suspension) tick(now time.Duration) {
+func (s *suspensionDetector) tick(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if gap := now - s.tickedAt; gap > suspendedAfter {
-		s.length, s.endedAt = gap, now
+	if gap := now - s.tickedAt; gap > suspensionThreshold {
+		s.duration, s.endedAt = gap, now
 	}
 	s.tickedAt = now
 }
 
 // recent is the length of a suspension that has just ended; 0 for none.
-func (s *suspension) recent(now time.Duration) time.Duration {
+func (s *suspensionDetector) recent(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if gap := now - s.tickedAt; gap > suspendedAfter {
+	if gap := now - s.tickedAt; gap > suspensionThreshold {
 		return gap // not noticed yet
 	}
-	if s.length > 0 && now-s.endedAt < suspensionKept {
-		return s.length
+	if s.duration > 0 && now-s.endedAt < suspensionReportPeriod {
+		return s.duration
 	}
 	return 0
 }
--- a/internal/gateway/versionrecord.go
+++ b/internal/gateway/versionrecord.go
@@ -147,5 +147,5 @@
 			logline.Info("weights_dated", "model", v.Model, "version", v.Version, "age", age)
 		}
 	}
-	g.updateRollout()
+	g.updateVersionBounds()
 }
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/waiting_test.go
@@ -18,16 +18,16 @@
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
 	pool := p.engine("engines")
-	send := func() (pl *placed, cut *bool) {
-		pl, refusal := pool.acquire(t.Context(), &waiting{Account: "acc"})
+	send := func() (pl *enginePlacement, cut *bool) {
+		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
 		cut = new(bool)
-		pool.sent(pl, func() { *cut = true }, mobility{})
+		pool.startAttempt(pl, func() { *cut = true }, cancelPolicy{})
 		return pl, cut
 	}
 	_, waits := send()
 	answers, answered := send()
-	pool.answered(answers)
+	pool.recordFirstToken(answers)
 	older := func(age time.Duration) {
 		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 			{Model: "m", Version: 3, AgeMillis: age.Milliseconds(), Observed: true},
@@ -47,17 +47,17 @@
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
 	pool := p.engine("engines")
-	var waits []*placed
+	var waits []*enginePlacement
 	for range 8 {
-		pl, refusal := pool.acquire(t.Context(), &waiting{Account: "acc"})
+		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
-		pool.sent(pl, func() {}, mobility{})
+		pool.startAttempt(pl, func() {}, cancelPolicy{})
 		waits = append(waits, pl)
 	}
 	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
 	p.excluded()
 	for _, pl := range waits {
-		pool.ended(pl, overload.Failed)
+		pool.endAttempt(pl, overload.Failed)
 	}
 	is.Equal(pool.breaker("a").State(), overload.Closed)
 }
@@ -69,29 +69,29 @@
 	pool := p.engine("engines")
 	now := time.Duration(0)
 	pool.now = func() time.Duration { return now }
-	start := func(resumable bool) (pl *placed, cut *bool) {
-		pl, refusal := pool.acquire(t.Context(), &waiting{Account: "acc"})
+	start := func(resumable bool) (pl *enginePlacement, cut *bool) {
+		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
 		cut = new(bool)
-		pool.sent(pl, func() { *cut = true }, mobility{resumable: func() bool { return resumable }})
-		pool.answered(pl)
+		pool.startAttempt(pl, func() { *cut = true }, cancelPolicy{reserveResume: func() bool { return resumable }})
+		pool.recordFirstToken(pl)
 		return pl, cut
 	}
 	pl, moved := start(true)
 	_, stays := start(false)
 	loading := map[string]bool{}
-	for id := range pool.regs {
+	for id := range pool.registrations {
 		loading[id] = true
 	}
-	pool.setRollout(versionBounds{}, loading)
-	now += moveAfter
-	pool.setRollout(versionBounds{}, loading)
+	pool.applyRollout(versionBounds{}, loading)
+	now += streamMoveDelay
+	pool.applyRollout(versionBounds{}, loading)
 	is.True(!*moved) // there is no other target
 	loading = map[string]bool{pl.target.ID: true}
-	pool.setRollout(versionBounds{}, loading)
+	pool.applyRollout(versionBounds{}, loading)
 	is.True(*moved)
 	is.True(!*stays)
-	pool.ended(pl, overload.Failed)
+	pool.endAttempt(pl, overload.Failed)
 	is.Equal(pool.breaker(pl.target.ID).State(), overload.Closed)
 }
 
@@ -102,13 +102,13 @@
 	c := &call{route: &routing.Route{Kind: routing.Stream, LatencyObjective: 400 * time.Millisecond, GapObjective: 250 * time.Millisecond}}
 	c.Request, c.service = &Request{}, &routing.Service{}
 	c.began, c.due = time.Second, 16*time.Second
-	is.Equal(c.nextEventDue(), 3*time.Second)
+	is.Equal(c.nextEventDeadline(), 3*time.Second)
 	c.lastEventAt = 5 * time.Second
-	q := (&Gateway{}).queued(c)
+	q := (&Gateway{}).newEngineRequest(c)
 	is.Equal(q.Deadline, 7*time.Second)
 	is.Equal(q.Objective, 5250*time.Millisecond)
 	c.lastEventAt = 15 * time.Second
-	is.Equal(c.nextEventDue(), c.due)
+	is.Equal(c.nextEventDeadline(), c.due)
 }
 
 // Guards against streams that move together on one attempt of the retry budget
@@ -130,7 +130,7 @@
 		c.sent = 1
 		return c
 	}
-	budget := p.budget("engines")
+	budget := p.retryBudget("engines")
 	budget.SetReserve(6)
 	for range 100 {
 		budget.AddRequest()
@@ -138,9 +138,9 @@
 	moved := 0
 	for range 20 {
 		c := newCall()
-		if p.mobility(c).resumable() {
+		if p.cancelPolicyFor(c).reserveResume() {
 			moved++
-			is.True(p.mayRepeat(t.Context(), c))
+			is.True(p.takeRetry(t.Context(), c))
 		}
 	}
 	is.True(moved > 0)
@@ -152,6 +152,6 @@
 	// Guards against a stream that is ended though its key or route is gone.
 	config.Routes = nil
 	p.table.Store(routing.NewTable(&config))
-	is.True(!p.mobility(newCall()).resumable())
+	is.True(!p.cancelPolicyFor(newCall()).reserveResume())
 	is.Equal(budget.Available(), 6.0)
 }
