--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,46 +13,47 @@
 	"github.com/mastictray/mastictray/internal/targetconn"
 )
 
-// runAttempt sends the request to one target and relays what comes.
-func (g *Gateway) runAttempt(ctx context.Context, c *call, l *targetAttempt, s *responseRelay) outcome {
-	c.tried, c.choice = l.target.ID, l.choice
+// runAttempt sends the request to one target and relays its response.
+func (g *Gateway) runAttempt(ctx context.Context, c *call, a *targetAttempt, relay *responseRelay) outcome {
+	c.tried, c.choice = a.target.ID, a.choice
 	c.placedAt = g.clock.Now()
-	conn, err := g.targets.Get(ctx, l.target.Address, g.maxConnIdle(c))
+	conn, err := g.targets.Get(ctx, a.target.Address, g.maxConnIdle(c))
 	if err != nil {
 		if ctx.Err() != nil {
-			l.onEnd(overload.Cancelled)
+			a.onEnd(overload.Cancelled)
 		} else {
-			l.onUnreachable()
-			l.onEnd(overload.Failed)
+			a.onUnreachable()
+			a.onEnd(overload.Failed)
 		}
-		g.logFailedAttempt(c, l, "not_sent", err)
+		g.logFailedAttempt(c, a, "not_sent", err)
 		return outcomeNotSent
 	}
 	c.sent++
-	l.onSend(conn.Close, g.cancelPolicyFor(c))
+	a.onSend(conn.Close, g.cancelPolicyFor(c))
 	stop := context.AfterFunc(ctx, conn.Close)
-	result, err := g.roundTrip(ctx, c, l, s, conn)
+	result, err := g.roundTrip(ctx, c, a, relay, conn)
 	if !stop() {
 		conn.Break()
 	}
-	// Nobody may cut the connection once another request can have it.
-	l.onEnd(breakerResult(ctx, result, err))
+	// End the attempt before its connection returns to the pool. Cancelling it later would
+	// close a connection that may serve another request by then.
+	a.onEnd(breakerResult(ctx, result, err))
 	if result == outcomeDelivered {
 		g.targets.Put(conn)
 	} else {
 		conn.Close()
 	}
 	if result != outcomeDelivered {
-		g.logFailedAttempt(c, l, result.String(), err)
+		g.logFailedAttempt(c, a, result.String(), err)
 		g.recordCrash(ctx, c, result, err)
 	}
 	return result
 }
 
-// errServerError marks an answer by which the target says that it failed.
+// errServerError marks a response in which the target reports a failure of its own.
 var errServerError = errors.New("target: server error")
 
-// breakerResult is what an attempt says of its target.
+// breakerResult returns the result of an attempt for the target's circuit breaker.
 func breakerResult(ctx context.Context, result outcome, err error) overload.Result {
 	switch {
 	case result == outcomeDelivered && !errors.Is(err, errServerError):
@@ -60,15 +61,15 @@
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
 		return overload.Cancelled
 	case result == outcomeNotRun:
-		// It is full or leaving, not broken.
+		// The target is full or leaving, not failing.
 		return overload.Cancelled
 	}
 	return overload.Failed
 }
 
-// maxConnIdle is the longest idle time of a connection for the request. One that
-// may not be repeated takes a connection that cannot have been closed for
-// idleness meanwhile: a reset would leave open whether it ran.
+// maxConnIdle returns the maximum idle time of a pooled connection that may be used for the
+// request. A request that may not be retried needs a connection that the target cannot have
+// closed for idleness: after a reset it is unknown whether the request ran.
 func (g *Gateway) maxConnIdle(c *call) time.Duration {
 	if c.route.Repeatable() {
 		return maxIdleRepeatable
@@ -78,56 +79,57 @@
 
 const (
 	maxIdleRepeatable = time.Minute
-	// maxIdleNonRepeatable is under the shortest time after which servers were seen to
-	// drop an idle connection without notice, 300 ms. A booking sent on one is
-	// reset, and its caller cannot know whether it ran. With 1.5 s, 11 of 7,500
-	// requests ended so while servers did that, with this 6, for 3% more
-	// connections.
+	// maxIdleNonRepeatable is below the shortest time after which servers were seen to drop
+	// an idle connection without notice, 300 ms. A booking sent on such a connection is
+	// reset, and its caller cannot know whether it ran. With servers that do this, 11 of
+	// 7,500 requests failed in this way at a limit of 1.5 s and 6 at this one, which opens
+	// 3% more connections.
 	maxIdleNonRepeatable = 250 * time.Millisecond
 )
 
-// roundTrip sends the request on a connection and relays the answer.
-func (g *Gateway) roundTrip(ctx context.Context, c *call, l *targetAttempt, s *responseRelay, conn *targetconn.Conn) (outcome, error) {
-	o := g.targetParams(c, l, s)
-	l.savesToStore, l.cacheScope = o.SaveTo != "", o.CacheScope
+// roundTrip sends the request on a connection and relays the response.
+func (g *Gateway) roundTrip(ctx context.Context, c *call, a *targetAttempt, relay *responseRelay, conn *targetconn.Conn) (outcome, error) {
+	params := g.targetParams(c, a, relay)
+	a.savesToStore, a.cacheScope = params.SaveTo != "", params.CacheScope
 	req := &targetconn.Request{
-		Method: c.Method, URI: c.URI, Host: c.Host, Body: c.Body, Header: g.dialect.Encode(c.Request, o),
+		Method: c.Method, URI: c.URI, Host: c.Host, Body: c.Body, Header: g.dialect.Encode(c.Request, params),
 	}
 	resp, err := g.send(ctx, c, conn, req)
 	if err != nil {
 		return outcomeUnknown, err
 	}
 	defer resp.Body.Close()
-	verdict := g.dialect.Inspect(resp)
-	if verdict.RateLimit > 0 || verdict.Signed || verdict.NotRun {
-		g.limits.observe(c.placedAt, l.target.Incarnation(), verdict.RateLimit)
+	info := g.dialect.Inspect(resp)
+	if info.RateLimit > 0 || info.Signed || info.NotRun {
+		g.limits.observe(c.placedAt, a.target.Incarnation(), info.RateLimit)
 	}
-	if verdict.WeightsVersion > 0 && c.Prompt != nil {
-		g.engineOf(c).recordServedVersion(l.target.Incarnation(), c.Prompt.Model, verdict.WeightsVersion)
+	if info.WeightsVersion > 0 && c.Prompt != nil {
+		g.engineOf(c).recordServedVersion(a.target.Incarnation(), c.Prompt.Model, info.WeightsVersion)
 	}
 	switch {
-	case verdict.NotRun:
+	case info.NotRun:
 		if c.service.Engine != nil {
-			g.engineOf(c).recordRefusal(l.target.Incarnation())
+			g.engineOf(c).recordRefusal(a.target.Incarnation())
 		}
 		return outcomeNotRun, errors.Newf("status %d, not run", resp.StatusCode)
-	case !verdict.Signed:
+	case !info.Signed:
 		return outcomeUnknown, errors.Newf("status %d without the target's signature", resp.StatusCode)
 	case resp.StatusCode >= http.StatusInternalServerError && g.canRetryServerError(ctx, c):
 		return outcomeUnknown, errors.Wrapf(errServerError, "status %d", resp.StatusCode)
 	}
-	return s.relayResponse(ctx, l, conn, resp)
+	return relay.relayResponse(ctx, a, conn, resp)
 }
 
-// canRetryServerError says that a failure of the target may be tried elsewhere.
+// canRetryServerError reports whether a request that a target answered with a server error
+// may be retried at another target, so that the error is not relayed.
 func (g *Gateway) canRetryServerError(ctx context.Context, c *call) bool {
 	return ctx.Err() == nil && c.route.Repeatable() && c.sent < c.route.MaxAttempts && !c.wrote &&
 		g.retryBudget(c.service.Name).Available() >= 1
 }
 
-// send writes the request and waits for the head of its answer. Where the
-// request may be repeated and may go elsewhere, it waits for a part of the
-// time only: a target that hangs says nothing until the deadline.
+// send writes the request and waits for the head of the response. If the request may be
+// retried at another target, it waits for attemptTimeout only, because a target that hangs
+// would otherwise take all the time until the deadline.
 func (g *Gateway) send(ctx context.Context, c *call, conn *targetconn.Conn, req *targetconn.Request) (*http.Response, error) {
 	if wait := g.attemptTimeout(c); wait > 0 {
 		t := time.AfterFunc(wait, conn.Close)
@@ -136,8 +138,8 @@
 	return conn.Send(ctx, req, func(resp *http.Response) bool { return g.dialect.MatchesRequest(c.Request, resp) })
 }
 
-// attemptTimeout is how long an attempt may stay without an answer before another
-// target is tried; 0 for as long as the request may.
+// attemptTimeout returns how long an attempt may wait for the head of its response before
+// another target is tried; 0 means until the request's deadline.
 func (g *Gateway) attemptTimeout(c *call) time.Duration {
 	if c.service.Engine != nil || !c.route.Repeatable() || c.sent >= c.route.MaxAttempts {
 		return 0
@@ -146,15 +148,15 @@
 }
 
 const (
-	// minAttemptTimeout is far above the usual time of an answer.
+	// minAttemptTimeout is far above the usual response time.
 	minAttemptTimeout = 60 * time.Millisecond
-	// attemptTimeoutObjectives is the latency objectives after which an answer is worth
-	// less by so much that another target is tried.
+	// attemptTimeoutObjectives is the number of latency objectives after which a response
+	// has lost so much of its value that another target is tried.
 	attemptTimeoutObjectives = 1
 )
 
-// expectedWeights is the version of the weights that a target is expected to answer
-// the request on; 0 when it is not known.
+// expectedWeights returns the weights version that a target is expected to answer the
+// request with; 0 if it is unknown.
 func expectedWeights(c *call, t *directory.Registration) int64 {
 	if c.Prompt == nil {
 		return 0
@@ -162,28 +164,29 @@
 	return t.Versions[c.Prompt.Model]
 }
 
-// targetParams is what goes with the request to the target.
-func (g *Gateway) targetParams(c *call, l *targetAttempt, s *responseRelay) TargetParams {
-	o := TargetParams{
-		Target: l.target.ID, Account: accountName(c), Timeout: g.left(c), Urgency: urgency(c),
-		FetchFrom: l.fetchSource, LastEventID: s.resumeAfter(),
+// targetParams returns what is sent to the target with the request.
+func (g *Gateway) targetParams(c *call, a *targetAttempt, relay *responseRelay) TargetParams {
+	params := TargetParams{
+		Target: a.target.ID, Account: accountName(c), Timeout: g.left(c), Urgency: urgency(c),
+		FetchFrom: a.fetchSource, LastEventID: relay.resumeAfter(),
 	}
 	if c.Prompt != nil {
-		// Pieces made on one version must not serve another: targets look
-		// neither at versions nor at accounts when they fetch. So the scope
-		// names both, and the target must have the version that it names.
-		o.WeightsVersion = expectedWeights(c, &l.target)
-		o.CacheScope = strconv.FormatInt(o.WeightsVersion, 10) + "/" + cacheScope(c)
-		plan := g.cache.plan(o.CacheScope, sharedPieceHashes(c), pieceTokens(c))
-		// All targets share the store's link, and each has its own: the store is
-		// asked only for pieces that it is known to hold beyond what the source
-		// does.
-		if plan.storedPieces > l.fetchSourcePieces {
-			o.FetchFrom = plan.address
+		// Pieces computed with one weights version must not be used with another, nor those
+		// of an isolated account by others. Targets check neither versions nor accounts
+		// when they fetch pieces, so the scope names both, and the target must have the
+		// version that the scope names.
+		params.WeightsVersion = expectedWeights(c, &a.target)
+		params.CacheScope = strconv.FormatInt(params.WeightsVersion, 10) + "/" + cacheScope(c)
+		plan := g.cache.plan(params.CacheScope, sharedPieceHashes(c), pieceTokens(c))
+		// All targets share the link of the store, while each target has a link of its own.
+		// The store is therefore used only if it is known to have more pieces than the
+		// fetch source.
+		if plan.storedPieces > a.fetchSourcePieces {
+			params.FetchFrom = plan.address
 		}
 		if plan.save {
-			o.SaveTo = plan.address
+			params.SaveTo = plan.address
 		}
 	}
-	return o
+	return params
 }
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -9,14 +9,14 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// A target forgets connections that rested for 300 ms and tells nobody. A
-// booking sent on such a one is reset: whether it ran stays open, so nobody may
-// send it again, and the caller gets a failure. A request that may be repeated
-// takes the kept connection and is sent again elsewhere.
-func TestBookingsTakeFreshConnections(t *testing.T) {
+// A target drops connections after 300 ms of idleness without notice. A booking sent on one
+// is reset: it is unknown whether it ran, so it cannot be retried and its caller gets an
+// error. Repeatable requests may use such a connection, because they are retried at another
+// target.
+func TestNonIdempotentRequestsAvoidIdleConnections(t *testing.T) {
 	is := is.New(t)
-	const forgotten = 300 * time.Millisecond
+	const serverIdleTimeout = 300 * time.Millisecond
 	g := &Gateway{}
-	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.NonIdempotent}}) < forgotten)
-	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.Idempotent}}) > forgotten)
+	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.NonIdempotent}}) < serverIdleTimeout)
+	is.True(g.maxConnIdle(&call{route: &routing.Route{Kind: routing.Idempotent}}) > serverIdleTimeout)
 }
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// cachePollWait is how long a question to a store waits for news;
-	// shorter ones are charged as probes.
+	// cachePollWait is how long a poll of a store waits for events. Shorter polls are
+	// charged as probes.
 	cachePollWait = time.Second
-	// cachePollInterval is the pause between questions, so that many events
-	// come in one answer.
+	// cachePollInterval is the pause between polls, so that one response carries many
+	// events.
 	cachePollInterval = 400 * time.Millisecond
-	// cacheRetryDelay is the pause after a question without an answer.
+	// cacheRetryDelay is the pause after a failed poll.
 	cacheRetryDelay = 500 * time.Millisecond
-	// maxCacheReaders is the instances that read a store's events, under what
-	// a store answers at once. The others hear of its life from these.
+	// maxCacheReaders is the maximum number of instances that poll a store, below the
+	// number of requests that a store serves at once. They tell the other instances whether
+	// the store is reachable.
 	maxCacheReaders = 8
 )
 
-// cacheStores are the stores of KV cache that this instance makes targets use.
-// Each prompt has one store, by rendezvous hashing of its last shared piece, so
-// that all instances save and look for it at the same place.
+// cacheStores tracks the KV cache stores that this instance tells targets to use. Each
+// prompt is assigned to one store by rendezvous hashing of its last shared piece, so that
+// all instances save and look up the prompt in the same store.
 type cacheStores struct {
 	g *Gateway
 
@@ -39,23 +40,27 @@
 	stores    map[string]*cacheStore
 }
 
+// cacheStore is what is known of one store.
 type cacheStore struct {
 	index *storeindex.Index
+	// since is the position from which to poll next.
 	since int64
-	// answeredAt is when the store answered last, here or as a peer reported.
+	// answeredAt is when the store last responded to this instance, or when a peer last
+	// reported it as reachable.
 	answeredAt time.Duration
-	polling    bool
+	// polling is set while this instance polls the store.
+	polling bool
 }
 
 func newCacheStores(g *Gateway) *cacheStores {
 	return &cacheStores{g: g, stores: map[string]*cacheStore{}}
 }
 
-// run follows the stores' events until ctx ends.
+// run polls the stores until ctx ends.
 func (s *cacheStores) run(ctx context.Context) {
 	for {
-		reads := s.g.peers.rank() < maxCacheReaders
-		for _, address := range s.updateStores(reads) {
+		isReader := s.g.peers.rank() < maxCacheReaders
+		for _, address := range s.updateStores(isReader) {
 			go s.poll(ctx, address)
 		}
 		if !sleep(ctx, cachePollInterval) {
@@ -64,9 +69,9 @@
 	}
 }
 
-// updateStores finds the stores in the configuration in force, and gives those to
-// read now.
-func (s *cacheStores) updateStores(reads bool) []string {
+// updateStores adopts the stores of the configuration in force and returns the addresses of
+// those to poll now. isReader says whether this instance polls stores.
+func (s *cacheStores) updateStores(isReader bool) []string {
 	addresses := cacheStoreAddresses(s.g.table.Load())
 	now := s.g.clock.Now()
 	s.mu.Lock()
@@ -85,10 +90,10 @@
 	var out []string
 	for address, store := range s.stores {
 		switch {
-		case reads && !store.polling:
+		case isReader && !store.polling:
 			store.polling = true
 			out = append(out, address)
-		case !reads:
+		case !isReader:
 			store.index.StopFollowing()
 			if now-store.answeredAt > goneAfter {
 				store.index.MarkUnreachable()
@@ -98,7 +103,7 @@
 	return out
 }
 
-// cacheStoreAddresses are the addresses of the configuration's stores, in order.
+// cacheStoreAddresses returns the addresses of the configured stores in sorted order.
 func cacheStoreAddresses(t *routing.Table) []string {
 	var out []string
 	if t == nil {
@@ -113,7 +118,7 @@
 	return out
 }
 
-// poll asks one store what has changed.
+// poll asks one store for new events.
 func (s *cacheStores) poll(ctx context.Context, address string) {
 	s.mu.Lock()
 	store := s.stores[address]
@@ -121,33 +126,33 @@
 	if store == nil {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, cachePollWait+orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, cachePollWait+orderTimeout)
 	defer cancel()
-	news, err := s.g.control.CacheEvents(call, address, store.since, cachePollWait)
+	batch, err := s.g.control.CacheEvents(callCtx, address, store.since, cachePollWait)
 	if err != nil {
 		sleep(ctx, cacheRetryDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	store.polling = false
-	_, was := store.index.Reachable()
+	_, wasReachable := store.index.Reachable()
 	if err != nil {
 		store.index.MarkUnreachable()
-		if was {
+		if wasReachable {
 			logline.Error(err, "cache_store_lost", "address", address)
 		}
 		return
 	}
-	if !was {
-		logline.Info("cache_store_found", "address", address, "boot", news.BootEpoch)
+	if !wasReachable {
+		logline.Info("cache_store_found", "address", address, "boot", batch.BootEpoch)
 	}
 	store.answeredAt = s.g.clock.Now()
-	store.index.Apply(store.answeredAt, news)
-	store.since = news.Next
+	store.index.Apply(store.answeredAt, batch)
+	store.since = batch.Next
 }
 
-// storeAddress is the address storeAddress the store for a prompt with these shared pieces. The
-// caller holds s.mu.
+// storeAddress returns the address of the store for a prompt with these shared pieces;
+// empty if there is none. The caller holds s.mu.
 func (s *cacheStores) storeAddress(pieces []prefix.Hash) string {
 	if len(s.addresses) == 0 || len(pieces) == 0 {
 		return ""
@@ -159,18 +164,18 @@
 	return s.addresses[placement.RendezvousOrder(pieces[len(pieces)-1], s.addresses, usable)[0]]
 }
 
-// cachePlan is what a request should do with the store of its pieces.
+// cachePlan says how a request uses the store of its prompt.
 type cachePlan struct {
-	// address is the store; empty for none that answers.
+	// address is the address of the store; empty if it is not reachable.
 	address string
-	// storedPieces is the leading pieces that it is known to hold.
+	// storedPieces is the number of leading pieces that the store is known to have.
 	storedPieces int
-	// save says that the target should save what it reads there.
+	// save says that the target should save the pieces that it reads to the store.
 	save bool
 }
 
-// plan says what a request with these shared pieces, and so many tokens in each
-// of all its pieces, should do with their store.
+// plan returns how a request uses the store of its prompt. pieces are the prompt's shared
+// pieces, tokens the sizes of all its pieces.
 func (s *cacheStores) plan(scope string, pieces []prefix.Hash, tokens []int) cachePlan {
 	now := s.g.clock.Now()
 	s.mu.Lock()
@@ -187,31 +192,32 @@
 	return cachePlan{address: address, storedPieces: n, save: shouldSave(n, len(pieces), tokens)}
 }
 
-// shouldSave says whether a target should save a prompt to a store that holds
-// its first pieces. It saves all that it reads, also the own part, which nobody
-// asks for again and which pushes out pieces that others need: once new weights
-// are named and every opening is saved anew, the own parts alone fill a store.
-// So a prompt is saved whose own part is not too large beside what is missing;
-// the next one with the same opening may have a smaller one.
+// shouldSave reports whether a target should save a prompt to a store that has the first
+// held of its shared pieces. A target saves all that it reads, including the unshared part
+// of the prompt, which is never requested again and evicts pieces that other requests need.
+// Once new weights are named, every shared prefix is saved anew, and the unshared parts
+// alone would fill a store. A prompt is therefore saved only if its unshared part is not
+// too large compared to the missing shared pieces. A later prompt with the same prefix may
+// have a smaller unshared part.
 func shouldSave(held, shared int, tokens []int) bool {
-	missing, own := 0, 0
+	missing, unshared := 0, 0
 	for i, n := range tokens {
 		switch {
 		case i >= shared:
-			own += n
+			unshared += n
 		case i >= held:
 			missing += n
 		}
 	}
-	return missing > 0 && own <= maxUnsharedSaveRatio*missing
+	return missing > 0 && unshared <= maxUnsharedSaveRatio*missing
 }
 
-// maxUnsharedSaveRatio is the size of an own part that is saved, as a multiple of what
-// the store is missing.
+// maxUnsharedSaveRatio is the largest unshared part that is saved, as a multiple of the
+// shared tokens that the store is missing.
 const maxUnsharedSaveRatio = 2
 
-// recordSave notes that a target has read pieces that it was asked to save, by this
-// instance or by a peer.
+// recordSave records that a target has read pieces that this instance or a peer told it to
+// save.
 func (s *cacheStores) recordSave(scope string, pieces []prefix.Hash) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
@@ -221,7 +227,7 @@
 	}
 }
 
-// reachableStores lists the stores that this instance reads, for its peers.
+// reachableStores returns the reachable stores that this instance polls, for its peers.
 func (s *cacheStores) reachableStores() []wire.CacheStore {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,16 +240,16 @@
 	return out
 }
 
-// applyPeerReports takes in which stores a peer reads. An instance that reads a store
-// itself knows better.
+// applyPeerReports records the stores that a peer polls as reachable. Stores that this
+// instance polls itself are skipped, because its own information is better.
 func (s *cacheStores) applyPeerReports(stores []wire.CacheStore) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range stores {
-		if store := s.stores[t.Address]; store != nil && !store.polling {
+	for _, report := range stores {
+		if store := s.stores[report.Address]; store != nil && !store.polling {
 			store.answeredAt = now
-			store.index.MarkReachable(t.BootEpoch)
+			store.index.MarkReachable(report.BootEpoch)
 		}
 	}
 }
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// defaultCallerIdleTimeout is how long a caller's idle connection is kept where the
-	// configuration does not say.
+	// defaultCallerIdleTimeout is how long an idle caller connection is kept if the
+	// configuration sets no limit.
 	defaultCallerIdleTimeout = 15 * time.Second
-	// callerIdleSlack is added to it: a caller that keeps to the limit would
-	// otherwise send just as the connection closes.
+	// callerIdleSlack is added to the limit. Otherwise a caller that keeps to the limit
+	// would send a request just as its connection is closed.
 	callerIdleSlack = time.Second
-	// readHeaderTimeout bounds the time to a whole head.
+	// readHeaderTimeout bounds the time to receive a complete request head.
 	readHeaderTimeout = 5 * time.Second
-	// callerKeepAliveInterval is the pause between probes of a silent caller: one
-	// that was cut off must not hold its targets for long.
+	// callerKeepAliveInterval is the interval of TCP keep-alive probes. The requests of a
+	// caller whose connection was cut must not occupy targets for long.
 	callerKeepAliveInterval = time.Second
 	maxHeaderBytes          = 64 << 10
 )
 
-// callerServer is the listeners for callers, the balancer and metrics.
+// callerServer holds the HTTP servers for callers, for the load balancer's readiness checks
+// and for metrics.
 type callerServer struct {
 	g       *Gateway
 	callers *http.Server
@@ -43,13 +44,13 @@
 	s.callers = &http.Server{
 		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.trackIdle,
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc(g.dialect.ReadyPath(), s.answerReady)
-	s.ready = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-	counts := http.NewServeMux()
-	counts.HandleFunc("GET /metrics", g.serveMetrics)
-	counts.HandleFunc("GET /admin/v1/state", g.serveState)
-	s.metrics = &http.Server{Handler: counts, ReadHeaderTimeout: readHeaderTimeout}
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc(g.dialect.ReadyPath(), s.answerReady)
+	s.ready = &http.Server{Handler: readyMux, ReadHeaderTimeout: readHeaderTimeout}
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", g.serveMetrics)
+	metricsMux.HandleFunc("GET /admin/v1/state", g.serveState)
+	s.metrics = &http.Server{Handler: metricsMux, ReadHeaderTimeout: readHeaderTimeout}
 	return s
 }
 
@@ -74,7 +75,7 @@
 		}
 		go func() {
 			if err := l.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				logline.Error(err, "listener_ended", "address", l.address)
+				logline.Error(err, "listener_failed", "address", l.address)
 			}
 		}()
 	}
@@ -87,9 +88,8 @@
 	}
 }
 
-// trackIdle notes which connections are idle, and since when. The limit is the
-// configuration's and changes while the server runs, so the server's own,
-// which is fixed, is left off.
+// trackIdle records which connections are idle and since when. http.Server.IdleTimeout is
+// not used because it is fixed, while the configured limit changes at run time.
 func (s *callerServer) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// closeIdle closes connections that were idle for too long.
+// closeIdle closes connections that have been idle for too long.
 func (s *callerServer) closeIdle() {
 	limit := defaultCallerIdleTimeout
 	if t := s.g.table.Load(); t != nil && t.Config().Limits.IdleTimeout > 0 {
@@ -110,21 +110,21 @@
 	defer s.mu.Unlock()
 	for c, since := range s.idle {
 		if time.Since(since) > limit+callerIdleSlack {
-			// The server forgets the connection once it is closed.
+			// http.Server drops its record of the connection when it is closed.
 			_ = c.Close()
 			delete(s.idle, c)
 		}
 	}
 }
 
-// shutdown takes no new connections and waits for running requests.
+// shutdown stops accepting connections and waits for the running requests.
 func (s *callerServer) shutdown(ctx context.Context) {
 	if err := s.callers.Shutdown(ctx); err != nil {
 		logline.Error(err, "drain_incomplete")
 	}
 	for _, server := range []*http.Server{s.ready, s.metrics} {
 		if err := server.Close(); err != nil {
-			logline.Error(err, "listener_unclosed")
+			logline.Error(err, "listener_close_failed")
 		}
 	}
 }
--- a/internal/gateway/crashcount.go
+++ b/internal/gateway/crashcount.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// maxCrashes is the broken attempts of one request, over all its repeats
-	// and all instances, after which it is refused. Two can be chance: a
-	// request shares its target's fate. The third means that the request
-	// itself crashes what runs it.
+	// maxCrashes is the number of attempts ending with a lost connection, over all repeats
+	// of a request and all instances, at which the request is refused. Two can be a
+	// coincidence, because every request at a target fails when the target crashes. The
+	// third means that the request itself crashes its targets.
 	maxCrashes = 3
-	// crashRetention is how long crashes are remembered after the last one.
+	// crashRetention is how long a request's crashes are remembered after the last one.
 	crashRetention = 60 * time.Second
-	// maxTrackedRequests bounds the requests remembered.
+	// maxTrackedRequests is the number of requests with crashes at which expired ones are
+	// removed.
 	maxTrackedRequests = 4096
 )
 
-// crashCounts counts the attempts that broke off, by the request's fingerprint. A
-// request that crashes each target that runs it would otherwise take down one
-// target after the other as its caller repeats it.
+// crashCounts counts the attempts that ended with a lost connection, by request
+// fingerprint. Otherwise a request that crashes every target that runs it would take down
+// one target after another as its caller repeats it.
 type crashCounts struct {
 	byRequest map[uint64]crashCount
-	// unreported are the own crashes since the last update to the peers.
+	// unreported lists the crashes seen by this instance since its last update to the
+	// peers.
 	unreported []uint64
 }
 
@@ -40,33 +42,34 @@
 
 func newCrashCounts() crashCounts { return crashCounts{byRequest: map[uint64]crashCount{}} }
 
-// add counts a broken attempt.
+// add counts a crash of a request and returns the request's count.
 func (s *crashCounts) add(now time.Duration, fingerprint uint64) int {
 	if len(s.byRequest) >= maxTrackedRequests {
 		s.expire(now)
 	}
-	k := s.byRequest[fingerprint]
-	k.count, k.lastAt = k.count+1, now
-	s.byRequest[fingerprint] = k
-	return k.count
+	entry := s.byRequest[fingerprint]
+	entry.count, entry.lastAt = entry.count+1, now
+	s.byRequest[fingerprint] = entry
+	return entry.count
 }
 
+// expire removes the requests whose last crash is older than crashRetention.
 func (s *crashCounts) expire(now time.Duration) {
-	for f, k := range s.byRequest {
-		if now-k.lastAt > crashRetention {
+	for f, entry := range s.byRequest {
+		if now-entry.lastAt > crashRetention {
 			delete(s.byRequest, f)
 		}
 	}
 }
 
-// isBlocked says whether the request is isBlocked.
+// isBlocked reports whether the request must be refused.
 func (s *crashCounts) isBlocked(now time.Duration, fingerprint uint64) bool {
-	k := s.byRequest[fingerprint]
-	return k.count >= maxCrashes && now-k.lastAt <= crashRetention
+	entry := s.byRequest[fingerprint]
+	return entry.count >= maxCrashes && now-entry.lastAt <= crashRetention
 }
 
-// requestFingerprint names a request among its repeats: the same caller, path and
-// body.
+// requestFingerprint identifies the repeats of a request: those with the same account,
+// method, host, URI and body.
 func requestFingerprint(c *call) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -78,7 +81,8 @@
 	return d.Sum64()
 }
 
-// recordCrash counts an attempt that broke off without the target saying why.
+// recordCrash counts an attempt if its connection was lost, so that the target could not
+// state why it failed.
 func (g *Gateway) recordCrash(ctx context.Context, c *call, result outcome, err error) {
 	if ctx.Err() != nil || err == nil || result != outcomeUnknown && result != outcomeTruncated || !connectionLost(err) {
 		return
@@ -90,8 +94,8 @@
 	logline.Info("crash_counted", "request", c.ID, "target", c.tried, "crashes", n, "of", maxCrashes)
 }
 
-// connectionLost says that an attempt ended with its connection, as when its
-// target crashed, and not by a deadline or a malformed answer.
+// connectionLost reports whether an attempt failed because its connection was lost, as when
+// a target crashes, and not because of a deadline or a malformed response.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
--- a/internal/gateway/crashcount_test.go
+++ b/internal/gateway/crashcount_test.go
@@ -7,24 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// A request crashes each target that runs it, and its caller sends it again at
-// any instance. After the third crash, wherever it was seen, it is refused and
-// takes no further target along. One that shared a crash by chance runs on.
-func TestRequestIsBarredAfterItsThirdCrash(t *testing.T) {
+// A request crashes each target that runs it, and its caller repeats it at any instance. It
+// must be refused after the third crash, whichever instances saw them, before it crashes
+// further targets. A request that was at a crashing target by coincidence must not be
+// refused.
+func TestRequestIsRefusedAfterThirdCrash(t *testing.T) {
 	is := is.New(t)
 	s := newCrashCounts()
-	const poison, bystander = 1, 2
+	const crashing, coincidental = 1, 2
 	for i := range maxCrashes {
-		is.True(!s.isBlocked(time.Duration(i)*time.Second, poison))
-		s.add(time.Duration(i)*time.Second, poison)
+		is.True(!s.isBlocked(time.Duration(i)*time.Second, crashing))
+		s.add(time.Duration(i)*time.Second, crashing)
 	}
-	s.add(0, bystander)
-	is.True(s.isBlocked(3*time.Second, poison))
-	is.True(!s.isBlocked(3*time.Second, bystander))
-	is.True(!s.isBlocked(time.Hour, poison)) // it is tried again in the end
+	s.add(0, coincidental)
+	is.True(s.isBlocked(3*time.Second, crashing))
+	is.True(!s.isBlocked(3*time.Second, coincidental))
+	is.True(!s.isBlocked(time.Hour, crashing)) // its crashes have expired
 }
 
-func TestStrikesAreBounded(t *testing.T) {
+func TestCrashCountsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := newCrashCounts()
 	for i := range maxTrackedRequests {
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,14 +1,14 @@
-// Package gateway serves callers by routes: it finds the route by host and
-// path, checks the key, holds the account's rate, waits for a target, sends
-// the request there and relays the whole answer.
+// Package gateway serves client requests by configured routes. It matches the route by host
+// and path, checks the API key, applies the account's rate limit, waits for a target,
+// forwards the request and relays the whole response.
 //
-// A request goes one way through the files: serve.go (decode, authorise,
-// admit), forward.go (try targets until one has answered), place.go, attempt.go,
-// relay.go (answer), finish.go (give up, log). What is known of other instances
-// is in peers.go, exchange.go and fleetstate.go. Decisions are
-// made by pure packages (routing, quota, dispatch, placement, directory,
-// weights, orderlease); this package does their I/O.
+// A request passes through the files in this order: serve.go (decode, authorize, admit),
+// forward.go (try targets until one has answered), place.go (choose a target), attempt.go
+// (send to it), relay.go (relay the response) and finish.go (failures, logging). The state
+// of other instances is kept in peers.go, exchange.go and fleetstate.go. Decisions are made
+// by packages without I/O (routing, quota, dispatch, placement, directory, weights,
+// orderlease); this package performs their I/O.
 //
-// The protocol spoken with callers, targets and the store is a Dialect and a
-// few feeds, given from outside.
+// The protocols spoken with callers, targets and the store are implemented elsewhere and
+// passed to New.
 package gateway
--- a/internal/gateway/enginemarks.go
+++ b/internal/gateway/enginefilters.go
@@ -8,8 +8,8 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// versionKey names the weights of a target; what it cached under others is
-// does not count any more.
+// versionKey returns a string that identifies a target's weights versions. What the target
+// has cached under another key no longer counts.
 func versionKey(versions map[string]int64) string {
 	switch len(versions) {
 	case 0:
@@ -26,7 +26,7 @@
 	return strconv.FormatInt(sum, 10)
 }
 
-// hasOlderWeights says that a target has older weights than these.
+// hasOlderWeights reports whether a target has weights older than any of these versions.
 func hasOlderWeights(r *directory.Registration, versions map[string]int64) bool {
 	for model, version := range versions {
 		if v, ok := r.Versions[model]; ok && v < version {
@@ -36,17 +36,18 @@
 	return false
 }
 
-// refusalBackoff is how long a target that refused a request as a whole gets
-// no other: it is full or about to load, and by then peers will have reported it.
+// refusalBackoff is how long a target gets no requests after it refused one as a whole. It
+// is full or about to load weights; a load will have been reported by peers within that
+// time.
 const refusalBackoff = 200 * time.Millisecond
 
-// isExcluded says that a target takes no requests now.
+// isExcluded reports whether a target must not get requests now. The caller holds p.mu.
 func (p *enginePool) isExcluded(r *directory.Registration) bool {
 	at, refused := p.refusedAt[r.ID]
 	return p.loading[r.ID] || hasOlderWeights(r, p.bounds.minToSend) || refused && p.now()-at < refusalBackoff
 }
 
-// recordRefusal takes in that a target recordRefusal a request as a whole.
+// recordRefusal records that a target refused a request as a whole.
 func (p *enginePool) recordRefusal(id directory.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,15 +57,17 @@
 	}
 }
 
-// versionBounds are the versions of weights, by model, that bound what targets
-// with older ones get.
+// versionBounds are the weights versions, by model, that restrict the use of targets with
+// older ones.
 type versionBounds struct {
-	// preferred are preferred; behind minToSend no request is sent; behind minToWait none
-	// waits any more for its first token.
+	// Placement prefers targets that have at least the versions in preferred. No request is
+	// sent to a target with older versions than minToSend, and none keeps waiting for its
+	// first token at a target with older versions than minToWait.
 	preferred, minToSend, minToWait map[string]int64
 }
 
-// applyRollout takes the bounds on versions and the targets that load.
+// applyRollout sets the version bounds and the targets that load weights, and ends the
+// attempts that must not go on because of them.
 func (p *enginePool) applyRollout(b versionBounds, loading map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,9 +79,9 @@
 	p.step()
 }
 
-// cancelOutdatedWaits ends the attempts that wait for their first token at targets whose
-// weights are too old. Requests sent in time may wait at a target for longer
-// than usual, and would begin on weights past the bound. The caller holds p.mu.
+// cancelOutdatedWaits cancels the attempts that wait for their first token at targets whose
+// weights are too old. A request that was sent in time may wait at its target for longer
+// than usual, and would then start on weights past the bound. The caller holds p.mu.
 func (p *enginePool) cancelOutdatedWaits() {
 	for pl := range p.running {
 		r, known := p.registrations[pl.target.ID]
@@ -92,12 +95,15 @@
 	}
 }
 
+// refreshAllFilters calls refreshFilters for every target. The caller holds p.mu.
 func (p *enginePool) refreshAllFilters() {
 	for id, r := range p.registrations {
 		p.refreshFilters(id, &r)
 	}
 }
 
+// refreshFilters updates what the placement filters know of a target's weights and load
+// state. The caller holds p.mu.
 func (p *enginePool) refreshFilters(id string, r *directory.Registration) {
 	i, ok := p.pool.Find(id)
 	if !ok {
@@ -108,8 +114,8 @@
 	p.pool.ApplyFilters(i)
 }
 
-// recordServedVersion takes in the version that an answer was made on: answers tell of it
-// sooner than registrations do.
+// recordServedVersion records the weights version that a response was made with. Responses
+// report a new version earlier than registrations do.
 func (p *enginePool) recordServedVersion(id directory.Incarnation, model string, version int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,14 +132,15 @@
 	p.registrations[id.ID] = r
 	if i, ok := p.pool.Find(id.ID); ok {
 		t := p.pool.Target(i)
-		now := cacheIdentity(&r)
-		t.Version = now.Version
-		t.Cache = p.index.Observe(p.now(), now)
+		identity := cacheIdentity(&r)
+		t.Version = identity.Version
+		t.Cache = p.index.Observe(p.now(), identity)
 		p.refreshFilters(id.ID, &r)
 	}
 }
 
-// expireRefusalBackoffs lets requests go again to targets whose rest is over.
+// expireRefusalBackoffs makes targets available again whose refusalBackoff has passed. The
+// caller holds p.mu.
 func (p *enginePool) expireRefusalBackoffs() {
 	now := p.now()
 	for id, at := range p.refusedAt {
--- a/internal/gateway/enginepeers.go
+++ b/internal/gateway/enginepeers.go
@@ -7,15 +7,16 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// targetLoad is what an instance has running at one target.
+// targetLoad is the work of one or several instances at one target.
 type targetLoad struct {
-	// PendingPromptTokens is the prompt tokens whose first token has not come, Held
-	// the tokens of memory that running requests take.
+	// PendingPromptTokens is the number of prompt tokens of requests whose first token has
+	// not arrived, KVCacheTokens the number of tokens that running requests occupy in the
+	// target's memory.
 	PendingPromptTokens float64
 	KVCacheTokens       int
 }
 
-// targetLoads is what this instance has running, by target.
+// targetLoads returns the work of this instance at each target that has any.
 func (p *enginePool) targetLoads() map[string]targetLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,8 +30,9 @@
 	return out
 }
 
-// setPeerLoads takes what the other instances have running, by target. It is as old
-// as their updates are, so the window is as much longer.
+// setPeerLoads sets the total work of the other instances at each target. Their reports are
+// up to delay old, so the backlog limit is raised by the part of the delay that exceeds the
+// exchange interval.
 func (p *enginePool) setPeerLoads(delay time.Duration, peers map[string]targetLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,13 +45,14 @@
 	}
 }
 
-// newlyCachedTokens is the tokens that the request has put into its target's cache.
+// newlyCachedTokens returns the number of tokens that the request has added to its target's
+// cache.
 func (pl *enginePlacement) newlyCachedTokens() int {
 	return max(0, pl.heldTokens-pl.send.Request.Placement.LeadingTokens(pl.send.Decision.CachedPieces))
 }
 
-// recordPeerPrompt takes in a prompt that a peer has sent to a target, and the tokens
-// that it has put into the target's cache.
+// recordPeerPrompt records a prompt that a target has read for a peer, and the number of
+// tokens that it has added to the target's cache.
 func (p *enginePool) recordPeerPrompt(id directory.Incarnation, chain []prefix.Hash, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/enginepool.go
+++ b/internal/gateway/enginepool.go
@@ -21,6 +21,7 @@
 	engineSend    = dispatch.Send[chan placementResult]
 )
 
+// placementResult is the outcome of a queued request: exactly one field is set.
 type placementResult struct {
 	placed  *enginePlacement
 	refusal *dispatch.Refusal[chan placementResult]
@@ -33,32 +34,34 @@
 	breaker    *overload.Breaker
 	ticket     overload.Ticket
 	heldTokens int
-	// fetchSource is a target to fetch pieces of the prompt from; empty for none.
+	// fetchSource is the address of a target to fetch pieces of the prompt from; empty for
+	// none.
 	fetchSource string
-	// fetchSourcePieces is the leading pieces that it is known to hold.
+	// fetchSourcePieces is the number of leading pieces that the fetch source is known to
+	// have.
 	fetchSourcePieces int
-	// eligibleTargets is the number of eligibleTargets that it was chosen from.
+	// eligibleTargets is the number of targets that could be chosen.
 	eligibleTargets int
-	// stallID numbers the attempt among those at its target, whose silence is
-	// watched.
+	// stallID identifies the attempt to the stall detector of its target.
 	stallID uint64
 	// cancel ends the attempt.
 	cancel func()
 	cancelPolicy
-	// cancelledHere is set when this instance cut it for a reason that says nothing
-	// against its target.
+	// cancelledHere is set if this instance cancelled the attempt for a reason that says
+	// nothing about the target's health.
 	cancelledHere bool
-	// firstTokenSeen is set once the first token came.
+	// firstTokenSeen is set once the first token has arrived.
 	firstTokenSeen bool
 }
 
-// enginePool decides for the requests of one service of model servers. Its
-// lock is held for decisions only, never over I/O.
+// enginePool schedules the requests of one service of model servers. Its lock is held for
+// decisions only, never during I/O.
 type enginePool struct {
 	now         func() time.Duration
 	domain      string
 	prefillRate float64
-	// transferRate is the tokens a second that one target fetches from another.
+	// transferRate is the number of tokens per second that one target can fetch from
+	// another.
 	transferRate float64
 
 	mu             sync.Mutex
@@ -67,7 +70,7 @@
 	breakers       map[string]*overload.Breaker
 	stallDetectors map[string]*overload.StallDetector
 	running        map[*enginePlacement]struct{}
-	// stalledAt is when a target was found silent.
+	// stalledAt is when a target was found to have stalled.
 	stalledAt  map[string]time.Duration
 	pool       *placement.Pool
 	picker     *placement.Picker
@@ -75,17 +78,19 @@
 	dispatcher *dispatch.Dispatcher[chan placementResult]
 	rng        *rand.Rand
 	nextID     uint64
-	// serviceTimes is what was learnt of the targets' serviceTimes to a first token.
+	// serviceTimes estimates the targets' times to first token.
 	serviceTimes *servicetime.Estimator
 	bounds       versionBounds
-	// limits are the rates that targets state, limited the targets that do.
+	// limits are the rate limits that targets advertise, rateLimited the targets that have
+	// one.
 	limits      *targetLimits
 	rateLimited map[string]bool
 	loading     map[string]bool
-	// loadingSince is since when a target has been seen to load.
+	// loadingSince is when a target was first seen to load weights.
 	loadingSince map[string]time.Duration
 	// refusedAt is when a target last refused a request as a whole.
-	refusedAt     map[string]time.Duration
+	refusedAt map[string]time.Duration
+	// stepScheduled is set while a timer for the next step runs.
 	stepScheduled bool
 }
 
@@ -108,8 +113,8 @@
 	return p
 }
 
-// updateTargets takes the service's usable targets. What is known of targets that
-// stay is kept; a new incarnation starts with nothing known of it.
+// updateTargets sets the usable targets of the service. The state of targets that remain is
+// kept; a new incarnation starts without any.
 func (p *enginePool) updateTargets(regs []directory.Registration, e *routing.Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,6 +128,7 @@
 	p.step()
 }
 
+// rebuild replaces the placement pool and the picker. The caller holds p.mu.
 func (p *enginePool) rebuild(regs []directory.Registration) {
 	next := map[string]directory.Registration{}
 	targets := make([]placement.Target, 0, len(regs))
@@ -137,7 +143,7 @@
 		}
 	}
 	p.registrations = next
-	p.serviceTimes.Retain(func(id string) bool { _, there := next[id]; return there })
+	p.serviceTimes.Retain(func(id string) bool { _, exists := next[id]; return exists })
 	p.pool = placement.NewPool(targets, "", placement.DefaultFilters())
 	o := placement.DefaultOptions()
 	o.MaxCandidates, o.EquivalentTokens = maxCandidates, p.serviceTimes.EquivalentTokens
@@ -147,7 +153,8 @@
 	p.picker = placement.NewPicker(p.pool, p.index, o)
 }
 
-// targetState carries over what was observed of a target.
+// targetState returns the placement target for a registration, with the state that was
+// observed of the same incarnation.
 func (p *enginePool) targetState(r directory.Registration) placement.Target {
 	t := placement.Target{Name: r.ID, PrefillTokensPerSecond: p.prefillRate}
 	if p.pool != nil && p.registrations[r.ID].Incarnation() == r.Incarnation() {
@@ -164,12 +171,14 @@
 	return t
 }
 
-// cacheIdentity names what is known of a target's cache.
+// cacheIdentity returns the identity under which the contents of a target's cache are
+// indexed.
 func cacheIdentity(r *directory.Registration) cacheindex.Identity {
 	return cacheindex.Identity{Target: r.ID, Incarnation: strconv.FormatInt(r.StartedMs, 10), Version: versionKey(r.Versions)}
 }
 
-// acquire waits for a target. The refusal says why there is none.
+// acquire waits for a target. It returns a refusal if there is none, and neither a target
+// nor a refusal if ctx ended.
 func (p *enginePool) acquire(ctx context.Context, r *engineRequest) (*enginePlacement, *dispatch.Refusal[chan placementResult]) {
 	r.Value = make(chan placementResult, 1)
 	p.mu.Lock()
@@ -190,7 +199,7 @@
 	p.dispatcher.Cancel(r.Account, r.ID)
 	p.mu.Unlock()
 	select {
-	case out := <-r.Value: // it was chosen meanwhile
+	case out := <-r.Value: // a target was chosen in the meantime
 		if out.placed != nil {
 			p.endAttempt(out.placed, overload.Cancelled)
 		}
@@ -199,7 +208,7 @@
 	return nil, nil
 }
 
-// scheduleStep looks at the queue every few milliseconds while requests wait.
+// scheduleStep runs a step after queueStepInterval if requests wait. The caller holds p.mu.
 func (p *enginePool) scheduleStep() {
 	if p.stepScheduled || p.dispatcher.Waiting() == 0 {
 		return
@@ -213,6 +222,7 @@
 	})
 }
 
+// step sends and refuses the waiting requests that are due. The caller holds p.mu.
 func (p *enginePool) step() {
 	p.refreshBreakers()
 	p.refreshRateLimits()
@@ -221,6 +231,8 @@
 	p.scheduleStep()
 }
 
+// applyStep passes the results of a dispatcher step to the waiting requests. The caller
+// holds p.mu.
 func (p *enginePool) applyStep(s dispatch.Step[chan placementResult]) {
 	for i := range s.Sends {
 		send := s.Sends[i]
@@ -241,6 +253,7 @@
 	}
 }
 
+// breaker returns the circuit breaker of a target. The caller holds p.mu.
 func (p *enginePool) breaker(id string) *overload.Breaker {
 	b := p.breakers[id]
 	if b == nil {
@@ -250,7 +263,8 @@
 	return b
 }
 
-// refreshBreakers shows the placement which targets may get a request now.
+// refreshBreakers updates the placement filters with the targets whose breakers allow a
+// request now. The caller holds p.mu.
 func (p *enginePool) refreshBreakers() {
 	now := p.now()
 	for id, b := range p.breakers {
@@ -266,36 +280,37 @@
 	}
 }
 
-// refreshRateLimits shows the placement which targets may get a request now by the rates
-// that they state.
+// refreshRateLimits updates the placement filters with the targets whose advertised rate
+// limits allow a request now. The caller holds p.mu.
 func (p *enginePool) refreshRateLimits() {
-	open := p.limits.limitedTargets()
-	if len(open)+len(p.rateLimited) == 0 {
+	canSend := p.limits.limitedTargets()
+	if len(canSend)+len(p.rateLimited) == 0 {
 		return
 	}
 	for id := range p.rateLimited {
 		p.setRateLimit(id, false, false)
 	}
 	p.rateLimited = map[string]bool{}
-	for id, open := range open {
+	for id, allowed := range canSend {
 		if r, ok := p.registrations[id.ID]; ok && r.Incarnation() == id {
 			p.rateLimited[id.ID] = true
-			p.setRateLimit(id.ID, true, !open)
+			p.setRateLimit(id.ID, true, !allowed)
 		}
 	}
 }
 
-// setRateLimit shows the placement whether a target states a limit, and whether it may get
-// no request now by that.
-func (p *enginePool) setRateLimit(id string, limited, over bool) {
+// setRateLimit sets whether a target advertises a rate limit and whether that limit allows
+// no request now. The caller holds p.mu.
+func (p *enginePool) setRateLimit(id string, limited, overRate bool) {
 	if i, ok := p.pool.Find(id); ok {
 		t := p.pool.Target(i)
-		t.RateLimited, t.OverRate = limited, over
+		t.RateLimited, t.OverRate = limited, overRate
 		p.pool.ApplyFilters(i)
 	}
 }
 
-// recordFirstToken takes in the first token of an answer.
+// recordFirstToken records the first token of a response. Further calls for the same
+// attempt have no effect.
 func (p *enginePool) recordFirstToken(pl *enginePlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -309,7 +324,8 @@
 	p.step()
 }
 
-// observeFirstToken learns from the first token of an answer. The caller holds p.mu.
+// observeFirstToken updates the service time estimates with the first token of a response.
+// The caller holds p.mu.
 func (p *enginePool) observeFirstToken(pl *enginePlacement) {
 	now, r := p.now(), &pl.send.Request.Placement
 	p.serviceTimes.Observe(pl.target.ID, servicetime.Sample{
@@ -325,7 +341,7 @@
 	}
 }
 
-// endAttempt takes in the end of an attempt and what it says of the target.
+// endAttempt records the end of an attempt and reports its result to the target's breaker.
 func (p *enginePool) endAttempt(pl *enginePlacement, result overload.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -347,7 +363,7 @@
 	p.step()
 }
 
-// recordUnreachable takes in that the target takes no connection.
+// recordUnreachable records that no connection to the target could be made.
 func (p *enginePool) recordUnreachable(pl *enginePlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/waiting_test.go
+++ b/internal/gateway/enginerollout_test.go
@@ -11,74 +11,76 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Callers get answers on weights replaced 10.1 s ago, in the middle of an
-// ordinary rollout. Their requests were sent 2.2 s before, in time, to a target
-// that had not loaded yet and made them wait for longer than usual.
-func TestRequestsDoNotWaitPastTheBound(t *testing.T) {
+// Requests are sent in time to a target that has not loaded the new weights yet and wait
+// there for longer than usual. Guards against answers on weights replaced too long ago:
+// during an ordinary rollout, requests sent 2.2 s earlier were answered on weights replaced
+// 10.1 s ago.
+func TestWaitsAtOutdatedTargetsAreCancelled(t *testing.T) {
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
 	pool := p.engine("engines")
-	send := func() (pl *enginePlacement, cut *bool) {
+	send := func() (pl *enginePlacement, cancelled *bool) {
 		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
-		cut = new(bool)
-		pool.startAttempt(pl, func() { *cut = true }, cancelPolicy{})
-		return pl, cut
+		cancelled = new(bool)
+		pool.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{})
+		return pl, cancelled
 	}
-	_, waits := send()
-	answers, answered := send()
-	pool.recordFirstToken(answers)
-	older := func(age time.Duration) {
+	_, waitCancelled := send()
+	answeredAttempt, answeredCancelled := send()
+	pool.recordFirstToken(answeredAttempt)
+	setWeightsAge := func(age time.Duration) {
 		p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 			{Model: "m", Version: 3, AgeMillis: age.Milliseconds(), Observed: true},
 		}})
 		p.excluded()
 	}
-	older(9 * time.Second)
-	is.True(!*waits)
-	older(9600 * time.Millisecond)
-	is.True(*waits)
-	is.True(!*answered) // it began in time
+	setWeightsAge(9 * time.Second)
+	is.True(!*waitCancelled)
+	setWeightsAge(9600 * time.Millisecond)
+	is.True(*waitCancelled)
+	is.True(!*answeredCancelled) // its answer began in time
 }
 
-// A target keeps requests waiting until its weights are too old, and they are
-// cut. It is not broken: it must get requests as soon as it has loaded.
-func TestCutWaitsSayNothingAgainstTheirTarget(t *testing.T) {
+// A target keeps requests waiting until its weights are too old, and the requests are
+// cancelled. The cancellations must not open its breaker, because it must get requests as
+// soon as it has loaded the new weights.
+func TestCancelledWaitsDoNotOpenBreaker(t *testing.T) {
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2)}, "a")
 	pool := p.engine("engines")
-	var waits []*enginePlacement
+	var waiting []*enginePlacement
 	for range 8 {
 		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
 		pool.startAttempt(pl, func() {}, cancelPolicy{})
-		waits = append(waits, pl)
+		waiting = append(waiting, pl)
 	}
 	p.takeAnswer(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
 	p.excluded()
-	for _, pl := range waits {
+	for _, pl := range waiting {
 		pool.endAttempt(pl, overload.Failed)
 	}
 	is.Equal(pool.breaker("a").State(), overload.Closed)
 }
 
-// Guards against a load that waits for the long streams on its target.
-func TestStreamsMoveBeforeALoad(t *testing.T) {
+// Guards against a load that is delayed by the long streams on its target.
+func TestStreamsMoveBeforeWeightsLoad(t *testing.T) {
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2, 2)}, "a")
 	pool := p.engine("engines")
 	now := time.Duration(0)
 	pool.now = func() time.Duration { return now }
-	start := func(resumable bool) (pl *enginePlacement, cut *bool) {
+	start := func(resumable bool) (pl *enginePlacement, cancelled *bool) {
 		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
-		cut = new(bool)
-		pool.startAttempt(pl, func() { *cut = true }, cancelPolicy{reserveResume: func() bool { return resumable }})
+		cancelled = new(bool)
+		pool.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{reserveResume: func() bool { return resumable }})
 		pool.recordFirstToken(pl)
-		return pl, cut
+		return pl, cancelled
 	}
-	pl, moved := start(true)
-	_, stays := start(false)
+	pl, movableCancelled := start(true)
+	_, otherCancelled := start(false)
 	loading := map[string]bool{}
 	for id := range pool.registrations {
 		loading[id] = true
@@ -86,18 +88,18 @@
 	pool.applyRollout(versionBounds{}, loading)
 	now += streamMoveDelay
 	pool.applyRollout(versionBounds{}, loading)
-	is.True(!*moved) // there is no other target
+	is.True(!*movableCancelled) // no other target is available
 	loading = map[string]bool{pl.target.ID: true}
 	pool.applyRollout(versionBounds{}, loading)
-	is.True(*moved)
-	is.True(!*stays)
+	is.True(*movableCancelled)
+	is.True(!*otherCancelled)
 	pool.endAttempt(pl, overload.Failed)
 	is.Equal(pool.breaker(pl.target.ID).State(), overload.Closed)
 }
 
-// Guards against a stream that is refused its resumption because it began
-// longer ago than callers wait for a first event.
-func TestResumedStreamIsDueAfterItsLastEvent(t *testing.T) {
+// Guards against refusing to resume a stream because it began longer ago than callers wait
+// for a first event.
+func TestResumedStreamDeadlineFollowsLastEvent(t *testing.T) {
 	is := is.New(t)
 	c := &call{route: &routing.Route{Kind: routing.Stream, LatencyObjective: 400 * time.Millisecond, GapObjective: 250 * time.Millisecond}}
 	c.Request, c.service = &Request{}, &routing.Service{}
@@ -111,9 +113,9 @@
 	is.Equal(c.nextEventDeadline(), c.due)
 }
 
-// Guards against streams that move together on one attempt of the retry budget
-// and break off for want of the others.
-func TestMovedStreamsPayBeforeTheyAreEnded(t *testing.T) {
+// Guards against cancelling several streams on the strength of a single available retry, so
+// that the others cannot be resumed.
+func TestStreamsTakeRetryBeforeMoving(t *testing.T) {
 	is := is.New(t)
 	p := startOn(&memoryStore{newest: 3, targets: onVersions(2, 2)}, "a")
 	p.settings.RetryReserve, p.settings.RetryRatio = 6, 1
@@ -145,11 +147,11 @@
 	}
 	is.True(moved > 0)
 	is.True(moved < 6)
-	is.True(budget.Available() >= 1) // some are left for failures
+	is.True(budget.Available() >= 1) // the rest is reserved for failures
 	for range 100 {
 		budget.AddRequest()
 	}
-	// Guards against a stream that is ended though its key or route is gone.
+	// Guards against cancelling a stream whose key or route is gone.
 	config.Routes = nil
 	p.table.Store(routing.NewTable(&config))
 	is.True(!p.cancelPolicyFor(newCall()).reserveResume())
--- a/internal/gateway/enginesilence.go
+++ b/internal/gateway/enginestall.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// stallReportPeriod is how long peers get a report of a target's silence.
+	// stallReportPeriod is how long a stalled target is reported to peers.
 	stallReportPeriod = 2 * time.Second
-	// ownAnswerValidity is how long an own answer of a target outweighs the reports of peers.
+	// ownAnswerValidity is how long a response to this instance outweighs peers' reports
+	// that its target has stalled.
 	ownAnswerValidity = time.Second
 )
 
-// recentlyStalled lists the targets found recentlyStalled a short while ago.
+// recentlyStalled returns the targets found to have stalled within stallReportPeriod.
 func (p *enginePool) recentlyStalled() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,7 +30,7 @@
 	return ids
 }
 
-// openBreakers are the targets that answer this instance nothing.
+// openBreakers returns the targets whose breakers are open at this instance.
 func (p *enginePool) openBreakers() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,9 +43,9 @@
 	return ids
 }
 
-// suspectStalled stops sending to targets that several peers have found silent,
-// unless one has answered here lately: this instance may reach what they do
-// not. A probe tells soon.
+// suspectStalled stops sending to targets that several peers have found to have stalled,
+// unless one has responded to this instance recently: this instance may reach targets that
+// the peers do not. A probe by the breaker soon shows whether a target responds.
 func (p *enginePool) suspectStalled(ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,43 +62,45 @@
 	p.step()
 }
 
-// checkStalled stops sending to targets that fell silent, and ends the
-// attempts there that may go on elsewhere. It gives the targets' addresses.
+// checkStalled stops sending to targets that have stalled and cancels the attempts there
+// that may run at other targets. It returns the addresses of the stalled targets.
 func (p *enginePool) checkStalled() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	var gone []string
+	var stalled []string
 	for id, s := range p.stallDetectors {
 		b := p.breaker(id)
 		if b.State() == overload.Open || !s.Stalled(now) {
 			continue
 		}
 		b.Unreachable(now, p.rng)
-		gone = append(gone, p.registrations[id].Address)
+		stalled = append(stalled, p.registrations[id].Address)
 		p.stalledAt[id] = now
 		logline.Info("target_silent", "target", id, "address", p.registrations[id].Address, "domain", p.registrations[id].Domain)
 		for pl := range p.running {
-			// What may not be repeated waits: the target may come back.
+			// Attempts that must not be repeated wait, because the target may recover.
 			if pl.target.ID == id && pl.repeatable {
 				pl.cancel()
 			}
 		}
 	}
 	p.step()
-	return gone
+	return stalled
 }
 
-// startAttempt notes that an attempt is on its way. Should its target fall silent, load
-// new weights, or keep it waiting until its weights are too old, cut is called.
-func (p *enginePool) startAttempt(pl *enginePlacement, cut func(), m cancelPolicy) {
+// startAttempt records that an attempt has been sent. cancel is called if its target
+// stalls, is about to load new weights, or keeps the attempt waiting until its weights are
+// too old.
+func (p *enginePool) startAttempt(pl *enginePlacement, cancel func(), policy cancelPolicy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pl.cancel, pl.cancelPolicy = cut, m
+	pl.cancel, pl.cancelPolicy = cancel, policy
 	pl.stallID = p.stallDetector(pl.target.ID).Begin(p.now())
 	p.running[pl] = struct{}{}
 }
 
+// stallDetector returns the stall detector of a target. The caller holds p.mu.
 func (p *enginePool) stallDetector(id string) *overload.StallDetector {
 	s := p.stallDetectors[id]
 	if s == nil {
@@ -107,7 +110,7 @@
 	return s
 }
 
-// recordProgress notes that something of an attempt's answer came.
+// recordProgress records that a part of an attempt's response has arrived.
 func (p *enginePool) recordProgress(pl *enginePlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -9,23 +9,24 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// outcome is what became of an attempt.
+// outcome is the result of an attempt.
 type outcome int
 
 const (
-	// outcomeDelivered: the answer went to the caller, whole.
+	// outcomeDelivered: the whole response has been relayed to the caller.
 	outcomeDelivered outcome = iota
-	// outcomeTruncated: a part of the answer went out and no more will come.
+	// outcomeTruncated: a part of the response has been relayed and the rest will not
+	// follow.
 	outcomeTruncated
 	// outcomeNotRun: the target has proved that it did not run the request.
 	outcomeNotRun
-	// outcomeUnknown: the target may have run it.
+	// outcomeUnknown: the target may have run the request.
 	outcomeUnknown
-	// outcomeNotSent: no byte reached the target.
+	// outcomeNotSent: no byte of the request has reached the target.
 	outcomeNotSent
 )
 
-// forward sends the request to targets until one has answered.
+// forward sends the request to one target after another until one has answered.
 func (g *Gateway) forward(ctx context.Context, c *call) *Refusal {
 	name := c.route.ChooseService(g.source())
 	service, ok := c.table.Service(name)
@@ -34,43 +35,44 @@
 	}
 	c.service = service
 	g.retryBudget(name).AddRequest()
-	s := &responseRelay{g: g, c: c}
+	relay := &responseRelay{g: g, c: c}
 	unsent := 0
 	for {
-		l, refusal := g.chooseTarget(ctx, c)
-		if l == nil {
-			return g.finishUnanswered(ctx, c, s, refusal)
+		a, refusal := g.chooseTarget(ctx, c)
+		if a == nil {
+			return g.finishUnanswered(ctx, c, relay, refusal)
 		}
 		if refusal := g.revalidate(c); refusal != nil {
-			l.onEnd(overload.Cancelled)
-			return g.finishUnanswered(ctx, c, s, refusal)
+			a.onEnd(overload.Cancelled)
+			return g.finishUnanswered(ctx, c, relay, refusal)
 		}
-		result := g.runAttempt(ctx, c, l, s)
+		result := g.runAttempt(ctx, c, a, relay)
 		switch result {
 		case outcomeDelivered:
-			g.logAnswered(c, s)
+			g.logAnswered(c, relay)
 			return nil
 		case outcomeTruncated:
-			return g.abortAnswer(c, s)
+			return g.abortAnswer(c, relay)
 		case outcomeNotSent:
 			if unsent++; unsent < maxUnsentAttempts && ctx.Err() == nil {
 				continue
 			}
-			return g.finishUnanswered(ctx, c, s, nil)
+			return g.finishUnanswered(ctx, c, relay, nil)
 		case outcomeUnknown:
 			c.ran = true
 		}
 		if !g.takeRetry(ctx, c) {
-			return g.finishUnanswered(ctx, c, s, nil)
+			return g.finishUnanswered(ctx, c, relay, nil)
 		}
 	}
 }
 
-// maxUnsentAttempts bounds the targets that take no connection: after so many the
-// service, or the link to it, is down.
+// maxUnsentAttempts bounds the targets of one request that accept no connection. After that
+// many, the service or the link to it is down.
 const maxUnsentAttempts = 4
 
-// takeRetry says whether the request may be sent to another target.
+// takeRetry reports whether the request may be sent to another target. If so, it has taken
+// the retry from the budget, unless reserveResume has already done so.
 func (g *Gateway) takeRetry(ctx context.Context, c *call) bool {
 	if ctx.Err() != nil || c.sent >= max(1, c.route.MaxAttempts) {
 		return false
@@ -81,9 +83,9 @@
 	return c.prepaid.Swap(false) || g.retryBudget(c.service.Name).TakeRetry()
 }
 
-// revalidate looks again at what may have changed while the request waited: the
-// configuration, the key, and the time, which does not stand still while the
-// machine is suspended.
+// revalidate checks again what may have changed while the request waited: the
+// configuration, the key and the deadline. The clock shows whether the deadline has passed
+// while the machine was suspended.
 func (g *Gateway) revalidate(c *call) *Refusal {
 	if c.due > 0 && g.clock.Now() >= c.due {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
@@ -101,13 +103,14 @@
 	return g.authorize(c)
 }
 
-// routeMovedRetry is the hint when a route moved to another service while its
-// request waited.
+// routeMovedRetry is the Retry-After hint when a route was moved to another service while
+// its request waited.
 const routeMovedRetry = 50 * time.Millisecond
 
-// routesToService says whether the route still leads to the request's service.
+// routesToService reports whether the route still includes the request's service.
 func routesToService(c *call) bool { return routeIncludes(c.route, c.service.Name) }
 
+// routeIncludes reports whether a route sends requests to a service.
 func routeIncludes(r *routing.Route, service string) bool {
 	for _, w := range r.Split {
 		if w.Service == service && w.Weight > 0 {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -14,38 +14,41 @@
 // targetAttempt is one attempt at one target.
 type targetAttempt struct {
 	target directory.Registration
-	// fetchSource is the address of a target to fetch pieces from; empty for none.
+	// fetchSource is the address of a target to fetch pieces of the prompt from; empty for
+	// none.
 	fetchSource string
-	// fetchSourcePieces is the leading pieces that it is known to hold.
+	// fetchSourcePieces is the number of leading pieces that the fetch source is known to
+	// have.
 	fetchSourcePieces int
-	// savesToStore says that the target savesToStore what it reads, under the scope.
+	// savesToStore is set if the target saves the pieces that it reads, under cacheScope.
 	savesToStore bool
 	cacheScope   string
-	// choice is what placement expected, for the log.
+	// choice describes the placement decision, for the log.
 	choice placementInfo
-	// onSend is called with what ends the attempt before its request is
-	// written, progressed for each part of the answer, answered for the first one,
-	// ended once at the end, unreachable when no connection was made.
-	onSend        func(cut func(), m cancelPolicy)
+	// onSend is called before the request is written, with a function that cancels the
+	// attempt. onProgress is called for each part of the response that arrives and onAnswer
+	// for each one that is new to the caller, of which the first counts. onEnd is called
+	// once, at the end, and onUnreachable if no connection could be made.
+	onSend        func(cancel func(), policy cancelPolicy)
 	onProgress    func()
 	onAnswer      func()
 	onEnd         func(overload.Result)
 	onUnreachable func()
 }
 
-// placementInfo is what placement knew and expected when it chose a target.
+// placementInfo describes what was known and expected when a target was chosen.
 type placementInfo struct {
 	cachedPieces   int
 	uncachedTokens int
 	expectedTTFT   time.Duration
-	// eligibleTargets is the number that could have been chosen.
+	// eligibleTargets is the number of targets that could be chosen.
 	eligibleTargets int
-	// weightsVersion is the version that the target had to have; 0 for any.
+	// weightsVersion is the weights version that the target must have; 0 for any.
 	weightsVersion int64
 }
 
-// chooseTarget chooses a target for the next attempt and waits for it if need be. A
-// nil leg without a refusal means that the context ended.
+// chooseTarget chooses a target for the next attempt and waits for it if necessary. If the
+// context ends, it returns neither an attempt nor a refusal.
 func (g *Gateway) chooseTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	if c.service.Engine != nil {
 		return g.chooseEngineTarget(ctx, c)
@@ -53,24 +56,25 @@
 	g.mu.Lock()
 	pool := g.service(c.service.Name)
 	g.mu.Unlock()
-	ch, ok := pool.acquire(c.tried)
+	choice, ok := pool.acquire(c.tried)
 	if !ok && c.tried != "" {
-		ch, ok = pool.acquire("")
+		choice, ok = pool.acquire("")
 	}
 	if !ok {
 		return nil, unavailable("no_target", noTargetRetry)
 	}
 	return &targetAttempt{
-		target: ch.target, onSend: func(func(), cancelPolicy) {}, onProgress: func() {}, onAnswer: func() {},
-		onEnd:         func(r overload.Result) { pool.endAttempt(ch, r) },
-		onUnreachable: func() { pool.recordUnreachable(ch) },
+		target: choice.target, onSend: func(func(), cancelPolicy) {}, onProgress: func() {}, onAnswer: func() {},
+		onEnd:         func(r overload.Result) { pool.endAttempt(choice, r) },
+		onUnreachable: func() { pool.recordUnreachable(choice) },
 	}, nil
 }
 
-// noTargetRetry is the hint when a service has no usable target: about the
-// time until one comes back or a breaker lets a probe through.
+// noTargetRetry is the Retry-After hint when a service has no usable target: roughly the
+// time until a target recovers or a breaker allows a probe.
 const noTargetRetry = 300 * time.Millisecond
 
+// chooseEngineTarget is chooseTarget for services of model servers.
 func (g *Gateway) chooseEngineTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	g.mu.Lock()
 	pool := g.engine(c.service.Name)
@@ -86,49 +90,50 @@
 	case pl == nil:
 		return nil, nil
 	}
-	l := &targetAttempt{}
-	*l = targetAttempt{
+	a := &targetAttempt{}
+	*a = targetAttempt{
 		target: pl.target, fetchSource: pl.fetchSource, fetchSourcePieces: pl.fetchSourcePieces,
 		choice: placementInfo{cachedPieces: pl.send.Decision.CachedPieces, uncachedTokens: int(pl.send.Decision.UncachedTokens), expectedTTFT: pl.send.Decision.Expected, eligibleTargets: pl.eligibleTargets, weightsVersion: expectedWeights(c, &pl.target)},
 		onAnswer: func() {
 			if !pl.firstTokenSeen {
-				g.recordPromptRead(c, l, pl)
+				g.recordPromptRead(c, a, pl)
 			}
 			pool.recordFirstToken(pl)
 		},
-		onSend:        func(cut func(), m cancelPolicy) { pool.startAttempt(pl, cut, m) },
+		onSend:        func(cancel func(), policy cancelPolicy) { pool.startAttempt(pl, cancel, policy) },
 		onProgress:    func() { pool.recordProgress(pl) },
 		onEnd:         func(r overload.Result) { pool.endAttempt(pl, r) },
 		onUnreachable: func() { pool.recordUnreachable(pl) },
 	}
-	return l, nil
+	return a, nil
 }
 
-// recordPromptRead notes that a target has read the prompt, and whether it saves it.
-func (g *Gateway) recordPromptRead(c *call, l *targetAttempt, pl *enginePlacement) {
-	if !l.savesToStore {
+// recordPromptRead records that a target has read the prompt and, if it was told to, saves
+// it to a store.
+func (g *Gateway) recordPromptRead(c *call, a *targetAttempt, pl *enginePlacement) {
+	if !a.savesToStore {
 		g.peers.sentPrompt(pl, "", nil)
 		return
 	}
 	pieces := sharedPieceHashes(c)
-	g.cache.recordSave(l.cacheScope, pieces)
-	g.peers.sentPrompt(pl, l.cacheScope, pieces)
+	g.cache.recordSave(a.cacheScope, pieces)
+	g.peers.sentPrompt(pl, a.cacheScope, pieces)
 }
 
-// sharedPieceHashes are the names of the prompt's pieces that other requests share.
+// sharedPieceHashes returns the hashes of the prompt's pieces that other requests share.
 func sharedPieceHashes(c *call) []prefix.Hash {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
 	}
-	names := make([]prefix.Hash, len(pieces))
+	hashes := make([]prefix.Hash, len(pieces))
 	for i, p := range pieces {
-		names[i] = p.Hash
+		hashes[i] = p.Hash
 	}
-	return names
+	return hashes
 }
 
-// pieceTokens are the sizes of all pieces of the prompt.
+// pieceTokens returns the sizes of all pieces of the prompt.
 func pieceTokens(c *call) []int {
 	tokens := make([]int, len(c.Prompt.Pieces))
 	for i, p := range c.Prompt.Pieces {
@@ -142,7 +147,8 @@
 	q := &engineRequest{Account: accountName(c), Priority: fairqueue.MaxPriority - urgency(c), Deadline: c.nextEventDeadline()}
 	switch {
 	case c.resumed():
-		// Its caller has a part of the answer and waits within a shorter bound.
+		// The caller has a part of the answer already, and the objective for the next event
+		// is shorter than the one for the first.
 		q.Priority = fairqueue.MaxPriority
 		if c.route.GapObjective > 0 {
 			q.Objective = c.lastEventAt + c.route.GapObjective
@@ -163,13 +169,13 @@
 	return q
 }
 
-// resumed says that the caller has a part of the answer already.
+// resumed reports whether the caller has a part of the answer already.
 func (c *call) resumed() bool { return c.lastEventAt > 0 }
 
-// nextEventDeadline is when the next event of a stream is due at the latest: the
-// first one, or after a resumption the one behind the last that went out.
-// Callers leave a stream that brings nothing for long, well before their
-// deadline; what starts after that runs for nobody.
+// nextEventDeadline returns when the next event of a stream is due at the latest: the first
+// event or, if the stream is resumed, the one after the last event relayed. Callers abandon
+// a stream without events long before their deadlines, and what starts after that is wasted
+// work.
 func (c *call) nextEventDeadline() time.Duration {
 	if c.route.Kind != routing.Stream {
 		return c.due
@@ -181,32 +187,34 @@
 	return due
 }
 
-// How long callers wait for the next event of a stream: the longest of a time,
-// some latency objectives and some gaps. The callers' own rule, as agreed.
+// How long callers wait for the next event of a stream, as agreed with them: the longest of
+// a fixed time, a number of latency objectives and a number of gap objectives.
 const (
 	minStreamWait        = 2 * time.Second
 	streamWaitObjectives = 4
 	streamWaitGaps       = 8
 )
 
-// prefixChain gives the hashes of the prompt's shared pieces, each bound to those
-// before it and to who may share it. The last piece is the request's own, and
-// nothing is gained by remembering it.
+// prefixChain returns the hashes of the prompt's shared pieces and the number of prompt
+// tokens up to the end of each. A hash covers the piece, all pieces before it and the scope
+// that may share it. The last of several pieces is unique to the request and not worth
+// remembering.
 func prefixChain(c *call) (chain []prefix.Hash, ends []int) {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
 	}
-	at, end := prefix.Scope{Account: cacheScope(c), Model: c.Prompt.Model}.Seed(), 0
+	hash, end := prefix.Scope{Account: cacheScope(c), Model: c.Prompt.Model}.Seed(), 0
 	for _, p := range pieces {
-		at = prefix.Extend(at, p.Hash)
+		hash = prefix.Extend(hash, p.Hash)
 		end += p.Tokens
-		chain, ends = append(chain, at), append(ends, end)
+		chain, ends = append(chain, hash), append(ends, end)
 	}
 	return chain, ends
 }
 
-// cacheScope separates the pieces of an isolated account from all others'.
+// cacheScope returns the scope that separates the pieces of an isolated account from those
+// of all others; empty for the shared scope.
 func cacheScope(c *call) string {
 	if c.account != nil && c.account.Isolated {
 		return "account/" + c.account.Name
@@ -214,6 +222,8 @@
 	return ""
 }
 
+// urgency returns the urgency of a request, from 0, the most urgent, to MaxPriority. An
+// account's own setting overrides that of the route.
 func urgency(c *call) int {
 	p := c.route.Priority
 	if c.account != nil && c.account.HasPriority {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -14,89 +14,91 @@
 	"github.com/mastictray/mastictray/internal/targetconn"
 )
 
-// responseRelay carries answers to the caller. It lives over all attempts of a
-// request: a resumed stream goes on where the one before broke off, in the
-// same answer.
+// responseRelay relays responses to the caller. There is one for all attempts of a request:
+// a resumed stream continues where the previous attempt ended, in the same response to the
+// caller.
 type responseRelay struct {
 	g *Gateway
 	c *call
 
-	// started is set once the head of the answer is out.
+	// started is set once the head of the response has been sent.
 	started    bool
 	status     int
 	eventCount int
-	// lastEventID is the id of the last event that went out.
+	// lastEventID is the ID of the last event relayed.
 	lastEventID    string
 	firstByteAfter time.Duration
 }
 
-// resumeAfter is the event behind which a target is to go on.
-func (s *responseRelay) resumeAfter() string {
-	if s.lastEventID != "" {
-		return s.lastEventID
+// resumeAfter returns the ID of the event after which a target is to resume the stream;
+// empty for a new stream.
+func (r *responseRelay) resumeAfter() string {
+	if r.lastEventID != "" {
+		return r.lastEventID
 	}
-	return s.c.LastEventID
+	return r.c.LastEventID
 }
 
-// relayResponse relays a target's relayResponse.
-func (s *responseRelay) relayResponse(ctx context.Context, l *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// relayResponse relays a target's response.
+func (r *responseRelay) relayResponse(ctx context.Context, a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	if resp.StatusCode == http.StatusOK && isEventStream(resp) {
-		return s.relayStream(ctx, l, conn, resp)
+		return r.relayStream(ctx, a, conn, resp)
 	}
-	if s.started {
-		// A resumed stream must be answered with a stream.
-		return s.interruptedOutcome(), errors.Newf("status %d to a resumed stream", resp.StatusCode)
+	if r.started {
+		// Only another stream can continue the stream that was relayed so far.
+		return r.interruptedOutcome(), errors.Newf("status %d to a resumed stream", resp.StatusCode)
 	}
-	return s.relayBuffered(l, conn, resp)
+	return r.relayBuffered(a, conn, resp)
 }
 
 func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// interruptedOutcome is the outcome of a broken attempt: the request may be tried again as
-// long as nothing is out, or where the stream can be resumed.
-func (s *responseRelay) interruptedOutcome() outcome {
-	if s.started && !s.c.route.Repeatable() {
+// interruptedOutcome returns the outcome of an attempt that broke off. The request may be
+// retried if nothing has been relayed or if the stream can be resumed.
+func (r *responseRelay) interruptedOutcome() outcome {
+	if r.started && !r.c.route.Repeatable() {
 		return outcomeTruncated
 	}
 	return outcomeUnknown
 }
 
-// maxBufferedBody bounds the answers that are read whole before their head goes
-// out, so that one that breaks off can still become a clean failure.
+// maxBufferedBody is the size up to which a response is read completely before its head is
+// relayed, so that a target's failure in the meantime can still be answered with an error
+// status.
 const maxBufferedBody = 64 << 10
 
-// relayBuffered relays an answer that is no stream.
-func (s *responseRelay) relayBuffered(l *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// relayBuffered relays a response that is not a stream.
+func (r *responseRelay) relayBuffered(a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 	if err != nil {
 		return outcomeUnknown, errors.Wrap(err, "read body")
 	}
-	s.firstByteAfter = s.g.clock.Now() - s.c.began
-	l.onAnswer()
+	r.firstByteAfter = r.g.clock.Now() - r.c.began
+	a.onAnswer()
 	if len(body) < maxBufferedBody {
 		conn.Finished()
-		s.writeHead(resp, int64(len(body)))
-		_, err = s.c.w.Write(body)
-		return outcomeDelivered, s.deliveredError(resp, err)
+		r.writeHead(resp, int64(len(body)))
+		_, err = r.c.w.Write(body)
+		return outcomeDelivered, r.deliveredError(resp, err)
 	}
-	s.writeHead(resp, resp.ContentLength)
-	if _, err := s.c.w.Write(body); err != nil {
+	r.writeHead(resp, resp.ContentLength)
+	if _, err := r.c.w.Write(body); err != nil {
 		return outcomeTruncated, errors.Wrap(err, "write to caller")
 	}
-	if _, err := io.Copy(s.c.w, resp.Body); err != nil {
+	if _, err := io.Copy(r.c.w, resp.Body); err != nil {
 		return outcomeTruncated, errors.Wrap(err, "relay body")
 	}
 	conn.Finished()
-	return outcomeDelivered, s.deliveredError(resp, nil)
+	return outcomeDelivered, r.deliveredError(resp, nil)
 }
 
-// deliveredError is the error that goes with a delivered answer: a failure that the
-// target states counts against it.
-func (s *responseRelay) deliveredError(resp *http.Response, err error) error {
+// deliveredError returns the error that accompanies a delivered response: a failure that
+// the target reports counts against it.
+func (r *responseRelay) deliveredError(resp *http.Response, err error) error {
 	if err != nil {
-		// The caller has gone; the context tells the rest.
+		// The caller has disconnected, which the context shows as well.
 		return errors.Wrap(err, "write to caller")
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
@@ -105,53 +107,53 @@
 	return nil
 }
 
-// writeHead writes the writeHead of the answer.
-func (s *responseRelay) writeHead(resp *http.Response, length int64) {
-	h := s.c.w.Header()
-	for name, values := range s.g.dialect.RelayHeader(resp) {
+// writeHead sends the head of the response to the caller.
+func (r *responseRelay) writeHead(resp *http.Response, length int64) {
+	h := r.c.w.Header()
+	for name, values := range r.g.dialect.RelayHeader(resp) {
 		h[name] = values
 	}
-	if length >= 0 && s.c.Method != http.MethodHead {
+	if length >= 0 && r.c.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	s.c.w.WriteHeader(resp.StatusCode)
-	s.started, s.status, s.c.wrote = true, resp.StatusCode, true
+	r.c.w.WriteHeader(resp.StatusCode)
+	r.started, r.status, r.c.wrote = true, resp.StatusCode, true
 }
 
-// relayStream relays events as they come, each whole. The head goes out with the
-// first event: until then a failure is still a clean answer.
-func (s *responseRelay) relayStream(ctx context.Context, l *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// relayStream relays events as they arrive, each as a whole. The head is sent with the
+// first event; until then a failure can still be answered with an error status.
+func (r *responseRelay) relayStream(ctx context.Context, a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	events := sse.NewRawReader(resp.Body, 0)
-	flush := http.NewResponseController(s.c.w)
+	flush := http.NewResponseController(r.c.w)
 	for {
 		e, err := events.Next()
 		if err == io.EOF {
-			return s.endStream(conn, resp)
+			return r.endStream(conn, resp)
 		}
 		if err != nil {
-			return s.interruptedOutcome(), errors.Wrapf(err, "stream after %d events", s.eventCount)
+			return r.interruptedOutcome(), errors.Wrapf(err, "stream after %d events", r.eventCount)
 		}
-		l.onProgress()
-		if s.alreadySent(e.ID) {
+		a.onProgress()
+		if r.alreadySent(e.ID) {
 			continue
 		}
-		if s.eventCount == 0 {
-			s.firstByteAfter = s.g.clock.Now() - s.c.began
+		if r.eventCount == 0 {
+			r.firstByteAfter = r.g.clock.Now() - r.c.began
 		}
-		l.onAnswer()
-		if !s.started {
-			s.writeHead(resp, -1)
+		a.onAnswer()
+		if !r.started {
+			r.writeHead(resp, -1)
 		}
-		if _, err := s.c.w.Write(e.Bytes); err != nil {
+		if _, err := r.c.w.Write(e.Bytes); err != nil {
 			return outcomeTruncated, errors.Wrap(err, "write to caller")
 		}
 		if err := flush.Flush(); err != nil {
 			return outcomeTruncated, errors.Wrap(err, "flush to caller")
 		}
-		s.eventCount++
-		s.c.lastEventAt = s.g.clock.Now()
+		r.eventCount++
+		r.c.lastEventAt = r.g.clock.Now()
 		if e.ID != "" {
-			s.lastEventID = e.ID
+			r.lastEventID = e.ID
 		}
 		if ctx.Err() != nil {
 			return outcomeTruncated, ctx.Err()
@@ -159,24 +161,25 @@
 	}
 }
 
-// alreadySent says that the caller has the event already: a resumed stream may start
-// too early, and a piece that comes twice spoils the answer.
-func (s *responseRelay) alreadySent(id string) bool {
-	if id == "" || s.lastEventID == "" {
+// alreadySent reports whether the caller has the event already. A resumed stream may start
+// too early, and a repeated event would corrupt the answer.
+func (r *responseRelay) alreadySent(id string) bool {
+	if id == "" || r.lastEventID == "" {
 		return false
 	}
 	next, err := strconv.ParseInt(id, 10, 64)
-	last, err2 := strconv.ParseInt(s.lastEventID, 10, 64)
-	return err == nil && err2 == nil && next <= last
+	last, lastErr := strconv.ParseInt(r.lastEventID, 10, 64)
+	return err == nil && lastErr == nil && next <= last
 }
 
-func (s *responseRelay) endStream(conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// endStream ends the relay of a complete stream.
+func (r *responseRelay) endStream(conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		conn.Break() // its end was the connection's
+		conn.Break() // the end of the connection marked the end of the body
 	}
 	conn.Finished()
-	if !s.started {
-		s.writeHead(resp, -1)
+	if !r.started {
+		r.writeHead(resp, -1)
 	}
 	return outcomeDelivered, nil
 }
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -2,10 +2,10 @@
 
 import "github.com/mastictray/mastictray/internal/overload"
 
-// retryBudget finds or makes a service's retryBudget. The bound is on the whole fleet:
-// each instance adds to its retryBudget by its own requests, and has its part of
-// what may be saved up. A new process has saved up nothing: after a restart of
-// the whole fleet it would else be spent twice.
+// retryBudget returns the retry budget of a service and creates it if necessary. The limits
+// apply to the whole fleet: each instance adds retries for its own requests and may
+// accumulate its share of the reserve. A new process starts without accumulated retries;
+// otherwise, a restart of the whole fleet would allow the reserve to be spent twice.
 func (g *Gateway) retryBudget(service string) *overload.SharedRetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -17,16 +17,17 @@
 	return b
 }
 
-// initialRetryBudget lets the first request of a service be repeated.
+// initialRetryBudget allows the first request of a service to be retried.
 const initialRetryBudget = 1
 
-// retryReserve is this instance's part of what may be saved up.
+// retryReserve returns this instance's share of the retries that may accumulate in the
+// fleet.
 func (g *Gateway) retryReserve(fleet int) float64 {
 	return max(initialRetryBudget, g.settings.RetryReserve/float64(fleet))
 }
 
-// updateRetryReserves gives the budgets their part in a fleet of that size. The
-// caller holds g.mu.
+// updateRetryReserves sets the reserves of all budgets for the given fleet size. The caller
+// holds g.mu.
 func (g *Gateway) updateRetryReserves(fleet int) {
 	for _, b := range g.budgets {
 		b.SetReserve(g.retryReserve(fleet))
--- a/internal/gateway/servicepool.go
+++ b/internal/gateway/servicepool.go
@@ -10,7 +10,7 @@
 	"github.com/mastictray/mastictray/internal/placement"
 )
 
-// servicePool chooses among the targets of one plain service.
+// servicePool chooses targets for the requests of one service without model servers.
 type servicePool struct {
 	now    func() time.Duration
 	domain string
@@ -32,8 +32,8 @@
 	return &servicePool{now: now, domain: domain, limits: limits, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// updateTargets takes the service's usable targets; what is known of those that stay
-// is kept.
+// updateTargets sets the usable targets of the service. The state of targets that remain is
+// kept.
 func (p *servicePool) updateTargets(regs []directory.Registration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// serviceChoice is a target for one attempt.
+// serviceChoice is a target chosen for one attempt.
 type serviceChoice struct {
 	target  directory.Registration
 	breaker *overload.Breaker
 	ticket  overload.Ticket
 }
 
-// acquire chooses the target with the fewest requests of this instance, of the
-// own domain where that is equal. False when none may get one.
+// acquire chooses the target with the fewest requests of this instance and, among equals,
+// one in its own domain. It returns false if no target may get a request.
 func (p *servicePool) acquire(exclude string) (*serviceChoice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,11 +88,11 @@
 	return &serviceChoice{target: t.registration, breaker: t.breaker, ticket: t.breaker.Begin()}, true
 }
 
-// maxOutstanding bounds this instance's requests at one target, far above what
-// a target runs at once: it only stops a pile-up behind one that hangs.
+// maxOutstanding bounds this instance's requests at one target. It is far above what a
+// target runs concurrently and only prevents requests from piling up at one that hangs.
 const maxOutstanding = 64
 
-// endAttempt takes in the end of an attempt and what it says of the target.
+// endAttempt records the end of an attempt and reports its result to the target's breaker.
 func (p *servicePool) endAttempt(c *serviceChoice, result overload.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,7 @@
 	c.breaker.End(p.now(), c.ticket, result, p.rng)
 }
 
-// recordUnreachable takes in that the target takes no connection.
+// recordUnreachable records that no connection to the target could be made.
 func (p *servicePool) recordUnreachable(c *serviceChoice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- /dev/null
+++ b/internal/gateway/streammove.go
@@ -0,0 +1,93 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/mastictray/mastictray/internal/logline"
+)
+
+// streamMoveDelay is the time from the announcement of a load until the streams that still
+// run on the target are moved. New requests may arrive there for about as long, and most
+// short responses end within that time.
+const streamMoveDelay = 200 * time.Millisecond
+
+// cancelPolicy says whether an attempt that this instance cancels may continue at another
+// target.
+type cancelPolicy struct {
+	// repeatable is set if the request may run again.
+	repeatable bool
+	// reserveResume takes a retry from the budget so that the attempt can be cancelled now
+	// and resumed at another target. It returns false if the attempt must not be cancelled.
+	// When several streams are to be moved at once, only those that got a retry are
+	// cancelled.
+	reserveResume func() bool
+}
+
+// cancelPolicyFor returns the policy for the attempt that is being sent.
+func (g *Gateway) cancelPolicyFor(c *call) cancelPolicy {
+	policy := cancelPolicy{repeatable: c.route.Repeatable()}
+	lastAttempt := c.sent >= c.route.MaxAttempts
+	budget := g.retryBudget(c.service.Name)
+	reserve := streamMoveReserve * g.retryReserve(g.peers.fleetSize())
+	policy.reserveResume = func() bool {
+		if !policy.repeatable || lastAttempt || g.closing.Load() || !g.resumeAllowed(c) || !budget.TakeRetryAbove(reserve) {
+			return false
+		}
+		c.prepaid.Store(true)
+		return true
+	}
+	return policy
+}
+
+// resumeAllowed reports whether the configuration in force still allows the request. Since
+// it was sent, its key may have been withdrawn or its route may lead to another service.
+func (g *Gateway) resumeAllowed(c *call) bool {
+	t := g.table.Load()
+	if t == nil || g.feeds.cut() {
+		return false
+	}
+	route, ok := t.Match(c.Host, c.Path)
+	if !ok || !routeIncludes(route, c.service.Name) {
+		return false
+	}
+	if !t.RequiresKey(route) {
+		return true
+	}
+	_, ok = t.AccountByKeyHash(c.keyHash)
+	return ok
+}
+
+// streamMoveReserve is the fraction of the retry reserve that moved streams leave for
+// failures.
+const streamMoveReserve = 0.5
+
+// trackLoading updates since when each target has been loading. The caller holds p.mu.
+func (p *enginePool) trackLoading() {
+	for id := range p.loadingSince {
+		if !p.loading[id] {
+			delete(p.loadingSince, id)
+		}
+	}
+	for id := range p.loading {
+		if _, known := p.loadingSince[id]; !known {
+			p.loadingSince[id] = p.now()
+		}
+	}
+}
+
+// moveStreams cancels the streams on targets that are about to load weights if they can be
+// resumed at another target. A load waits for everything that runs on its target, which
+// takes several times as long as the load itself. The caller holds p.mu.
+func (p *enginePool) moveStreams() {
+	now := p.now()
+	for pl := range p.running {
+		since, loads := p.loadingSince[pl.target.ID]
+		if !loads || now-since < streamMoveDelay || !pl.firstTokenSeen || p.pool.EligibleCount() == 0 || !pl.reserveResume() {
+			continue
+		}
+		logline.Info("stream_moved", "target", pl.target.ID, "ran", now-pl.send.SentAt)
+		pl.cancelledHere = true
+		pl.cancel()
+		delete(p.running, pl)
+	}
+}
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// suspensionThreshold is the pause between two ticks from which the process
-	// counts as suspended: four times the usual one.
+	// suspensionThreshold is the time between two ticks above which the process counts as
+	// suspended, four times the usual one.
 	suspensionThreshold = 4 * sweepEvery
-	// suspensionReportPeriod is how long after its end a suspension is reported. By
-	// then what came in meanwhile has been read, and each live peer has sent a
-	// message or, every 2 s, been announced.
+	// suspensionReportPeriod is how long a suspension is reported after its end. By then,
+	// everything received during it has been read, and each live peer has sent a message or
+	// has been announced, which happens every 2 s.
 	suspensionReportPeriod = 2500 * time.Millisecond
 )
 
-// suspensionDetector notices that this process was suspended, as when its machine
-// freezes. What it receives right after that may be as old as the suspensionDetector.
+// suspensionDetector detects that this process was suspended, for example because its
+// machine was frozen. What the process receives right after that may be as old as the
+// suspension.
 type suspensionDetector struct {
 	mu       sync.Mutex
 	tickedAt time.Duration
@@ -24,7 +25,7 @@
 	endedAt  time.Duration
 }
 
-// tick is called all the while.
+// tick records that the process is running. It must be called at regular intervals.
 func (s *suspensionDetector) tick(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,12 +35,12 @@
 	s.tickedAt = now
 }
 
-// recent is the length of a suspension that has just ended; 0 for none.
+// recent returns the duration of a suspension that has just ended; 0 for none.
 func (s *suspensionDetector) recent(now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if gap := now - s.tickedAt; gap > suspensionThreshold {
-		return gap // not noticed yet
+		return gap // the next tick has yet to record it
 	}
 	if s.duration > 0 && now-s.endedAt < suspensionReportPeriod {
 		return s.duration
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -11,8 +11,9 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// targetLimits are the requests a second that targets take from all instances
-// together, as their answers state them. Its lock is locked after all others.
+// targetLimits shares a targetlimit.Limiter between goroutines. It holds the requests per
+// second that targets accept from all instances together, as their responses state them.
+// Its lock is acquired after all others.
 type targetLimits struct {
 	now func() time.Duration
 
@@ -24,8 +25,8 @@
 	return &targetLimits{now: now, limiter: targetlimit.New(now(), instance)}
 }
 
-// observe takes in what the answer of a target states to a request sent at a time; 0
-// for no limit.
+// observe records the limit that a target stated in the response to a request sent at the
+// given time; 0 for no limit.
 func (t *targetLimits) observe(sent time.Duration, id directory.Incarnation, limit float64) {
 	t.mu.Lock()
 	changed := t.limiter.Observe(t.now(), sent, id, limit)
@@ -35,15 +36,16 @@
 	}
 }
 
-// setFleet takes all instances that may be serving.
-func (t *targetLimits) setFleet(names []string, found bool) {
+// setFleet sets all instances that may be serving. discovered is set once the fleet has
+// been looked up.
+func (t *targetLimits) setFleet(names []string, discovered bool) {
 	slices.Sort(names)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.SetFleet(t.now(), names, found)
+	t.limiter.SetFleet(t.now(), names, discovered)
 }
 
-// applyReports takes in what another instance reports.
+// applyReports merges the limits that another instance reports.
 func (t *targetLimits) applyReports(limits []wire.TargetLimit) {
 	if len(limits) == 0 {
 		return
@@ -57,7 +59,7 @@
 	t.limiter.ApplyReports(t.now(), reports)
 }
 
-// reports are what this instance passes on.
+// reports returns the limits that this instance passes on to others.
 func (t *targetLimits) reports() []wire.TargetLimit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,31 +70,31 @@
 	return out
 }
 
-// limitedTargets lists the targets that state a limit, and whether this instance may send each
-// of them a request now.
+// limitedTargets returns the targets that state a limit and, for each, whether this
+// instance may send it a request now.
 func (t *targetLimits) limitedTargets() map[directory.Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limiter.LimitedTargets(t.now())
 }
 
-// canSend says whether this instance may send a request to a target now.
+// canSend reports whether this instance may send a request to a target now.
 func (t *targetLimits) canSend(id directory.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.limiter.CanSend(t.now(), id)
 }
 
-// recordSend takes in that a request goes to a target.
+// recordSend records that a request is being sent to a target.
 func (t *targetLimits) recordSend(id directory.Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limiter.RecordSend(t.now(), id)
 }
 
-// retain forgets the targets that are gone.
-func (t *targetLimits) retain(there func(directory.Incarnation) bool) {
+// retain drops the targets for which exists returns false.
+func (t *targetLimits) retain(exists func(directory.Incarnation) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limiter.Retain(there)
+	t.limiter.Retain(exists)
 }
