--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -111,9 +111,9 @@
 		if c.service.Engine != nil {
 			g.engineOf(c).recordRefusal(a.target.Incarnation())
 		}
-		return outcomeNotRun, errors.Newf("status %d, not run", resp.StatusCode)
+		return outcomeNotRun, errors.Newf("target did not run the request: status %d", resp.StatusCode)
 	case !info.Signed:
-		return outcomeUnknown, errors.Newf("status %d without the target's signature", resp.StatusCode)
+		return outcomeUnknown, errors.Newf("response without the target's signature: status %d", resp.StatusCode)
 	case resp.StatusCode >= http.StatusInternalServerError && g.canRetryServerError(ctx, c):
 		return outcomeUnknown, errors.Wrapf(errServerError, "status %d", resp.StatusCode)
 	}
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -170,7 +170,7 @@
 	address string
 	// storedPieces is the number of leading pieces that the store is known to have.
 	storedPieces int
-	// save says that the target should save the pieces that it reads to the store.
+	// save says that the target should save the pieces that it prefills to the store.
 	save bool
 }
 
@@ -193,12 +193,12 @@
 }
 
 // shouldSave reports whether a target should save a prompt to a store that has the first
-// held of its shared pieces. A target saves all that it reads, including the unshared part
-// of the prompt, which is never requested again and evicts pieces that other requests need.
-// Once new weights are named, every shared prefix is saved anew, and the unshared parts
-// alone would fill a store. A prompt is therefore saved only if its unshared part is not
-// too large compared to the missing shared pieces. A later prompt with the same prefix may
-// have a smaller unshared part.
+// held of its shared pieces. A target saves everything that it prefills, including the
+// unshared part of the prompt, which is never requested again and evicts pieces that other
+// requests need. Once new weights are named, every shared prefix is saved anew, and the
+// unshared parts alone would fill a store. A prompt is therefore saved only if its unshared
+// part is not too large compared to the missing shared pieces. A later prompt with the same
+// prefix may have a smaller unshared part.
 func shouldSave(held, shared int, tokens []int) bool {
 	missing, unshared := 0, 0
 	for i, n := range tokens {
@@ -216,8 +216,8 @@
 // shared tokens that the store is missing.
 const maxUnsharedSaveRatio = 2
 
-// recordSave records that a target has read pieces that this instance or a peer told it to
-// save.
+// recordSave records that a target has prefilled pieces that this instance or a peer told
+// it to save.
 func (s *cacheStores) recordSave(scope string, pieces []prefix.Hash) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -71,7 +71,7 @@
 		}}
 		listener, err := config.Listen(context.Background(), "tcp", l.address)
 		if err != nil {
-			return errors.Wrapf(err, "listen at %s", l.address)
+			return errors.Wrapf(err, "listen on %s", l.address)
 		}
 		go func() {
 			if err := l.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/gateway/enginepeers.go
+++ b/internal/gateway/enginepeers.go
@@ -51,8 +51,8 @@
 	return max(0, pl.heldTokens-pl.send.Request.Placement.LeadingTokens(pl.send.Decision.CachedPieces))
 }
 
-// recordPeerPrompt records a prompt that a target has read for a peer, and the number of
-// tokens that it has added to the target's cache.
+// recordPeerPrompt records a prompt that a target has prefilled for a peer, and the number
+// of tokens that it has added to the target's cache.
 func (p *enginePool) recordPeerPrompt(id directory.Incarnation, chain []prefix.Hash, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -20,7 +20,8 @@
 	// fetchSourcePieces is the number of leading pieces that the fetch source is known to
 	// have.
 	fetchSourcePieces int
-	// savesToStore is set if the target saves the pieces that it reads, under cacheScope.
+	// savesToStore is set if the target saves the pieces that it prefills, under
+	// cacheScope.
 	savesToStore bool
 	cacheScope   string
 	// choice describes the placement decision, for the log.
@@ -96,7 +97,7 @@
 		choice: placementInfo{cachedPieces: pl.send.Decision.CachedPieces, uncachedTokens: int(pl.send.Decision.UncachedTokens), expectedTTFT: pl.send.Decision.Expected, eligibleTargets: pl.eligibleTargets, weightsVersion: expectedWeights(c, &pl.target)},
 		onAnswer: func() {
 			if !pl.firstTokenSeen {
-				g.recordPromptRead(c, a, pl)
+				g.recordPrefill(c, a, pl)
 			}
 			pool.recordFirstToken(pl)
 		},
@@ -108,9 +109,9 @@
 	return a, nil
 }
 
-// recordPromptRead records that a target has read the prompt and, if it was told to, saves
-// it to a store.
-func (g *Gateway) recordPromptRead(c *call, a *targetAttempt, pl *enginePlacement) {
+// recordPrefill records that a target has prefilled the prompt and, if it was told to,
+// saves its pieces to a store.
+func (g *Gateway) recordPrefill(c *call, a *targetAttempt, pl *enginePlacement) {
 	if !a.savesToStore {
 		g.peers.sentPrompt(pl, "", nil)
 		return
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -46,7 +46,7 @@
 	}
 	if r.started {
 		// Only another stream can continue the stream that was relayed so far.
-		return r.interruptedOutcome(), errors.Newf("status %d to a resumed stream", resp.StatusCode)
+		return r.interruptedOutcome(), errors.Newf("resumed stream was answered with status %d", resp.StatusCode)
 	}
 	return r.relayBuffered(a, conn, resp)
 }
@@ -73,7 +73,7 @@
 func (r *responseRelay) relayBuffered(a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 	if err != nil {
-		return outcomeUnknown, errors.Wrap(err, "read body")
+		return outcomeUnknown, errors.Wrap(err, "read response body")
 	}
 	r.firstByteAfter = r.g.clock.Now() - r.c.began
 	a.onAnswer()
@@ -88,7 +88,7 @@
 		return outcomeTruncated, errors.Wrap(err, "write to caller")
 	}
 	if _, err := io.Copy(r.c.w, resp.Body); err != nil {
-		return outcomeTruncated, errors.Wrap(err, "relay body")
+		return outcomeTruncated, errors.Wrap(err, "relay response body")
 	}
 	conn.Finished()
 	return outcomeDelivered, r.deliveredError(resp, nil)
--- a/internal/gateway/streammove.go
+++ b/internal/gateway/streammove.go
@@ -6,9 +6,9 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// streamMoveDelay is the time from the announcement of a load until the streams that still
-// run on the target are moved. New requests may arrive there for about as long, and most
-// short responses end within that time.
+// streamMoveDelay is the time from the announcement of a weights load until the streams
+// that still run on the target are moved. New requests may arrive there for about as long,
+// and most short responses end within that time.
 const streamMoveDelay = 200 * time.Millisecond
 
 // cancelPolicy says whether an attempt that this instance cancels may continue at another
