--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// defaultIdle is how long a caller's idle connection is kept where the
-	// configuration does not say.
-	defaultIdle = 15 * time.Second
-	// idleSlack is added to it: a caller that keeps to the limit would
-	// otherwise send just as the connection closes.
-	idleSlack = time.Second
-	// headerTimeout bounds the time to a whole head.
-	headerTimeout = 5 * time.Second
-	// callerKeepAlive is the pause between probes of a silent caller: one
-	// that was cut off must not hold its targets for long.
-	callerKeepAlive = time.Second
-	maxHeaderBytes  = 64 << 10
+	// defaultCallerIdleTimeout is how long an idle caller connection is kept if the
+	// configuration sets no limit.
+	defaultCallerIdleTimeout = 15 * time.Second
+	// callerIdleSlack is added to the limit. Otherwise a caller that keeps to the limit
+	// would send a request just as its connection is closed.
+	callerIdleSlack = time.Second
+	// readHeaderTimeout bounds the time to receive a complete request head.
+	readHeaderTimeout = 5 * time.Second
+	// callerKeepAliveInterval is the interval of TCP keep-alive probes. The requests of a
+	// caller whose connection was cut must not occupy targets for long.
+	callerKeepAliveInterval = time.Second
+	maxHeaderBytes          = 64 << 10
 )
 
-// callerServer is the listeners for callers, the balancer and metrics.
+// callerServer holds the HTTP servers for callers, for the load balancer's readiness checks
+// and for metrics.
 type callerServer struct {
 	g       *Gateway
 	callers *http.Server
@@ -41,15 +42,15 @@
 func newCallerServer(g *Gateway) *callerServer {
 	s := &callerServer{g: g, idle: map[net.Conn]time.Time{}}
 	s.callers = &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.track,
+		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: s.trackIdle,
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc(g.dialect.ReadyPath(), s.answerReady)
-	s.ready = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	counts := http.NewServeMux()
-	counts.HandleFunc("GET /metrics", g.serveMetrics)
-	counts.HandleFunc("GET /admin/v1/state", g.serveState)
-	s.metrics = &http.Server{Handler: counts, ReadHeaderTimeout: headerTimeout}
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc(g.dialect.ReadyPath(), s.answerReady)
+	s.ready = &http.Server{Handler: readyMux, ReadHeaderTimeout: readHeaderTimeout}
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", g.serveMetrics)
+	metricsMux.HandleFunc("GET /admin/v1/state", g.serveState)
+	s.metrics = &http.Server{Handler: metricsMux, ReadHeaderTimeout: readHeaderTimeout}
 	return s
 }
 
@@ -66,15 +67,15 @@
 			continue
 		}
 		config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: callerKeepAlive, Interval: callerKeepAlive, Count: 3,
+			Enable: true, Idle: callerKeepAliveInterval, Interval: callerKeepAliveInterval, Count: 3,
 		}}
 		listener, err := config.Listen(context.Background(), "tcp", l.address)
 		if err != nil {
-			return errors.Wrapf(err, "listen at %s", l.address)
+			return errors.Wrapf(err, "listen on %s", l.address)
 		}
 		go func() {
 			if err := l.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				logline.Error(err, "listener_ended", "address", l.address)
+				logline.Error(err, "listener_failed", "address", l.address)
 			}
 		}()
 	}
@@ -87,10 +88,9 @@
 	}
 }
 
-// track notes which connections are idle, and since when. The limit is the
-// configuration's and changes while the server runs, so the server's own,
-// which is fixed, is left off.
-func (s *callerServer) track(c net.Conn, state http.ConnState) {
+// trackIdle records which connections are idle and since when. http.Server.IdleTimeout is
+// not used because it is fixed, while the configured limit changes at run time.
+func (s *callerServer) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateIdle || state == http.StateNew {
@@ -100,31 +100,31 @@
 	}
 }
 
-// closeIdle closes connections that were idle for too long.
+// closeIdle closes connections that have been idle for too long.
 func (s *callerServer) closeIdle() {
-	limit := defaultIdle
+	limit := defaultCallerIdleTimeout
 	if t := s.g.table.Load(); t != nil && t.Config().Limits.IdleTimeout > 0 {
 		limit = t.Config().Limits.IdleTimeout
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, since := range s.idle {
-		if time.Since(since) > limit+idleSlack {
-			// The server forgets the connection once it is closed.
+		if time.Since(since) > limit+callerIdleSlack {
+			// http.Server drops its record of the connection when it is closed.
 			_ = c.Close()
 			delete(s.idle, c)
 		}
 	}
 }
 
-// shutdown takes no new connections and waits for running requests.
+// shutdown stops accepting connections and waits for the running requests.
 func (s *callerServer) shutdown(ctx context.Context) {
 	if err := s.callers.Shutdown(ctx); err != nil {
 		logline.Error(err, "drain_incomplete")
 	}
 	for _, server := range []*http.Server{s.ready, s.metrics} {
 		if err := server.Close(); err != nil {
-			logline.Error(err, "listener_unclosed")
+			logline.Error(err, "listener_close_failed")
 		}
 	}
 }
--- a/internal/gateway/configtransfer.go
+++ b/internal/gateway/configtransfer.go
@@ -74,7 +74,7 @@
 	rate := mbps * bytesPerMbit
 	return &configTransfer{
 		g: g, linkBytesPerSecond: rate, wake: make(chan struct{}, 1),
-		sender: configsync.NewSender(configLinkFraction * rate), receiver: configsync.NewReceiver(g.self.Instance, rate, transferShare),
+		sender: configsync.NewSender(configLinkFraction * rate), receiver: configsync.NewReceiver(g.self.Instance, rate, transferLinkShare),
 	}
 }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -193,7 +193,7 @@
 // applyToGateway passes the combined state of the peers on to the gateway.
 func (p *peers) applyToGateway() {
 	now := p.g.clock.Now()
-	loads := map[string]load{}
+	loads := map[string]targetLoad{}
 	loading := map[string]bool{}
 	p.mu.Lock()
 	fleetSize, updateMaxAge, updateDelay := p.fleetSizeLocked(), p.updateMaxAge(), p.propagationTime()
@@ -209,7 +209,7 @@
 		}
 		for target, l := range s.state.Loads {
 			sum := loads[target]
-			loads[target] = load{Unanswered: sum.Unanswered + float64(l.PendingPromptTokens), Held: sum.Held + l.KVCacheTokens}
+			loads[target] = targetLoad{PendingPromptTokens: sum.PendingPromptTokens + float64(l.PendingPromptTokens), KVCacheTokens: sum.KVCacheTokens + l.KVCacheTokens}
 		}
 		for _, id := range s.state.LoadingTargets {
 			loading[id] = true
@@ -260,9 +260,9 @@
 
 // publishPrompt publishes to the peers that a target has prefilled a prompt, and which
 // of its pieces it saves under the scope.
-func (p *peers) publishPrompt(pl *placed, scope string, saved []prefix.Hash) {
+func (p *peers) publishPrompt(pl *enginePlacement, scope string, saved []prefix.Hash) {
 	prompt := wire.PrefilledPrompt{
-		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: hashesToUint64(pl.send.Request.Placement.Chain), CachedTokens: pl.took(),
+		Target: pl.target.ID, Born: pl.target.StartedMs, SharedPieces: hashesToUint64(pl.send.Request.Placement.Chain), CachedTokens: pl.newlyCachedTokens(),
 		CacheScope: scope, SavedPieces: hashesToUint64(saved),
 	}
 	p.mu.Lock()
--- a/internal/gateway/finish.go
+++ b/internal/gateway/finish.go
@@ -8,8 +8,8 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// giveUp ends a request that no target has answered.
-func (g *Gateway) giveUp(ctx context.Context, c *call, s *relay, refusal *Refusal) *Refusal {
+// finishUnanswered ends a request that no target has answered completely.
+func (g *Gateway) finishUnanswered(ctx context.Context, c *call, relay *responseRelay, refusal *Refusal) *Refusal {
 	if c.r.Context().Err() != nil {
 		g.metrics.callerLeft()
 		logline.Info("caller_left", "request", c.ID, "route", routeName(c), "sent", c.sendCount, "target", c.lastTarget, "after", g.clock.Now()-c.startedAt)
@@ -18,8 +18,8 @@
 		}
 		return &Refusal{abort: true}
 	}
-	if s.started {
-		return g.breakOff(c, s)
+	if relay.started {
+		return g.abortAnswer(c, relay)
 	}
 	switch {
 	case c.mayHaveRun && ctx.Err() != nil:
@@ -31,31 +31,31 @@
 	case ctx.Err() != nil:
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
 	}
-	return unavailableRefusal("targets_full", fullRetry)
+	return unavailableRefusal("targets_full", targetsFullRetry)
 }
 
-// fullRetry is the hint when every target tried was full: a part of a second
-// in which some of their requests end.
-const fullRetry = 250 * time.Millisecond
+// targetsFullRetry is the Retry-After hint when every target tried was full. Some of their
+// running requests end within that time.
+const targetsFullRetry = 250 * time.Millisecond
 
-// breakOff ends an answer of which a part is out, so that it does not look
+// abortAnswer aborts a response that has been sent in part, so that it does not look
 // complete.
-func (g *Gateway) breakOff(c *call, s *relay) *Refusal {
+func (g *Gateway) abortAnswer(c *call, relay *responseRelay) *Refusal {
 	g.metrics.answerAborted()
 	logline.Info("broken_off", "request", c.ID, "route", c.route.Name, "account", accountName(c), "sent", c.sendCount,
-		"target", c.lastTarget, "events", s.events, "last_event", s.lastID, "after", g.clock.Now()-c.startedAt)
+		"target", c.lastTarget, "events", relay.eventCount, "last_event", relay.lastEventID, "after", g.clock.Now()-c.startedAt)
 	return &Refusal{abort: true}
 }
 
-func (g *Gateway) logAttempt(c *call, l *leg, result string, err error) {
-	logline.Info("attempt_failed", "request", c.ID, "route", c.route.Name, "target", l.target.ID, "address", l.target.Address,
-		"domain", l.target.Domain, "weights", l.choice.weights, "attempt", c.sendCount, "result", result, "error", err, "after", g.clock.Now()-c.startedAt)
+func (g *Gateway) logFailedAttempt(c *call, a *targetAttempt, result string, err error) {
+	logline.Info("attempt_failed", "request", c.ID, "route", c.route.Name, "target", a.target.ID, "address", a.target.Address,
+		"domain", a.target.Domain, "weights", a.choice.weightsVersion, "attempt", c.sendCount, "result", result, "error", err, "after", g.clock.Now()-c.startedAt)
 }
 
-func (g *Gateway) logAnswered(c *call, s *relay) {
+func (g *Gateway) logAnswered(c *call, relay *responseRelay) {
 	total := g.clock.Now() - c.startedAt
-	g.metrics.answered(c, s, total)
+	g.metrics.answered(c, relay, total)
 	logline.InfoSampled("answered", "request", c.ID, "route", c.route.Name, "account", accountName(c), "target", c.lastTarget,
-		"weights", c.choice.weights, "status", s.status, "attempts", c.sendCount, "events", s.events, "queued", c.placedAt-c.startedAt, "first", s.firstAt, "after", total,
-		"expected", c.choice.expected, "cached_pieces", c.choice.cached, "uncached", c.choice.uncached, "targets", c.choice.targets)
+		"weights", c.choice.weightsVersion, "status", relay.status, "attempts", c.sendCount, "events", relay.eventCount, "queued", c.placedAt-c.startedAt, "first", relay.firstByteAfter, "after", total,
+		"expected", c.choice.expectedTTFT, "cached_pieces", c.choice.cachedPieces, "uncached", c.choice.uncachedTokens, "targets", c.choice.eligibleTargets)
 }
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -15,17 +15,17 @@
 func (g *Gateway) publishedState() (wire.InstanceState, map[string]float64) {
 	state := wire.InstanceState{
 		Capacity: g.settings.Capacity, Leaving: g.draining.Load(), StoreUnreachable: g.feeds.anyUnreachable(), OrderLease: g.heldLeaseRecord(),
-		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.answering(),
+		ConfigVersion: g.configVersion(), Loads: map[string]wire.TargetLoad{}, CacheStores: g.cache.reachableStores(),
 		TargetLimits: g.limits.reports(),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	state.LoadingTargets = g.orderedTargets
 	for _, pool := range g.engines {
-		for id, l := range pool.loads() {
-			state.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.Unanswered), KVCacheTokens: l.Held}
+		for id, l := range pool.targetLoads() {
+			state.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.PendingPromptTokens), KVCacheTokens: l.KVCacheTokens}
 		}
-		state.SilentTargets = append(state.SilentTargets, pool.silent()...)
+		state.SilentTargets = append(state.SilentTargets, pool.recentlyStalled()...)
 	}
 	return state, g.quota.ReportSpent()
 }
@@ -73,9 +73,9 @@
 	g.mu.Unlock()
 	pools := g.enginePools()
 	for i := range changes {
-		g.limits.take(changes[i].State.TargetLimits)
+		g.limits.applyReports(changes[i].State.TargetLimits)
 		if stores := changes[i].State.CacheStores; len(stores) > 0 {
-			g.cache.reported(stores)
+			g.cache.applyPeerReports(stores)
 		}
 		if lease := changes[i].State.OrderLease; lease != nil {
 			g.lease.handleRead(now, fromWireLease(*lease))
@@ -92,11 +92,11 @@
 // instance.
 func (g *Gateway) applyPrefilledPrompt(pools []*enginePool, prompt *wire.PrefilledPrompt) {
 	if len(prompt.SavedPieces) > 0 {
-		g.cache.saved(prompt.CacheScope, hashesFromUint64(prompt.SavedPieces))
+		g.cache.recordSave(prompt.CacheScope, hashesFromUint64(prompt.SavedPieces))
 	}
 	chain := hashesFromUint64(prompt.SharedPieces)
 	for _, pool := range pools {
-		pool.noteCached(directory.Incarnation{ID: prompt.Target, StartedMs: prompt.Born}, chain, prompt.CachedTokens)
+		pool.recordPeerPrompt(directory.Incarnation{ID: prompt.Target, StartedMs: prompt.Born}, chain, prompt.CachedTokens)
 	}
 }
 
@@ -176,24 +176,24 @@
 		return
 	}
 	for _, pool := range g.enginePools() {
-		pool.suspect(ids)
+		pool.suspectStalled(ids)
 	}
 }
 
 // applyFleetState applies the peers' loads, the targets that load, and the size of the
 // fleet. Updates of peers arrive after updateDelay.
-func (g *Gateway) applyFleetState(now time.Duration, fleetSize int, updateMaxAge, updateDelay time.Duration, loads map[string]load, loading map[string]bool) {
+func (g *Gateway) applyFleetState(now time.Duration, fleetSize int, updateMaxAge, updateDelay time.Duration, loads map[string]targetLoad, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.quota.SetFleetSize(now, fleetSize, updateMaxAge)
-	g.shareReserves(fleetSize)
+	g.updateRetryReserves(fleetSize)
 	for _, f := range g.crashes.unreported {
 		g.peers.publishCrash(f)
 	}
 	g.crashes.unreported = nil
 	g.loadingTargets = union(loading, g.orderedTargets)
-	g.updateRollout()
+	g.updateVersionBounds()
 	for _, pool := range g.engines {
-		pool.setPeers(updateDelay, loads)
+		pool.setPeerLoads(updateDelay, loads)
 	}
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -9,23 +9,24 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// outcome is what became of an attempt.
+// outcome is the result of an attempt.
 type outcome int
 
 const (
-	// delivered: the answer went to the caller, whole.
-	delivered outcome = iota
-	// broken: a part of the answer went out and no more will come.
-	broken
-	// notRun: the target has proved that it did not run the request.
-	notRun
-	// unknown: the target may have run it.
-	unknown
-	// notSent: no byte reached the target.
-	notSent
+	// outcomeDelivered: the whole response has been relayed to the caller.
+	outcomeDelivered outcome = iota
+	// outcomeTruncated: a part of the response has been relayed and the rest will not
+	// follow.
+	outcomeTruncated
+	// outcomeNotRun: the target has proved that it did not run the request.
+	outcomeNotRun
+	// outcomeUnknown: the target may have run the request.
+	outcomeUnknown
+	// outcomeNotSent: no byte of the request has reached the target.
+	outcomeNotSent
 )
 
-// forward sends the request to targets until one has answered.
+// forward sends the request to one target after another until one has answered.
 func (g *Gateway) forward(ctx context.Context, c *call) *Refusal {
 	name := c.route.ChooseService(g.newRand())
 	service, ok := c.table.Service(name)
@@ -33,58 +34,59 @@
 		return unavailableRefusal("no_service", notReadyRetryAfter)
 	}
 	c.service = service
-	g.budget(name).AddRequest()
-	s := &relay{g: g, c: c}
+	g.retryBudget(name).AddRequest()
+	relay := &responseRelay{g: g, c: c}
 	unsent := 0
 	for {
-		l, refusal := g.place(ctx, c)
-		if l == nil {
-			return g.giveUp(ctx, c, s, refusal)
+		a, refusal := g.chooseTarget(ctx, c)
+		if a == nil {
+			return g.finishUnanswered(ctx, c, relay, refusal)
 		}
-		if refusal := g.recheck(c); refusal != nil {
-			l.ended(overload.Cancelled)
-			return g.giveUp(ctx, c, s, refusal)
+		if refusal := g.revalidate(c); refusal != nil {
+			a.onEnd(overload.Cancelled)
+			return g.finishUnanswered(ctx, c, relay, refusal)
 		}
-		result := g.attempt(ctx, c, l, s)
+		result := g.runAttempt(ctx, c, a, relay)
 		switch result {
-		case delivered:
-			g.logAnswered(c, s)
+		case outcomeDelivered:
+			g.logAnswered(c, relay)
 			return nil
-		case broken:
-			return g.breakOff(c, s)
-		case notSent:
-			if unsent++; unsent < maxUnsent && ctx.Err() == nil {
+		case outcomeTruncated:
+			return g.abortAnswer(c, relay)
+		case outcomeNotSent:
+			if unsent++; unsent < maxUnsentAttempts && ctx.Err() == nil {
 				continue
 			}
-			return g.giveUp(ctx, c, s, nil)
-		case unknown:
+			return g.finishUnanswered(ctx, c, relay, nil)
+		case outcomeUnknown:
 			c.mayHaveRun = true
 		}
-		if !g.mayRepeat(ctx, c) {
-			return g.giveUp(ctx, c, s, nil)
+		if !g.takeRetry(ctx, c) {
+			return g.finishUnanswered(ctx, c, relay, nil)
 		}
 	}
 }
 
-// maxUnsent bounds the targets that take no connection: after so many the
-// service, or the link to it, is down.
-const maxUnsent = 4
+// maxUnsentAttempts bounds the targets of one request that accept no connection. After that
+// many, the service or the link to it is down.
+const maxUnsentAttempts = 4
 
-// mayRepeat says whether the request may be sent to another target.
-func (g *Gateway) mayRepeat(ctx context.Context, c *call) bool {
+// takeRetry reports whether the request may be sent to another target. If so, it has taken
+// the retry from the budget, unless reserveResume has already done so.
+func (g *Gateway) takeRetry(ctx context.Context, c *call) bool {
 	if ctx.Err() != nil || c.sendCount >= max(1, c.route.MaxAttempts) {
 		return false
 	}
 	if c.mayHaveRun && !c.route.Repeatable() {
 		return false
 	}
-	return c.retryCharged.Swap(false) || g.budget(c.service.Name).TakeRetry()
+	return c.retryCharged.Swap(false) || g.retryBudget(c.service.Name).TakeRetry()
 }
 
-// recheck looks again at what may have changed while the request waited: the
-// configuration, the key, and the time, which does not stand still while the
-// machine is suspended.
-func (g *Gateway) recheck(c *call) *Refusal {
+// revalidate checks again what may have changed while the request waited: the
+// configuration, the key and the deadline. The clock shows whether the deadline has passed
+// while the machine was suspended.
+func (g *Gateway) revalidate(c *call) *Refusal {
 	if c.deadline > 0 && g.clock.Now() >= c.deadline {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "deadline", NotRun: true}
 	}
@@ -94,21 +96,22 @@
 			return g.unknownRefusal(http.StatusNotFound, "no_route")
 		}
 		c.table, c.route = t, route
-		if !routesTo(c) {
-			return unavailableRefusal("route_moved", movedRetry)
+		if !routesToService(c) {
+			return unavailableRefusal("route_moved", routeMovedRetry)
 		}
 	}
 	return g.authorize(c)
 }
 
-// movedRetry is the hint when a route moved to another service while its
-// request waited.
-const movedRetry = 50 * time.Millisecond
+// routeMovedRetry is the Retry-After hint when a route was moved to another service while
+// its request waited.
+const routeMovedRetry = 50 * time.Millisecond
 
-// routesTo says whether the route still leads to the request's service.
-func routesTo(c *call) bool { return leadsTo(c.route, c.service.Name) }
+// routesToService reports whether the route still includes the request's service.
+func routesToService(c *call) bool { return routeIncludes(c.route, c.service.Name) }
 
-func leadsTo(r *routing.Route, service string) bool {
+// routeIncludes reports whether a route sends requests to a service.
+func routeIncludes(r *routing.Route, service string) bool {
 	for _, w := range r.Split {
 		if w.Service == service && w.Weight > 0 {
 			return true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 	// orders.
 	orderedTargets []string
 	versionRecord  versionRecord
-	suspension     suspension
+	suspension     suspensionDetector
 	// wallClock returns the time of day.
 	wallClock func() time.Time
 	// leaseHeldByPeerAt is the time at which a peer last reported that it holds the
@@ -209,7 +209,7 @@
 	for sleep(ctx, sweepInterval) {
 		g.suspension.tick(g.clock.Now())
 		g.mu.Lock()
-		g.updateRollout() // bounds also pass while no peer reports
+		g.updateVersionBounds() // bounds also pass while no peer reports
 		g.mu.Unlock()
 		g.targets.Sweep()
 		g.callers.closeIdle()
@@ -221,7 +221,7 @@
 // connections, so that a probe has to dial a new one.
 func (g *Gateway) checkSilentTargets() {
 	for _, pool := range g.enginePools() {
-		for _, address := range pool.checkSilence() {
+		for _, address := range pool.checkStalled() {
 			g.targets.Forget(address)
 		}
 	}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -151,7 +151,7 @@
 		g.recordNamedVersion(v, namedAt, "store", estimated || g.versionsOf(v.Model).contains(v.Version))
 	}
 	if atStart {
-		g.updateRollout()
+		g.updateVersionBounds()
 	}
 }
 
@@ -224,7 +224,7 @@
 		return
 	}
 	logline.Info("weights_named", "model", v.Model, "version", v.Version, "from", from, "age", g.clock.Now()-namedAt, "estimated", estimated)
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // versionsOf returns the versions of a model. The caller holds g.mu.
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -11,71 +11,76 @@
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
-// leg is one attempt at one target.
-type leg struct {
+// targetAttempt is one attempt at one target.
+type targetAttempt struct {
 	target directory.Registration
-	// source is the address of a target to fetch pieces from; empty for none.
-	source string
-	// sourceHolds is the leading pieces that it is known to hold.
-	sourceHolds int
-	// saves says that the target saves what it reads, under the scope.
-	saves bool
-	scope string
-	// choice is what placement expected, for the log.
-	choice choice
-	// sent is called with what ends the attempt before its request is
-	// written, progressed for each part of the answer, answered for the first one,
-	// ended once at the end, unreachable when no connection was made.
-	sent        func(cut func(), m mobility)
-	progressed  func()
-	answered    func()
-	ended       func(overload.Result)
-	unreachable func()
+	// fetchSource is the address of a target to fetch pieces of the prompt from; empty for
+	// none.
+	fetchSource string
+	// fetchSourcePieces is the number of leading pieces that the fetch source is known to
+	// have.
+	fetchSourcePieces int
+	// savesToStore is set if the target saves the pieces that it prefills, under
+	// cacheScope.
+	savesToStore bool
+	cacheScope   string
+	// choice describes the placement decision, for the log.
+	choice placementInfo
+	// onSend is called before the request is written, with a function that cancels the
+	// attempt. onProgress is called for each part of the response that arrives and onAnswer
+	// for each one that is new to the caller, of which the first counts. onEnd is called
+	// once, at the end, and onUnreachable if no connection could be made.
+	onSend        func(cancel func(), policy cancelPolicy)
+	onProgress    func()
+	onAnswer      func()
+	onEnd         func(overload.Result)
+	onUnreachable func()
 }
 
-// choice is what placement knew and expected when it chose a target.
-type choice struct {
-	cached   int
-	uncached int
-	expected time.Duration
-	// targets is the number that could have been chosen.
-	targets int
-	// weights is the version that the target had to have; 0 for any.
-	weights int64
+// placementInfo describes what was known and expected when a target was chosen.
+type placementInfo struct {
+	cachedPieces   int
+	uncachedTokens int
+	expectedTTFT   time.Duration
+	// eligibleTargets is the number of targets that could be chosen.
+	eligibleTargets int
+	// weightsVersion is the weights version that the target must have; 0 for any.
+	weightsVersion int64
 }
 
-// place chooses a target for the next attempt and waits for it if need be. A
-// nil leg without a refusal means that the context ended.
-func (g *Gateway) place(ctx context.Context, c *call) (*leg, *Refusal) {
+// chooseTarget chooses a target for the next attempt and waits for it if necessary. If the
+// context ends, it returns neither an attempt nor a refusal.
+func (g *Gateway) chooseTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	if c.service.Engine != nil {
-		return g.placeEngine(ctx, c)
+		return g.chooseEngineTarget(ctx, c)
 	}
 	g.mu.Lock()
 	pool := g.servicePoolFor(c.service.Name)
 	g.mu.Unlock()
-	ch, ok := pool.acquire(c.lastTarget)
+	choice, ok := pool.acquire(c.lastTarget)
 	if !ok && c.lastTarget != "" {
-		ch, ok = pool.acquire("")
+		choice, ok = pool.acquire("")
 	}
 	if !ok {
 		return nil, unavailableRefusal("no_target", noTargetRetry)
 	}
-	return &leg{
-		target: ch.target, sent: func(func(), mobility) {}, progressed: func() {}, answered: func() {},
-		ended:       func(r overload.Result) { pool.ended(ch, r) },
-		unreachable: func() { pool.unreachable(ch) },
+	return &targetAttempt{
+		target: choice.target, onSend: func(func(), cancelPolicy) {}, onProgress: func() {}, onAnswer: func() {},
+		onEnd:         func(r overload.Result) { pool.endAttempt(choice, r) },
+		onUnreachable: func() { pool.recordUnreachable(choice) },
 	}, nil
 }
 
-// noTargetRetry is the hint when a service has no usable target: about the
-// time until one comes back or a breaker lets a probe through.
+// noTargetRetry is the Retry-After hint when a service has no usable target: roughly the
+// time until a target recovers or a breaker allows a probe.
 const noTargetRetry = 300 * time.Millisecond
 
-func (g *Gateway) placeEngine(ctx context.Context, c *call) (*leg, *Refusal) {
+// chooseEngineTarget is chooseTarget for services of model servers.
+func (g *Gateway) chooseEngineTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	g.mu.Lock()
 	pool := g.enginePoolFor(c.service.Name)
 	g.mu.Unlock()
-	pl, refusal := pool.acquire(ctx, g.queued(c))
+	pl, refusal := pool.acquire(ctx, g.newEngineRequest(c))
 	switch {
 	case refusal != nil:
 		reason := "queue_" + string(refusal.Reason)
@@ -86,49 +91,50 @@
 	case pl == nil:
 		return nil, nil
 	}
-	l := &leg{}
-	*l = leg{
-		target: pl.target, source: pl.source, sourceHolds: pl.sourceHolds,
-		choice: choice{cached: pl.send.Decision.CachedPieces, uncached: int(pl.send.Decision.UncachedTokens), expected: pl.send.Decision.Expected, targets: pl.targets, weights: weightsFor(c, &pl.target)},
-		answered: func() {
-			if !pl.prefilled {
-				g.noteRead(c, l, pl)
+	a := &targetAttempt{}
+	*a = targetAttempt{
+		target: pl.target, fetchSource: pl.fetchSource, fetchSourcePieces: pl.fetchSourcePieces,
+		choice: placementInfo{cachedPieces: pl.send.Decision.CachedPieces, uncachedTokens: int(pl.send.Decision.UncachedTokens), expectedTTFT: pl.send.Decision.Expected, eligibleTargets: pl.eligibleTargets, weightsVersion: expectedWeights(c, &pl.target)},
+		onAnswer: func() {
+			if !pl.firstTokenSeen {
+				g.recordPrefill(c, a, pl)
 			}
-			pool.answered(pl)
+			pool.recordFirstToken(pl)
 		},
-		sent:        func(cut func(), m mobility) { pool.sent(pl, cut, m) },
-		progressed:  func() { pool.progressed(pl) },
-		ended:       func(r overload.Result) { pool.ended(pl, r) },
-		unreachable: func() { pool.unreachable(pl) },
+		onSend:        func(cancel func(), policy cancelPolicy) { pool.startAttempt(pl, cancel, policy) },
+		onProgress:    func() { pool.recordProgress(pl) },
+		onEnd:         func(r overload.Result) { pool.endAttempt(pl, r) },
+		onUnreachable: func() { pool.recordUnreachable(pl) },
 	}
-	return l, nil
+	return a, nil
 }
 
-// noteRead notes that a target has read the prompt, and whether it saves it.
-func (g *Gateway) noteRead(c *call, l *leg, pl *placed) {
-	if !l.saves {
+// recordPrefill records that a target has prefilled the prompt and, if it was told to,
+// saves its pieces to a store.
+func (g *Gateway) recordPrefill(c *call, a *targetAttempt, pl *enginePlacement) {
+	if !a.savesToStore {
 		g.peers.publishPrompt(pl, "", nil)
 		return
 	}
-	pieces := sharedPieces(c)
-	g.cache.saved(l.scope, pieces)
-	g.peers.publishPrompt(pl, l.scope, pieces)
+	pieces := sharedPieceHashes(c)
+	g.cache.recordSave(a.cacheScope, pieces)
+	g.peers.publishPrompt(pl, a.cacheScope, pieces)
 }
 
-// sharedPieces are the names of the prompt's pieces that other requests share.
-func sharedPieces(c *call) []prefix.Hash {
+// sharedPieceHashes returns the hashes of the prompt's pieces that other requests share.
+func sharedPieceHashes(c *call) []prefix.Hash {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
 	}
-	names := make([]prefix.Hash, len(pieces))
+	hashes := make([]prefix.Hash, len(pieces))
 	for i, p := range pieces {
-		names[i] = p.Hash
+		hashes[i] = p.Hash
 	}
-	return names
+	return hashes
 }
 
-// pieceTokens are the sizes of all pieces of the prompt.
+// pieceTokens returns the sizes of all pieces of the prompt.
 func pieceTokens(c *call) []int {
 	tokens := make([]int, len(c.Prompt.Pieces))
 	for i, p := range c.Prompt.Pieces {
@@ -137,12 +143,13 @@
 	return tokens
 }
 
-// queued describes the request to the queue and to placement.
-func (g *Gateway) queued(c *call) *waiting {
-	q := &waiting{Account: accountName(c), Priority: fairqueue.MaxPriority - urgency(c), Deadline: c.nextEventDue()}
+// newEngineRequest describes the request to the queue and to placement.
+func (g *Gateway) newEngineRequest(c *call) *engineRequest {
+	q := &engineRequest{Account: accountName(c), Priority: fairqueue.MaxPriority - urgency(c), Deadline: c.nextEventDeadline()}
 	switch {
 	case c.resumed():
-		// Its caller has a part of the answer and waits within a shorter bound.
+		// The caller has a part of the answer already, and the objective for the next event
+		// is shorter than the one for the first.
 		q.Priority = fairqueue.MaxPriority
 		if c.route.GapObjective > 0 {
 			q.Objective = c.lastEventAt + c.route.GapObjective
@@ -158,55 +165,57 @@
 		return q
 	}
 	q.Placement.PromptTokens = c.Prompt.Tokens
-	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutput
-	q.Placement.Chain, q.Placement.PieceEnds = chainOf(c)
+	q.Placement.HeldTokens = c.Prompt.Tokens + c.Prompt.MaxOutputTokens
+	q.Placement.Chain, q.Placement.PieceEnds = prefixChain(c)
 	return q
 }
 
-// resumed says that the caller has a part of the answer already.
+// resumed reports whether the caller has a part of the answer already.
 func (c *call) resumed() bool { return c.lastEventAt > 0 }
 
-// nextEventDue is when the next event of a stream is due at the latest: the
-// first one, or after a resumption the one behind the last that went out.
-// Callers leave a stream that brings nothing for long, well before their
-// deadline; what starts after that runs for nobody.
-func (c *call) nextEventDue() time.Duration {
+// nextEventDeadline returns when the next event of a stream is due at the latest: the first
+// event or, if the stream is resumed, the one after the last event relayed. Callers abandon
+// a stream without events long before their deadlines, and what starts after that is wasted
+// work.
+func (c *call) nextEventDeadline() time.Duration {
 	if c.route.Kind != routing.Stream {
 		return c.deadline
 	}
-	due := max(c.startedAt, c.lastEventAt) + max(minStreamPatience, streamObjectives*c.route.LatencyObjective, streamGaps*c.route.GapObjective)
+	due := max(c.startedAt, c.lastEventAt) + max(minStreamWait, streamWaitObjectives*c.route.LatencyObjective, streamWaitGaps*c.route.GapObjective)
 	if c.deadline > 0 {
 		due = min(due, c.deadline)
 	}
 	return due
 }
 
-// How long callers wait for the next event of a stream: the longest of a time,
-// some latency objectives and some gaps. The callers' own rule, as agreed.
+// How long callers wait for the next event of a stream, as agreed with them: the longest of
+// a fixed time, a number of latency objectives and a number of gap objectives.
 const (
-	minStreamPatience = 2 * time.Second
-	streamObjectives  = 4
-	streamGaps        = 8
+	minStreamWait        = 2 * time.Second
+	streamWaitObjectives = 4
+	streamWaitGaps       = 8
 )
 
-// chainOf gives the hashes of the prompt's shared pieces, each bound to those
-// before it and to who may share it. The last piece is the request's own, and
-// nothing is gained by remembering it.
-func chainOf(c *call) (chain []prefix.Hash, ends []int) {
+// prefixChain returns the hashes of the prompt's shared pieces and the number of prompt
+// tokens up to the end of each. A hash covers the piece, all pieces before it and the scope
+// that may share it. The last of several pieces is unique to the request and not worth
+// remembering.
+func prefixChain(c *call) (chain []prefix.Hash, ends []int) {
 	pieces := c.Prompt.Pieces
 	if len(pieces) > 1 {
 		pieces = pieces[:len(pieces)-1]
 	}
-	at, end := prefix.Scope{Account: cacheScope(c), Model: c.Prompt.Model}.Seed(), 0
+	hash, end := prefix.Scope{Account: cacheScope(c), Model: c.Prompt.Model}.Seed(), 0
 	for _, p := range pieces {
-		at = prefix.Extend(at, p.Hash)
+		hash = prefix.Extend(hash, p.Hash)
 		end += p.Tokens
-		chain, ends = append(chain, at), append(ends, end)
+		chain, ends = append(chain, hash), append(ends, end)
 	}
 	return chain, ends
 }
 
-// cacheScope separates the pieces of an isolated account from all others'.
+// cacheScope returns the scope that separates the pieces of an isolated account from those
+// of all others; empty for the shared scope.
 func cacheScope(c *call) string {
 	if c.account != nil && c.account.Isolated {
 		return "account/" + c.account.Name
@@ -214,6 +223,8 @@
 	return ""
 }
 
+// urgency returns the urgency of a request, from 0, the most urgent, to MaxPriority. An
+// account's own setting overrides that of the route.
 func urgency(c *call) int {
 	p := c.route.Priority
 	if c.account != nil && c.account.HasPriority {
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -102,7 +102,7 @@
 	for _, e := range changes {
 		logRegistrationEvent(e)
 	}
-	g.limits.keep(g.directory.Has)
+	g.limits.retain(g.directory.Has)
 	g.updatePools()
 }
 
@@ -151,12 +151,12 @@
 		s := &t.Config().Services[i]
 		switch {
 		case s.Engine != nil:
-			g.enginePoolFor(s.Name).update(g.directory.Usable(s.Name), s.Engine)
+			g.enginePoolFor(s.Name).updateTargets(g.directory.Usable(s.Name), s.Engine)
 		case s.Cache == nil:
-			g.servicePoolFor(s.Name).update(g.directory.Usable(s.Name))
+			g.servicePoolFor(s.Name).updateTargets(g.directory.Usable(s.Name))
 		}
 	}
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // enginePoolOf returns the pool of a call's service.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -14,89 +14,91 @@
 	"github.com/mastictray/mastictray/internal/targetconn"
 )
 
-// relay carries answers to the caller. It lives over all attempts of a
-// request: a resumed stream goes on where the one before broke off, in the
-// same answer.
-type relay struct {
+// responseRelay relays responses to the caller. There is one for all attempts of a request:
+// a resumed stream continues where the previous attempt ended, in the same response to the
+// caller.
+type responseRelay struct {
 	g *Gateway
 	c *call
 
-	// started is set once the head of the answer is out.
-	started bool
-	status  int
-	events  int
-	// lastID is the id of the last event that went out.
-	lastID  string
-	firstAt time.Duration
+	// started is set once the head of the response has been sent.
+	started    bool
+	status     int
+	eventCount int
+	// lastEventID is the ID of the last event relayed.
+	lastEventID    string
+	firstByteAfter time.Duration
 }
 
-// resumeAfter is the event behind which a target is to go on.
-func (s *relay) resumeAfter() string {
-	if s.lastID != "" {
-		return s.lastID
+// resumeAfter returns the ID of the event after which a target is to resume the stream;
+// empty for a new stream.
+func (r *responseRelay) resumeAfter() string {
+	if r.lastEventID != "" {
+		return r.lastEventID
 	}
-	return s.c.LastEventID
+	return r.c.LastEventID
 }
 
-// answer relays a target's answer.
-func (s *relay) answer(ctx context.Context, l *leg, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// relayResponse relays a target's response.
+func (r *responseRelay) relayResponse(ctx context.Context, a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	if resp.StatusCode == http.StatusOK && isEventStream(resp) {
-		return s.stream(ctx, l, conn, resp)
+		return r.relayStream(ctx, a, conn, resp)
 	}
-	if s.started {
-		// A resumed stream must be answered with a stream.
-		return s.cut(), errors.Newf("status %d to a resumed stream", resp.StatusCode)
+	if r.started {
+		// Only another stream can continue the stream that was relayed so far.
+		return r.interruptedOutcome(), errors.Newf("resumed stream was answered with status %d", resp.StatusCode)
 	}
-	return s.whole(l, conn, resp)
+	return r.relayBuffered(a, conn, resp)
 }
 
 func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// cut is the outcome of a broken attempt: the request may be tried again as
-// long as nothing is out, or where the stream can be resumed.
-func (s *relay) cut() outcome {
-	if s.started && !s.c.route.Repeatable() {
-		return broken
+// interruptedOutcome returns the outcome of an attempt that broke off. The request may be
+// retried if nothing has been relayed or if the stream can be resumed.
+func (r *responseRelay) interruptedOutcome() outcome {
+	if r.started && !r.c.route.Repeatable() {
+		return outcomeTruncated
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-// maxBuffered bounds the answers that are read whole before their head goes
-// out, so that one that breaks off can still become a clean failure.
-const maxBuffered = 64 << 10
+// maxBufferedBody is the size up to which a response is read completely before its head is
+// relayed, so that a target's failure in the meantime can still be answered with an error
+// status.
+const maxBufferedBody = 64 << 10
 
-// whole relays an answer that is no stream.
-func (s *relay) whole(l *leg, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
+// relayBuffered relays a response that is not a stream.
+func (r *responseRelay) relayBuffered(a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 	if err != nil {
-		return unknown, errors.Wrap(err, "read body")
+		return outcomeUnknown, errors.Wrap(err, "read response body")
 	}
-	s.firstAt = s.g.clock.Now() - s.c.startedAt
-	l.answered()
-	if len(body) < maxBuffered {
+	r.firstByteAfter = r.g.clock.Now() - r.c.startedAt
+	a.onAnswer()
+	if len(body) < maxBufferedBody {
 		conn.Finished()
-		s.head(resp, int64(len(body)))
-		_, err = s.c.w.Write(body)
-		return delivered, s.result(resp, err)
+		r.writeHead(resp, int64(len(body)))
+		_, err = r.c.w.Write(body)
+		return outcomeDelivered, r.deliveredError(resp, err)
 	}
-	s.head(resp, resp.ContentLength)
-	if _, err := s.c.w.Write(body); err != nil {
-		return broken, errors.Wrap(err, "write to caller")
+	r.writeHead(resp, resp.ContentLength)
+	if _, err := r.c.w.Write(body); err != nil {
+		return outcomeTruncated, errors.Wrap(err, "write to caller")
 	}
-	if _, err := io.Copy(s.c.w, resp.Body); err != nil {
-		return broken, errors.Wrap(err, "relay body")
+	if _, err := io.Copy(r.c.w, resp.Body); err != nil {
+		return outcomeTruncated, errors.Wrap(err, "relay response body")
 	}
 	conn.Finished()
-	return delivered, s.result(resp, nil)
+	return outcomeDelivered, r.deliveredError(resp, nil)
 }
 
-// result is the error that goes with a delivered answer: a failure that the
-// target states counts against it.
-func (s *relay) result(resp *http.Response, err error) error {
+// deliveredError returns the error that accompanies a delivered response: a failure that
+// the target reports counts against it.
+func (r *responseRelay) deliveredError(resp *http.Response, err error) error {
 	if err != nil {
-		// The caller has gone; the context tells the rest.
+		// The caller has disconnected, which the context shows as well.
 		return errors.Wrap(err, "write to caller")
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
@@ -105,78 +107,79 @@
 	return nil
 }
 
-// head writes the head of the answer.
-func (s *relay) head(resp *http.Response, length int64) {
-	h := s.c.w.Header()
-	for name, values := range s.g.dialect.RelayHeader(resp) {
+// writeHead sends the head of the response to the caller.
+func (r *responseRelay) writeHead(resp *http.Response, length int64) {
+	h := r.c.w.Header()
+	for name, values := range r.g.dialect.RelayHeader(resp) {
 		h[name] = values
 	}
-	if length >= 0 && s.c.Method != http.MethodHead {
+	if length >= 0 && r.c.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	s.c.w.WriteHeader(resp.StatusCode)
-	s.started, s.status, s.c.headWritten = true, resp.StatusCode, true
+	r.c.w.WriteHeader(resp.StatusCode)
+	r.started, r.status, r.c.headWritten = true, resp.StatusCode, true
 }
 
-// stream relays events as they come, each whole. The head goes out with the
-// first event: until then a failure is still a clean answer.
-func (s *relay) stream(ctx context.Context, l *leg, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// relayStream relays events as they arrive, each as a whole. The head is sent with the
+// first event; until then a failure can still be answered with an error status.
+func (r *responseRelay) relayStream(ctx context.Context, a *targetAttempt, conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	events := sse.NewRawReader(resp.Body, 0)
-	flush := http.NewResponseController(s.c.w)
+	flush := http.NewResponseController(r.c.w)
 	for {
 		e, err := events.Next()
 		if err == io.EOF {
-			return s.streamEnd(conn, resp)
+			return r.endStream(conn, resp)
 		}
 		if err != nil {
-			return s.cut(), errors.Wrapf(err, "stream after %d events", s.events)
+			return r.interruptedOutcome(), errors.Wrapf(err, "stream after %d events", r.eventCount)
 		}
-		l.progressed()
-		if s.seen(e.ID) {
+		a.onProgress()
+		if r.alreadySent(e.ID) {
 			continue
 		}
-		if s.events == 0 {
-			s.firstAt = s.g.clock.Now() - s.c.startedAt
+		if r.eventCount == 0 {
+			r.firstByteAfter = r.g.clock.Now() - r.c.startedAt
 		}
-		l.answered()
-		if !s.started {
-			s.head(resp, -1)
+		a.onAnswer()
+		if !r.started {
+			r.writeHead(resp, -1)
 		}
-		if _, err := s.c.w.Write(e.Bytes); err != nil {
-			return broken, errors.Wrap(err, "write to caller")
+		if _, err := r.c.w.Write(e.Bytes); err != nil {
+			return outcomeTruncated, errors.Wrap(err, "write to caller")
 		}
 		if err := flush.Flush(); err != nil {
-			return broken, errors.Wrap(err, "flush to caller")
+			return outcomeTruncated, errors.Wrap(err, "flush to caller")
 		}
-		s.events++
-		s.c.lastEventAt = s.g.clock.Now()
+		r.eventCount++
+		r.c.lastEventAt = r.g.clock.Now()
 		if e.ID != "" {
-			s.lastID = e.ID
+			r.lastEventID = e.ID
 		}
 		if ctx.Err() != nil {
-			return broken, ctx.Err()
+			return outcomeTruncated, ctx.Err()
 		}
 	}
 }
 
-// seen says that the caller has the event already: a resumed stream may start
-// too early, and a piece that comes twice spoils the answer.
-func (s *relay) seen(id string) bool {
-	if id == "" || s.lastID == "" {
+// alreadySent reports whether the caller has the event already. A resumed stream may start
+// too early, and a repeated event would corrupt the answer.
+func (r *responseRelay) alreadySent(id string) bool {
+	if id == "" || r.lastEventID == "" {
 		return false
 	}
 	next, err := strconv.ParseInt(id, 10, 64)
-	last, err2 := strconv.ParseInt(s.lastID, 10, 64)
-	return err == nil && err2 == nil && next <= last
+	last, lastErr := strconv.ParseInt(r.lastEventID, 10, 64)
+	return err == nil && lastErr == nil && next <= last
 }
 
-func (s *relay) streamEnd(conn *targetconn.Conn, resp *http.Response) (outcome, error) {
+// endStream ends the relay of a complete stream.
+func (r *responseRelay) endStream(conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		conn.Break() // its end was the connection's
+		conn.Break() // the end of the connection marked the end of the body
 	}
 	conn.Finished()
-	if !s.started {
-		s.head(resp, -1)
+	if !r.started {
+		r.writeHead(resp, -1)
 	}
-	return delivered, nil
+	return outcomeDelivered, nil
 }
--- a/internal/gateway/retrybudget.go
+++ b/internal/gateway/retrybudget.go
@@ -2,32 +2,33 @@
 
 import "github.com/mastictray/mastictray/internal/overload"
 
-// budget finds or makes a service's budget. The bound is on the whole fleet:
-// each instance adds to its budget by its own requests, and has its part of
-// what may be saved up. A new process has saved up nothing: after a restart of
-// the whole fleet it would else be spent twice.
-func (g *Gateway) budget(service string) *overload.SharedRetryBudget {
+// retryBudget returns the retry budget of a service and creates it if necessary. The limits
+// apply to the whole fleet: each instance adds retries for its own requests and may
+// accumulate its share of the reserve. A new process starts without accumulated retries;
+// otherwise, a restart of the whole fleet would allow the reserve to be spent twice.
+func (g *Gateway) retryBudget(service string) *overload.SharedRetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.retryBudgets[service]
 	if b == nil {
-		b = overload.NewSharedRetryBudget(g.settings.RetryRatio, g.retryReserve(g.peers.fleetSize()), startBudget)
+		b = overload.NewSharedRetryBudget(g.settings.RetryRatio, g.retryReserve(g.peers.fleetSize()), initialRetryBudget)
 		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// startBudget lets the first request of a service be repeated.
-const startBudget = 1
+// initialRetryBudget allows the first request of a service to be retried.
+const initialRetryBudget = 1
 
-// retryReserve is this instance's part of what may be saved up.
+// retryReserve returns this instance's share of the retries that may accumulate in the
+// fleet.
 func (g *Gateway) retryReserve(fleet int) float64 {
-	return max(startBudget, g.settings.RetryReserve/float64(fleet))
+	return max(initialRetryBudget, g.settings.RetryReserve/float64(fleet))
 }
 
-// shareReserves gives the budgets their part in a fleet of that size. The
-// caller holds g.mu.
-func (g *Gateway) shareReserves(fleet int) {
+// updateRetryReserves sets the reserves of all budgets for the given fleet size. The caller
+// holds g.mu.
+func (g *Gateway) updateRetryReserves(fleet int) {
 	for _, b := range g.retryBudgets {
 		b.SetReserve(g.retryReserve(fleet))
 	}
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -99,7 +99,7 @@
 		goal.Deadlines = g.weightsDeadlines(versions)
 		targets := g.directory.Usable(s.Name)
 		if pool := g.engines[s.Name]; pool != nil {
-			goal.Unreachable = pool.unanswering()
+			goal.Unreachable = pool.openBreakers()
 		}
 		if g.planner.HasPending(goal, targets) {
 			pending = append(pending, pendingRollout{goal: goal, targets: targets, namedAt: newest.namedAt})
@@ -204,7 +204,7 @@
 		return
 	}
 	g.orderedTargets, g.loadingTargets = ordered, union(g.loadingTargets, ordered)
-	g.updateRollout()
+	g.updateVersionBounds()
 }
 
 // union returns a copy of set with more members.
@@ -235,7 +235,7 @@
 	g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), &o)
 	for model, v := range o.Versions {
 		if pool := g.engines[t.Service]; pool != nil && !o.Busy {
-			pool.served(t.Incarnation(), model, v)
+			pool.recordServedVersion(t.Incarnation(), model, v)
 		}
 	}
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -48,7 +48,7 @@
 	// lastTarget is the target of the last attempt, choice the reason for choosing it
 	// and placedAt the time of that choice.
 	lastTarget string
-	choice     choice
+	choice     placementInfo
 	placedAt   time.Duration
 }
 
@@ -149,7 +149,7 @@
 const (
 	// requestHeadOverhead is the size of the request line, the Host line and the final
 	// empty line without their values.
-	requestHeadOverhead = len("  HTTP/1.1\r\nHost: \r\n\r\n")
+	requestHeadOverhead = len(" HTTP/1.1\r\nHost: \r\n\r\n")
 	headerLineOverhead  = len(": \r\n")
 )
 
@@ -211,7 +211,7 @@
 // withDeadline returns the context of the request. It ends when the caller disconnects
 // or the deadline passes.
 func (g *Gateway) withDeadline(c *call) (context.Context, context.CancelFunc) {
-	timeout := c.Patience
+	timeout := c.Timeout
 	if t := c.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
 		timeout = t
 	}
@@ -254,7 +254,7 @@
 		return &Refusal{Status: http.StatusBadRequest, Reason: "body_unreadable", NotRun: true}
 	}
 	c.Body = body
-	c.fingerprint = fingerprint(c)
+	c.fingerprint = requestFingerprint(c)
 	return nil
 }
 
@@ -269,7 +269,7 @@
 	if g.table.Load() != c.table {
 		return nil, false // the table changes under g.mu, together with the limits
 	}
-	if g.crashes.refused(g.clock.Now(), c.fingerprint) {
+	if g.crashes.isBlocked(g.clock.Now(), c.fingerprint) {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: "crashes_targets", NotRun: true, RetryAfter: crashRetryAfter}, true
 	}
 	if c.account == nil {
@@ -278,8 +278,8 @@
 	c.chargedTokens = 1
 	if c.account.CountTokens {
 		c.chargedTokens = c.account.DefaultTokens
-		if c.Prompt != nil && c.Prompt.Counted {
-			c.chargedTokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutput)
+		if c.Prompt != nil && c.Prompt.TokensDeclared {
+			c.chargedTokens = float64(c.Prompt.Tokens + c.Prompt.MaxOutputTokens)
 		}
 	}
 	c.requestedTokens = c.chargedTokens
--- a/internal/gateway/versionrecord.go
+++ b/internal/gateway/versionrecord.go
@@ -149,5 +149,5 @@
 			logline.Info("weights_dated", "model", v.Model, "version", v.Version, "age", age)
 		}
 	}
-	g.updateRollout()
+	g.updateVersionBounds()
 }
