--- a/cmd/mastictray-load/main.go
+++ b/cmd/mastictray-load/main.go
@@ -65,42 +65,42 @@
 	runner := load.NewRunner(profile, entries)
 	progressCtx, stopProgress := context.WithCancel(ctx)
 	defer stopProgress()
-	go runner.Progress(progressCtx, os.Stderr)
+	go runner.WriteProgress(progressCtx, os.Stderr)
 	if c.Bookings {
 		return c.sendBookings(ctx, runner, profile)
 	}
 	return c.sendPrompts(ctx, runner, profile)
 }
 
-func (c *cli) limits() load.Limits {
-	return load.Limits{MaxFailures: c.MaxFailures, MinAnswered: c.MinAnswered, RateSlack: c.RateSlack}
+func (c *cli) limits() load.PassCriteria {
+	return load.PassCriteria{MaxFailures: c.MaxFailures, MinAnswered: c.MinAnswered, RateSlack: c.RateSlack}
 }
 
 func (c *cli) sendPrompts(ctx context.Context, runner *load.Runner, profile load.Profile) error {
-	bounds := load.Bounds{Duration: c.Duration, Requests: c.Requests, Timeout: c.Timeout}
+	bounds := load.RunLimits{Duration: c.Duration, MaxRequests: c.Requests, Timeout: c.Timeout}
 	rep := load.Summarize(profile, c.Seed, runner.Run(ctx, c.Seed, bounds))
-	rep.PassedOver = runner.PassedOver()
-	return errors.CombineErrors(c.writeReport(rep), rep.Verdict(c.limits()))
+	rep.ConnectFailures = runner.ConnectFailures()
+	return errors.CombineErrors(c.writeReport(rep), rep.CheckCriteria(c.limits()))
 }
 
 func (c *cli) sendBookings(ctx context.Context, runner *load.Runner, profile load.Profile) error {
-	accounts, err := profile.Only(c.BookingAccounts)
+	accounts, err := profile.SelectAccounts(c.BookingAccounts)
 	if err != nil {
 		return err
 	}
-	bookings := runner.Book(ctx, c.Seed, load.BookingPlan{
+	bookings := runner.RunBookings(ctx, c.Seed, load.BookingPlan{
 		Path:      c.BookingPath,
 		Accounts:  accounts,
 		PerSecond: c.BookingsPerSecond,
 		Count:     c.BookingCount,
 		Timeout:   c.Timeout,
 	})
-	runs, err := runner.Runs(ctx, c.Service)
+	runs, err := runner.FetchRuns(ctx, c.Service)
 	if err != nil {
 		return err
 	}
 	rep := load.CheckBookings(bookings, runs)
-	return errors.CombineErrors(c.writeReport(rep), rep.Verdict(c.limits()))
+	return errors.CombineErrors(c.writeReport(rep), rep.CheckCriteria(c.limits()))
 }
 
 // writeReport writes the report as a table to standard output and, if --output
--- a/internal/load/bookingrunner.go
+++ b/internal/load/bookingrunner.go
@@ -27,9 +27,9 @@
 	Timeout time.Duration
 }
 
-// Book runs the plan and returns each booking with its attempts. Half of the
+// RunBookings runs the plan and returns each booking with its attempts. Half of the
 // repeats cross the first attempt, the others follow its answer.
-func (r *Runner) Book(ctx context.Context, seed uint64, plan BookingPlan) []Booking {
+func (r *Runner) RunBookings(ctx context.Context, seed uint64, plan BookingPlan) []Booking {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	out := make([]Booking, plan.Count)
 	var wg sync.WaitGroup
@@ -93,8 +93,8 @@
 	return a, nil
 }
 
-// Runs collects the runs that the services list, given as base URLs.
-func (r *Runner) Runs(ctx context.Context, services []string) ([]service.Run, error) {
+// FetchRuns collects the runs that the services list, given as base URLs.
+func (r *Runner) FetchRuns(ctx context.Context, services []string) ([]service.Run, error) {
 	var all []service.Run
 	for _, base := range services {
 		runs, err := r.runsOf(ctx, base)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -41,10 +41,10 @@
 	is.Equal(p.Zipf, 1.5)
 	is.Equal(p.Accounts, []Account{{Name: "x", Key: "k", Times: 5}})
 	is.Equal(p.MaxTokens, DefaultProfile().MaxTokens)
-	only, err := p.Only([]string{"x"})
+	only, err := p.SelectAccounts([]string{"x"})
 	is.NoErr(err)
 	is.Equal(only, p.Accounts)
-	_, err = p.Only([]string{"y"})
+	_, err = p.SelectAccounts([]string{"y"})
 	is.True(errors.Is(err, ErrProfile))
 	for _, bad := range []string{
 		"[load]\n", // no account
@@ -187,8 +187,8 @@
 	is.Equal(rep.Accounts[1].RefusalsWithRoom, 0)
 	is.Equal(rep.Accounts[1].WithinRate, false)
 	is.Equal(rep.Worst, "a") // b is slower, but it went over its rate
-	is.NoErr(rep.Verdict(Limits{MinAnswered: 0.5}))
-	is.True(errors.Is(rep.Verdict(Limits{MinAnswered: 0.9}), ErrTooFewAnswers))
+	is.NoErr(rep.CheckCriteria(PassCriteria{MinAnswered: 0.5}))
+	is.True(errors.Is(rep.CheckCriteria(PassCriteria{MinAnswered: 0.9}), ErrTooFewAnswers))
 }
 
 // The fleet admits more for an account than its rate and burst. The run fails
@@ -204,8 +204,8 @@
 	}
 	rep := Summarize(p, 1, results) // 60 tokens in 2 s, 40 allowed
 	is.Equal(rep.Accounts[0].OverBurst, 20.0)
-	is.True(errors.Is(rep.Verdict(Limits{RateSlack: time.Second}), ErrOverRate))
-	is.NoErr(rep.Verdict(Limits{RateSlack: 2 * time.Second}))
+	is.True(errors.Is(rep.CheckCriteria(PassCriteria{RateSlack: time.Second}), ErrOverRate))
+	is.NoErr(rep.CheckCriteria(PassCriteria{RateSlack: 2 * time.Second}))
 }
 
 // Two attempts of one booking reach two entries. The service's list of runs
@@ -251,7 +251,7 @@
 			}
 			rep := CheckBookings([]Booking{b}, runs)
 			is.Equal(len(rep.Violations), tc.broken)
-			is.Equal(errors.Is(rep.Verdict(Limits{}), ErrViolation), tc.broken > 0)
+			is.Equal(errors.Is(rep.CheckCriteria(PassCriteria{}), ErrViolation), tc.broken > 0)
 		})
 	}
 }
@@ -264,7 +264,7 @@
 	srv := httptest.NewServer(e.Handler())
 	defer srv.Close()
 	r := NewRunner(p, []string{srv.URL})
-	rep := Summarize(p, 1, r.Run(t.Context(), 1, Bounds{Duration: time.Minute, Requests: 50, Timeout: time.Minute}))
+	rep := Summarize(p, 1, r.Run(t.Context(), 1, RunLimits{Duration: time.Minute, MaxRequests: 50, Timeout: time.Minute}))
 	is.Equal(fmt.Sprint(rep.Outcomes), "map[ok:50]")
 	is.True(rep.HitRate > 0.5)
 	is.Equal(rep.HitRate, rep.PossibleHitRate) // one engine, nothing evicted
@@ -283,11 +283,11 @@
 	srv := httptest.NewServer(service.New("s").Handler())
 	defer srv.Close()
 	r := NewRunner(testProfile(), []string{gone.URL, srv.URL})
-	bookings := r.Book(t.Context(), 1, BookingPlan{Path: "/bookings", Accounts: testProfile().Accounts, PerSecond: 1e6, Count: 4, Timeout: time.Minute})
+	bookings := r.RunBookings(t.Context(), 1, BookingPlan{Path: "/bookings", Accounts: testProfile().Accounts, PerSecond: 1e6, Count: 4, Timeout: time.Minute})
 	for _, b := range bookings {
 		is.True(!b.has(OutcomeFailed))
 	}
-	is.Equal(r.PassedOver(), int64(4)) // one of the two attempts of each
+	is.Equal(r.ConnectFailures(), int64(4)) // one of the two attempts of each
 }
 
 // An entry dies with a request in hand. Sending it on could run it twice, so
@@ -302,7 +302,7 @@
 	r := NewRunner(testProfile(), []string{cut.URL, srv.URL})
 	_, err := r.post(t.Context(), 0, "/bookings", nil, nil)
 	is.True(err != nil && !notConnected(err))
-	is.Equal(r.PassedOver(), int64(0))
+	is.Equal(r.ConnectFailures(), int64(0))
 }
 
 func TestBookAgainstTheStandInService(t *testing.T) {
@@ -310,11 +310,11 @@
 	srv := httptest.NewServer(service.New("s").Handler())
 	defer srv.Close()
 	r := NewRunner(testProfile(), []string{srv.URL})
-	bookings := r.Book(t.Context(), 1, BookingPlan{Path: "/bookings", Accounts: testProfile().Accounts, PerSecond: 1e6, Count: 5, Timeout: time.Minute})
-	runs, err := r.Runs(t.Context(), []string{srv.URL})
+	bookings := r.RunBookings(t.Context(), 1, BookingPlan{Path: "/bookings", Accounts: testProfile().Accounts, PerSecond: 1e6, Count: 5, Timeout: time.Minute})
+	runs, err := r.FetchRuns(t.Context(), []string{srv.URL})
 	is.NoErr(err)
 	is.Equal(len(runs), 10) // the service itself does not recognise repeats
-	is.True(errors.Is(CheckBookings(bookings, runs).Verdict(Limits{}), ErrViolation))
+	is.True(errors.Is(CheckBookings(bookings, runs).CheckCriteria(PassCriteria{}), ErrViolation))
 }
 
 func FuzzEventReader(f *testing.F) {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// Only returns the accounts with the given names, or all when there are none.
-func (p Profile) Only(names []string) ([]Account, error) {
+// SelectAccounts returns the accounts with the given names, or all when there are none.
+func (p Profile) SelectAccounts(names []string) ([]Account, error) {
 	if len(names) == 0 {
 		return p.Accounts, nil
 	}
--- a/internal/load/progress.go
+++ b/internal/load/progress.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Progress writes one line a second until ctx ends.
-func (r *Runner) Progress(ctx context.Context, w io.Writer) {
+// WriteProgress writes one line a second until ctx ends.
+func (r *Runner) WriteProgress(ctx context.Context, w io.Writer) {
 	t := time.NewTicker(progressEvery)
 	defer t.Stop()
 	start, p := time.Now(), &r.stats
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -57,8 +57,8 @@
 	Seconds  float64        `json:"seconds"`
 	Sent     int            `json:"sent"`
 	Outcomes map[string]int `json:"outcomes"`
-	// PassedOver is how often an entry took no connection.
-	PassedOver int64 `json:"passed_over"`
+	// ConnectFailures is how often an entry took no connection.
+	ConnectFailures int64 `json:"passed_over"`
 	// HitRate is cached over all prompt tokens.
 	HitRate float64 `json:"prefix_hit_rate"`
 	// PossibleHitRate is the same for one cache of unlimited size.
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -17,12 +17,12 @@
 
 const maxErrorBytes = 64 << 10
 
-// Bounds ends a run.
-type Bounds struct {
+// RunLimits ends a run.
+type RunLimits struct {
 	// Duration is the time in which requests are sent.
 	Duration time.Duration
-	// Requests is the most that are sent.
-	Requests int
+	// MaxRequests is the most that are sent.
+	MaxRequests int
 	// Timeout is the longest that one request may take.
 	Timeout time.Duration
 }
@@ -49,14 +49,14 @@
 
 // Run sends arrivals at their time until a bound is met, waits for the
 // answers, and returns the results in order of arrival.
-func (r *Runner) Run(ctx context.Context, seed uint64, b Bounds) []Result {
+func (r *Runner) Run(ctx context.Context, seed uint64, b RunLimits) []Result {
 	gen := NewGenerator(r.profile, seed)
 	start := time.Now()
 	var (
 		wg      sync.WaitGroup
 		results []*Result
 	)
-	for len(results) < b.Requests {
+	for len(results) < b.MaxRequests {
 		a := gen.Next()
 		if a.At > b.Duration || waitUntil(ctx, start.Add(a.At)) != nil {
 			break
@@ -153,8 +153,8 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// PassedOver counts the times that an entry took no connection.
-func (r *Runner) PassedOver() int64 { return r.stats.passedOver.Load() }
+// ConnectFailures counts the times that an entry took no connection.
+func (r *Runner) ConnectFailures() int64 { return r.stats.passedOver.Load() }
 
 // follow reads and checks a stream to its end.
 func (r *Runner) follow(body io.Reader, a Arrival, start time.Time, res *Result) error {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -16,8 +16,8 @@
 	}
 	row("measure", "value")
 	row("requests", "%d in %.1f s (%s)", rep.Sent, rep.Seconds, counts(rep.Outcomes))
-	if rep.PassedOver > 0 {
-		row("entries passed over", "%d times", rep.PassedOver)
+	if rep.ConnectFailures > 0 {
+		row("entries passed over", "%d times", rep.ConnectFailures)
 	}
 	row("prefix hit rate", "%.1f%% (possible %.1f%%)", 100*rep.HitRate, 100*rep.PossibleHitRate)
 	row("time to first token", "%s", rep.FirstToken)
--- a/internal/load/verdict.go
+++ b/internal/load/verdict.go
@@ -16,8 +16,8 @@
 // ErrOverRate: more was admitted for an account than its rate and burst allow.
 var ErrOverRate = errors.New("account over its rate")
 
-// Limits is what a run may come to and still pass. Violations never pass.
-type Limits struct {
+// PassCriteria is what a run may come to and still pass. Violations never pass.
+type PassCriteria struct {
 	// MaxFailures is how many requests may fail.
 	MaxFailures int
 	// MinAnswered is the part of the requests that must be answered.
@@ -27,8 +27,8 @@
 	RateSlack time.Duration
 }
 
-// Verdict is nil when the run passed.
-func (rep Report) Verdict(l Limits) error {
+// CheckCriteria is nil when the run passed.
+func (rep Report) CheckCriteria(l PassCriteria) error {
 	if n := rep.Outcomes[string(OutcomeViolation)]; n > 0 {
 		return errors.Wrapf(ErrViolation, "requests=%d", n)
 	}
@@ -40,15 +40,15 @@
 	return l.check(rep.Outcomes[string(OutcomeFailed)], rep.Outcomes[string(OutcomeOK)], rep.Sent)
 }
 
-// Verdict is nil when the run passed.
-func (rep BookingReport) Verdict(l Limits) error {
+// CheckCriteria is nil when the run passed.
+func (rep BookingReport) CheckCriteria(l PassCriteria) error {
 	if n := len(rep.Violations); n > 0 {
 		return errors.Wrapf(ErrViolation, "bookings=%d", n)
 	}
 	return l.check(rep.Outcomes[string(OutcomeFailed)], rep.Confirmed, rep.Bookings)
 }
 
-func (l Limits) check(failed, answered, sent int) error {
+func (l PassCriteria) check(failed, answered, sent int) error {
 	if failed > l.MaxFailures {
 		return errors.Wrapf(ErrTooManyFailures, "failed=%d allowed=%d", failed, l.MaxFailures)
 	}
