--- a/internal/load/booking.go
+++ b/internal/load/booking.go
@@ -8,7 +8,7 @@
 	"github.com/mastictray/mastictray/internal/standin/service"
 )
 
-// Booking is one non-idempotent request and the answers to its attempts.
+// Booking is one non-idempotent request with the outcomes of its attempts.
 type Booking struct {
 	Key      string
 	Account  Account
@@ -16,35 +16,35 @@
 	Attempts []Attempt
 }
 
-// Attempt is what one sending of a booking came to.
+// Attempt is the outcome of sending a booking once.
 type Attempt struct {
 	Outcome Outcome
 	Code    string
-	// Answer is the service's answer, when Outcome is ok.
+	// Answer is the service's answer; it is set only if Outcome is ok.
 	Answer service.Answer
 }
 
-func newBooking(seed uint64, i int, a Account) Booking {
+func newBooking(seed uint64, i int, account Account) Booking {
 	key := fmt.Sprintf("booking-%d-%d", seed, i)
-	return Booking{Key: key, Account: a, Body: fmt.Appendf(nil, `{"booking":%q}`, key)}
+	return Booking{Key: key, Account: account, Body: fmt.Appendf(nil, `{"booking":%q}`, key)}
 }
 
-// BookingReport is the outcome of a run of bookings.
+// BookingReport summarizes a run of bookings.
 type BookingReport struct {
 	Bookings int            `json:"bookings"`
 	Attempts int            `json:"attempts"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Confirmed have an answer, Unconfirmed have none although the service
-	// ran them, NotRun neither.
+	// Confirmed counts the bookings with an answer, Unconfirmed those that a
+	// service ran but that got no answer, NotRun all others.
 	Confirmed   int `json:"confirmed"`
 	Unconfirmed int `json:"ran_unconfirmed"`
 	NotRun      int `json:"not_run"`
-	// Codes counts the codes of the attempts without an answer.
+	// Codes counts the error codes of the attempts without an answer.
 	Codes      map[string]int `json:"codes,omitempty"`
 	Violations []string       `json:"violations,omitempty"`
 }
 
-// CheckBookings compares the answers with the runs that the services list.
+// CheckBookings compares the answers with the runs recorded by the services.
 func CheckBookings(bookings []Booking, runs []service.Run) BookingReport {
 	rep := BookingReport{Bookings: len(bookings), Outcomes: map[string]int{}, Codes: map[string]int{}}
 	ran := map[string]int{}
@@ -52,7 +52,7 @@
 		ran[r.IdempotencyKey]++
 	}
 	for _, b := range bookings {
-		rep.count(b, ran[b.Key])
+		rep.countBooking(b, ran[b.Key])
 		for _, v := range b.violations(ran[b.Key]) {
 			rep.Violations = append(rep.Violations, b.Key+": "+v)
 		}
@@ -60,7 +60,7 @@
 	return rep
 }
 
-func (rep *BookingReport) count(b Booking, ran int) {
+func (rep *BookingReport) countBooking(b Booking, ran int) {
 	for _, a := range b.Attempts {
 		rep.Attempts++
 		rep.Outcomes[string(a.Outcome)]++
@@ -69,7 +69,7 @@
 		}
 	}
 	switch {
-	case b.has(OutcomeOK):
+	case b.hasOutcome(OutcomeOK):
 		rep.Confirmed++
 	case ran > 0:
 		rep.Unconfirmed++
@@ -78,7 +78,7 @@
 	}
 }
 
-func (b Booking) has(o Outcome) bool {
+func (b Booking) hasOutcome(o Outcome) bool {
 	for _, a := range b.Attempts {
 		if a.Outcome == o {
 			return true
@@ -87,23 +87,24 @@
 	return false
 }
 
-// violations lists the broken promises of one booking that ran so many times.
+// violations lists the guarantees broken for a booking that ran the given number
+// of times.
 func (b Booking) violations(ran int) []string {
 	var out []string
 	if ran > 1 {
 		out = append(out, fmt.Sprintf("ran %d times", ran))
 	}
-	if ran == 0 && b.has(OutcomeOK) {
-		out = append(out, "answered but never ran")
+	if ran == 0 && b.hasOutcome(OutcomeOK) {
+		out = append(out, "answered but not run")
 	}
-	if ran > 0 && !b.has(OutcomeOK) && !b.has(OutcomeFailed) {
-		out = append(out, "ran although every answer said that it was not run")
+	if ran > 0 && !b.hasOutcome(OutcomeOK) && !b.hasOutcome(OutcomeFailed) {
+		out = append(out, "ran although every attempt was refused as not run")
 	}
 	return append(out, b.wrongAnswers()...)
 }
 
-// wrongAnswers lists answers to another booking, and answers that differ from
-// the first.
+// wrongAnswers reports answers that belong to another booking or differ from the
+// first answer.
 func (b Booking) wrongAnswers() []string {
 	sum := sha256.Sum256(b.Body)
 	want := hex.EncodeToString(sum[:])
@@ -114,12 +115,12 @@
 			continue
 		}
 		if a.Answer.IdempotencyKey != b.Key || a.Answer.BodySHA256 != want {
-			out = append(out, "answer belongs to "+a.Answer.IdempotencyKey)
+			out = append(out, "answer is for booking "+a.Answer.IdempotencyKey)
 		}
 		if first == nil {
 			first = &a.Answer
 		} else if *first != a.Answer {
-			out = append(out, "two different answers")
+			out = append(out, "answers of two attempts differ")
 		}
 	}
 	return out
--- a/internal/load/bookingrunner.go
+++ b/internal/load/bookingrunner.go
@@ -14,21 +14,23 @@
 	"github.com/mastictray/mastictray/internal/standin/service"
 )
 
-// BookingPlan is a run of bookings, each sent twice to different entries.
+// BookingPlan describes a run of bookings. Each booking is sent twice, through
+// different entry instances if there are several.
 type BookingPlan struct {
-	// Path is the route of the bookings.
+	// Path is the URL path that bookings are posted to.
 	Path string
-	// Accounts send the bookings, in turn.
+	// Accounts send the bookings in round-robin order.
 	Accounts []Account
-	// PerSecond is the rate of bookings, Count how many there are.
+	// PerSecond is the mean rate of bookings, Count their number.
 	PerSecond float64
 	Count     int
-	// Timeout is the longest that one attempt may take.
+	// Timeout limits one attempt.
 	Timeout time.Duration
 }
 
-// RunBookings runs the plan and returns each booking with its attempts. Half of the
-// repeats cross the first attempt, the others follow its answer.
+// RunBookings runs the plan and returns each booking with its attempts. With
+// probability one half the second attempt runs concurrently with the first;
+// otherwise it starts after the first has ended.
 func (r *Runner) RunBookings(ctx context.Context, seed uint64, plan BookingPlan) []Booking {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	out := make([]Booking, plan.Count)
@@ -38,44 +40,44 @@
 		out[i] = newBooking(seed, i, plan.Accounts[i%len(plan.Accounts)])
 		crossed := rng.IntN(2) == 0
 		due = due.Add(time.Duration(rng.ExpFloat64() / plan.PerSecond * float64(time.Second)))
-		if waitUntil(ctx, due) != nil {
+		if sleepUntil(ctx, due) != nil {
 			out = out[:i]
 			break
 		}
-		wg.Go(func() { r.book(ctx, i, crossed, plan, &out[i]) })
+		wg.Go(func() { r.sendTwice(ctx, i, crossed, plan, &out[i]) })
 	}
 	wg.Wait()
 	return out
 }
 
-// book sends one booking and its repeat through different entries.
-func (r *Runner) book(ctx context.Context, i int, crossed bool, plan BookingPlan, b *Booking) {
+// sendTwice sends one booking twice, to consecutive entries.
+func (r *Runner) sendTwice(ctx context.Context, i int, concurrent bool, plan BookingPlan, b *Booking) {
 	var first, second Attempt
 	var wg sync.WaitGroup
-	wg.Go(func() { first = r.attempt(ctx, i, plan, *b) })
-	if !crossed {
+	wg.Go(func() { first = r.attemptBooking(ctx, i, plan, *b) })
+	if !concurrent {
 		wg.Wait()
 	}
-	wg.Go(func() { second = r.attempt(ctx, i+1, plan, *b) })
+	wg.Go(func() { second = r.attemptBooking(ctx, i+1, plan, *b) })
 	wg.Wait()
 	b.Attempts = []Attempt{first, second}
 }
 
-// attempt sends a booking through the i-th entry.
-func (r *Runner) attempt(ctx context.Context, i int, plan BookingPlan, b Booking) Attempt {
+// attemptBooking sends a booking to the i-th entry, modulo their number.
+func (r *Runner) attemptBooking(ctx context.Context, i int, plan BookingPlan, b Booking) Attempt {
 	ctx, cancel := context.WithTimeout(ctx, plan.Timeout)
 	defer cancel()
-	r.stats.sent.Add(1)
+	r.counters.sent.Add(1)
 	a, err := r.sendBooking(ctx, i, plan.Path, b)
 	if err != nil {
 		a = Attempt{Outcome: OutcomeFailed, Code: err.Error()}
 	}
-	r.stats.end(Result{Outcome: a.Outcome})
+	r.counters.countOutcome(Result{Outcome: a.Outcome})
 	return a
 }
 
 func (r *Runner) sendBooking(ctx context.Context, i int, path string, b Booking) (Attempt, error) {
-	h := header(b.Account)
+	h := requestHeader(b.Account)
 	h.Set("Idempotency-Key", b.Key)
 	resp, err := r.post(ctx, i, path, b.Body, h)
 	if err != nil {
@@ -83,21 +85,21 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		outcome, code := refusal(resp)
+		outcome, code := classifyErrorResponse(resp)
 		return Attempt{Outcome: outcome, Code: code}, nil
 	}
 	a := Attempt{Outcome: OutcomeOK}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBytes)).Decode(&a.Answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&a.Answer); err != nil {
 		return Attempt{}, errors.Wrapf(err, "read answer entry=%s", resp.Request.Host)
 	}
 	return a, nil
 }
 
-// FetchRuns collects the runs that the services list, given as base URLs.
+// FetchRuns fetches the lists of runs from the services at the given base URLs.
 func (r *Runner) FetchRuns(ctx context.Context, services []string) ([]service.Run, error) {
 	var all []service.Run
 	for _, base := range services {
-		runs, err := r.runsOf(ctx, base)
+		runs, err := r.fetchServiceRuns(ctx, base)
 		if err != nil {
 			return nil, err
 		}
@@ -106,7 +108,7 @@
 	return all, nil
 }
 
-func (r *Runner) runsOf(ctx context.Context, base string) (service.Runs, error) {
+func (r *Runner) fetchServiceRuns(ctx context.Context, base string) (service.Runs, error) {
 	var runs service.Runs
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/runs", nil)
 	if err != nil {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -10,36 +10,39 @@
 	"gopkg.in/ini.v1"
 )
 
-// Account is one client account's part of the traffic.
+// Account is a client account that sends part of the traffic.
 type Account struct {
 	Name string `ini:"-"`
 	Key  string `ini:"key"`
-	// Times multiplies the account's part of the requests; default 1.
-	Times float64 `ini:"times"`
-	// TokensPerSecond and BurstTokens are what the account is allowed, as
-	// published; 0 means that it is not checked.
+	// Weight is the account's share of the requests relative to the other
+	// accounts; default 1.
+	Weight float64 `ini:"times"`
+	// TokensPerSecond and BurstTokens are the account's published limits. If
+	// TokensPerSecond is 0, the rate isn't checked.
 	TokensPerSecond float64 `ini:"tokens-per-second"`
 	BurstTokens     float64 `ini:"burst-tokens"`
 }
 
-// Profile is the shape of the traffic.
+// Profile describes the traffic of a run.
 type Profile struct {
 	Model string `ini:"model"`
-	// Path is the route of the requests.
+	// Path is the URL path that requests are posted to.
 	Path string `ini:"path"`
-	// RequestsPerSecond is over all accounts.
+	// RequestsPerSecond is the mean rate of all accounts together.
 	RequestsPerSecond float64 `ini:"requests-per-second"`
-	// PieceBytes is the prompt bytes in one cached piece.
+	// PieceBytes is the number of prompt bytes in one piece, the unit of the
+	// engines' prefix cache.
 	PieceBytes int `ini:"piece-bytes"`
-	// OpeningPieces is the length of the opening an account's requests
-	// share, DossierPieces the most a dossier has.
+	// OpeningPieces is the length of the opening, the prefix that all requests
+	// of an account share. DossierPieces is the maximum length of a dossier.
 	OpeningPieces int `ini:"opening-pieces"`
 	DossierPieces int `ini:"dossier-pieces"`
-	// Dossiers is how many each account has; Zipf is the exponent of their
-	// heat, over 1.
+	// Dossiers is the number of dossiers of each account; Zipf is the exponent
+	// of their popularity and must be greater than 1.
 	Dossiers int     `ini:"dossiers"`
 	Zipf     float64 `ini:"zipf"`
-	// ShiftEvery moves the heat to other dossiers; 0 never.
+	// ShiftEvery is the interval after which other dossiers become the popular
+	// ones; 0 disables it.
 	ShiftEvery    time.Duration `ini:"shift-every"`
 	QuestionBytes int           `ini:"question-bytes"`
 	MaxTokens     int           `ini:"max-tokens"`
@@ -51,10 +54,10 @@
 	accountPrefix = `account "`
 )
 
-// ErrProfile is wrapped by all faults of a profile.
-var ErrProfile = errors.New("load profile")
+// ErrInvalidProfile is wrapped by all errors about a profile.
+var ErrInvalidProfile = errors.New("invalid load profile")
 
-// DefaultProfile is what the keys that a file leaves out stand at.
+// DefaultProfile returns the defaults for keys that a file doesn't set.
 func DefaultProfile() Profile {
 	return Profile{
 		Model:             "demo",
@@ -75,7 +78,7 @@
 func ReadProfile(path string) (Profile, error) {
 	p, err := readProfile(path)
 	if err != nil {
-		return Profile{}, errors.Mark(errors.Wrapf(err, "read profile file=%s", path), ErrProfile)
+		return Profile{}, errors.Mark(errors.Wrapf(err, "read profile file=%s", path), ErrInvalidProfile)
 	}
 	return p, errors.Wrapf(p.Validate(), "file=%s", path)
 }
@@ -94,7 +97,7 @@
 		if !ok {
 			continue
 		}
-		a := Account{Name: strings.TrimSuffix(name, `"`), Times: 1}
+		a := Account{Name: strings.TrimSuffix(name, `"`), Weight: 1}
 		if err := mapSection(sec, &a); err != nil {
 			return p, err
 		}
@@ -103,46 +106,48 @@
 	return p, nil
 }
 
-// mapSection reads a section into a struct. A key that the struct lacks is an
-// error: mistyped, it would leave a default in force unseen.
-func mapSection(sec *ini.Section, into any) error {
-	if err := sec.StrictMapTo(into); err != nil {
+// mapSection reads a section into the struct that dst points to. A key that the
+// struct doesn't have is an error; otherwise a mistyped key would silently leave
+// the default in force.
+func mapSection(sec *ini.Section, dst any) error {
+	if err := sec.StrictMapTo(dst); err != nil {
 		return errors.Wrapf(err, "section=%q", sec.Name())
 	}
 	known := map[string]bool{}
-	t := reflect.TypeOf(into).Elem()
+	t := reflect.TypeOf(dst).Elem()
 	for i := range t.NumField() {
 		known[t.Field(i).Tag.Get("ini")] = true
 	}
 	for _, key := range sec.KeyStrings() {
 		if !known[key] {
-			return errors.Newf("section=%q key=%q: unknown", sec.Name(), key)
+			return errors.Newf("section=%q key=%q: unknown key", sec.Name(), key)
 		}
 	}
 	return nil
 }
 
-// Validate reports what makes the profile unusable.
+// Validate returns an error if the profile can't be used.
 func (p Profile) Validate() error {
 	switch {
 	case len(p.Accounts) == 0:
-		return errors.Wrap(ErrProfile, `no [account "NAME"] section`)
+		return errors.Wrap(ErrInvalidProfile, `no [account "NAME"] section`)
 	case p.RequestsPerSecond <= 0:
-		return errors.Wrap(ErrProfile, "requests-per-second: want over 0")
+		return errors.Wrap(ErrInvalidProfile, "requests-per-second must be greater than 0")
 	case p.Zipf <= 1:
-		return errors.Wrap(ErrProfile, "zipf: want over 1")
+		return errors.Wrap(ErrInvalidProfile, "zipf must be greater than 1")
 	case p.OpeningPieces < 1 || p.DossierPieces < 1 || p.Dossiers < 1 || p.PieceBytes < minPieceBytes:
-		return errors.Wrapf(ErrProfile, "opening-pieces, dossier-pieces, dossiers: want 1 or more; piece-bytes: %d or more", minPieceBytes)
+		return errors.Wrapf(ErrInvalidProfile, "opening-pieces, dossier-pieces and dossiers must be at least 1, piece-bytes at least %d", minPieceBytes)
 	}
 	for _, a := range p.Accounts {
-		if a.Key == "" || a.Times < 0 {
-			return errors.Wrapf(ErrProfile, "account=%s: want a key, and times not under 0", a.Name)
+		if a.Key == "" || a.Weight < 0 {
+			return errors.Wrapf(ErrInvalidProfile, "account=%s: key must be set and times must not be negative", a.Name)
 		}
 	}
 	return nil
 }
 
-// SelectAccounts returns the accounts with the given names, or all when there are none.
+// SelectAccounts returns the accounts with the given names, or all accounts if no
+// name is given.
 func (p Profile) SelectAccounts(names []string) ([]Account, error) {
 	if len(names) == 0 {
 		return p.Accounts, nil
@@ -151,7 +156,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(p.Accounts, func(a Account) bool { return a.Name == name })
 		if i < 0 {
-			return nil, errors.Wrapf(ErrProfile, "account=%s: unknown", name)
+			return nil, errors.Wrapf(ErrInvalidProfile, "account=%s: unknown account", name)
 		}
 		out = append(out, p.Accounts[i])
 	}
--- a/internal/load/progress.go
+++ b/internal/load/progress.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-const progressEvery = time.Second
+const progressInterval = time.Second
 
-// progress counts what a run has done so far.
-type progress struct {
+// runCounters counts the requests of a run by outcome.
+type runCounters struct {
 	sent, ok, refused, failed, violations atomic.Int64
-	// passedOver counts entries that took no connection.
-	passedOver atomic.Int64
+	// connectFailures counts failed attempts to connect to an entry.
+	connectFailures atomic.Int64
 }
 
-func (p *progress) end(r Result) {
+func (p *runCounters) countOutcome(r Result) {
 	switch r.Outcome {
 	case OutcomeOK:
 		p.ok.Add(1)
@@ -30,18 +30,18 @@
 	}
 }
 
-// WriteProgress writes one line a second until ctx ends.
+// WriteProgress writes a line of counters every second until ctx is done.
 func (r *Runner) WriteProgress(ctx context.Context, w io.Writer) {
-	t := time.NewTicker(progressEvery)
+	t := time.NewTicker(progressInterval)
 	defer t.Stop()
-	start, p := time.Now(), &r.stats
+	start, p := time.Now(), &r.counters
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 			_, _ = fmt.Fprintf(w, "elapsed=%ds sent=%d ok=%d refused=%d failed=%d violations=%d passed_over=%d\n",
-				int(time.Since(start).Seconds()+0.5), p.sent.Load(), p.ok.Load(), p.refused.Load(), p.failed.Load(), p.violations.Load(), p.passedOver.Load())
+				int(time.Since(start).Seconds()+0.5), p.sent.Load(), p.ok.Load(), p.refused.Load(), p.failed.Load(), p.violations.Load(), p.connectFailures.Load())
 		}
 	}
 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -15,40 +15,40 @@
 	"github.com/mastictray/mastictray/internal/openai"
 )
 
-const maxErrorBytes = 64 << 10
+const maxResponseBytes = 64 << 10
 
-// RunLimits ends a run.
+// RunLimits limits the length of a run and of its requests.
 type RunLimits struct {
-	// Duration is the time in which requests are sent.
+	// Duration is the time during which requests are sent.
 	Duration time.Duration
-	// MaxRequests is the most that are sent.
+	// MaxRequests is the maximum number of requests sent.
 	MaxRequests int
-	// Timeout is the longest that one request may take.
+	// Timeout limits one request.
 	Timeout time.Duration
 }
 
-// Runner sends a profile's traffic.
+// Runner sends the traffic of a profile.
 type Runner struct {
-	profile Profile
-	entries []string
-	client  *http.Client
-	stats   progress
+	profile  Profile
+	entries  []string
+	client   *http.Client
+	counters runCounters
 }
 
-// NewRunner returns a runner that spreads requests over the entries, given as
-// base URLs, in turn.
+// NewRunner returns a runner that sends requests to the entries, given as base
+// URLs, in round-robin order.
 func NewRunner(p Profile, entries []string) *Runner {
 	return &Runner{profile: p, entries: entries, client: newClient()}
 }
 
-// newClient keeps enough idle connections that an open-loop run measures the
-// fleet and not its own connects.
+// newClient keeps enough idle connections that latencies of an open-loop run don't
+// include connection setup.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-// Run sends arrivals at their time until a bound is met, waits for the
-// answers, and returns the results in order of arrival.
+// Run sends each request at its scheduled time until a limit is reached, waits for
+// the answers and returns the results in order of arrival.
 func (r *Runner) Run(ctx context.Context, seed uint64, b RunLimits) []Result {
 	gen := NewGenerator(r.profile, seed)
 	start := time.Now()
@@ -58,13 +58,13 @@
 	)
 	for len(results) < b.MaxRequests {
 		a := gen.Next()
-		if a.At > b.Duration || waitUntil(ctx, start.Add(a.At)) != nil {
+		if a.At > b.Duration || sleepUntil(ctx, start.Add(a.At)) != nil {
 			break
 		}
 		res := newResult(a, r.profile.PieceBytes)
 		results = append(results, &res)
-		r.stats.sent.Add(1)
-		wg.Go(func() { r.do(ctx, a, start, b.Timeout, &res) })
+		r.counters.sent.Add(1)
+		wg.Go(func() { r.sendAndRecord(ctx, a, start, b.Timeout, &res) })
 	}
 	wg.Wait()
 	out := make([]Result, 0, len(results))
@@ -74,7 +74,7 @@
 	return out
 }
 
-func waitUntil(ctx context.Context, t time.Time) error {
+func sleepUntil(ctx context.Context, t time.Time) error {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
 	select {
@@ -85,11 +85,11 @@
 	}
 }
 
-// do sends one request and fills in its result.
-func (r *Runner) do(ctx context.Context, a Arrival, start time.Time, timeout time.Duration, res *Result) {
+// sendAndRecord sends one request and records its result.
+func (r *Runner) sendAndRecord(ctx context.Context, a Arrival, start time.Time, timeout time.Duration, res *Result) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := r.send(ctx, a, start, res)
+	err := r.sendPrompt(ctx, a, start, res)
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrViolation):
@@ -97,34 +97,34 @@
 	default:
 		res.Outcome, res.Code = OutcomeFailed, err.Error()
 	}
-	r.stats.end(*res)
+	r.counters.countOutcome(*res)
 }
 
-func (r *Runner) send(ctx context.Context, a Arrival, start time.Time, res *Result) error {
+func (r *Runner) sendPrompt(ctx context.Context, a Arrival, start time.Time, res *Result) error {
 	body, err := json.Marshal(a.Request)
 	if err != nil {
 		return errors.Wrap(err, "encode request")
 	}
-	resp, err := r.post(ctx, a.Index, r.profile.Path, body, header(a.Account))
+	resp, err := r.post(ctx, a.Index, r.profile.Path, body, requestHeader(a.Account))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		res.Outcome, res.Code = refusal(resp)
+		res.Outcome, res.Code = classifyErrorResponse(resp)
 		return nil
 	}
-	return errors.Wrapf(r.follow(resp.Body, a, start, res), "entry=%s request=%d", resp.Request.Host, a.Index)
+	return errors.Wrapf(r.checkStream(resp.Body, a, start, res), "entry=%s request=%d", resp.Request.Host, a.Index)
 }
 
-// header is what every request of an account carries.
-func header(a Account) http.Header {
+// requestHeader returns the headers of an account's requests.
+func requestHeader(a Account) http.Header {
 	return http.Header{"Content-Type": {"application/json"}, "Authorization": {"Bearer " + a.Key}}
 }
 
-// post sends a request to the i-th entry. Like the balancer it passes over an
-// entry that takes no connection: nothing has been sent to it then, so the next
-// one does not get a repeat.
+// post sends a request to the i-th entry, modulo their number. Like the load
+// balancer it tries the next entry if the connection can't be established. That
+// can't run a request twice, since nothing has been sent yet.
 func (r *Runner) post(ctx context.Context, i int, path string, body []byte, h http.Header) (*http.Response, error) {
 	var err error
 	for n := range r.entries {
@@ -139,31 +139,31 @@
 			return resp, nil
 		}
 		err = errors.Wrapf(err, "send request entry=%s", entry)
-		if !notConnected(err) {
+		if !isDialError(err) {
 			break
 		}
-		r.stats.passedOver.Add(1)
+		r.counters.connectFailures.Add(1)
 	}
 	return nil, err
 }
 
-// notConnected reports whether the request found no connection to go out on.
-func notConnected(err error) bool {
+// isDialError reports whether no connection could be established.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// ConnectFailures counts the times that an entry took no connection.
-func (r *Runner) ConnectFailures() int64 { return r.stats.passedOver.Load() }
+// ConnectFailures returns the number of failed attempts to connect to an entry.
+func (r *Runner) ConnectFailures() int64 { return r.counters.connectFailures.Load() }
 
-// follow reads and checks a stream to its end.
-func (r *Runner) follow(body io.Reader, a Arrival, start time.Time, res *Result) error {
-	check := newStreamCheck(a.Request)
+// checkStream reads a stream to its end and checks it.
+func (r *Runner) checkStream(body io.Reader, a Arrival, start time.Time, res *Result) error {
+	check := newStreamChecker(a.Request)
 	events := newEventReader(body)
 	for {
 		e, err := events.next()
 		if errors.Is(err, io.EOF) {
-			if err := check.eof(); err != nil {
+			if err := check.checkEOF(); err != nil {
 				return err
 			}
 			res.Outcome, res.Usage = OutcomeOK, *check.usage
@@ -172,25 +172,26 @@
 		if err != nil {
 			return err
 		}
-		if err := check.event(e); err != nil {
+		if err := check.checkEvent(e); err != nil {
 			return err
 		}
-		if res.FirstToken == 0 && check.chunks > 0 {
-			res.FirstToken = time.Since(start) - a.At
+		if res.TimeToFirstToken == 0 && check.chunks > 0 {
+			res.TimeToFirstToken = time.Since(start) - a.At
 		}
 	}
 }
 
-// errorBody is the OpenAI shape of a refusal.
-type errorBody struct {
+// errorResponse is the error response of the OpenAI API.
+type errorResponse struct {
 	Error apiError `json:"error"`
 }
 
-// refusal reads an answer that is not 200. Only one that says that the
-// request was not run counts as a refusal.
-func refusal(resp *http.Response) (Outcome, string) {
-	var body errorBody
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBytes)).Decode(&body)
+// classifyErrorResponse returns the outcome and error code of a response whose
+// status is not 200. It is a refusal only if the status is 429 or the response is
+// marked as not run.
+func classifyErrorResponse(resp *http.Response) (Outcome, string) {
+	var body errorResponse
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body)
 	code := body.Error.Code
 	if code == "" {
 		code = resp.Status
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLineBytes bounds one line of an event stream.
+// maxLineBytes limits one line of an event stream.
 const maxLineBytes = 1 << 20
 
-// noID is the id of an event that has none.
-const noID = -1
+// noEventID is the id of an event without an id field.
+const noEventID = -1
 
 // event is one server-sent event.
 type event struct {
@@ -30,9 +30,9 @@
 	return &eventReader{lines: lines}
 }
 
-// next returns io.EOF at a clean end between events.
+// next returns the next event, or io.EOF if the stream ends between events.
 func (r *eventReader) next() (event, error) {
-	e := event{id: noID}
+	e := event{id: noEventID}
 	for r.lines.Scan() {
 		line := r.lines.Bytes()
 		if len(line) == 0 && e.data != nil {
