--- a/internal/slopes/doc.go
+++ b/internal/slopes/doc.go
@@ -1,4 +1,4 @@
-// Package slopes measures what each role costs by the size that it grows
-// with: time, memory or bytes at four or more sizes, and the straight line
-// fitted through them. The capacity page is worked out from these lines.
+// Package slopes measures how the cost of each role of an instance (CPU time,
+// memory or bytes) grows with the size that it depends on, at four or more sizes,
+// and fits a straight line. The capacity page is computed from these lines.
 package slopes
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -1,9 +1,9 @@
 package slopes
 
-// Measure takes all slopes. It needs some seconds of one core.
+// Measure measures all slopes. It takes a few seconds on one core.
 func Measure() []Slope {
 	var out []Slope
-	for _, m := range []func() []Slope{serving, cacheEvents, heartbeats, logFollower, leases, rates, claims, auditTrail} {
+	for _, m := range []func() []Slope{servingSlopes, cacheEventSlopes, heartbeatSlopes, configSlopes, leaseSlopes, rateSlopes, claimSlopes, auditSlopes} {
 		out = append(out, m()...)
 	}
 	return out
--- a/internal/slopes/serving.go
+++ b/internal/slopes/serving.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	pieceTokens = 4096
-	pieces      = 6
+	pieceTokens  = 4096
+	promptPieces = 6
 )
 
-func serving() []Slope {
+func servingSlopes() []Slope {
 	targets := []int{125, 500, 1250, 5000, 10000}
 	return []Slope{
-		measure("decision", "targets of the pool", "ns a placement", targets, decisionNanos),
-		measure("pool-memory", "targets of the pool", "bytes of heap", targets, func(n int) float64 {
-			return heapBytes(func() any { return newPool(n) })
+		measureSlope("decision", "targets of the pool", "ns a placement", targets, placementNanos),
+		measureSlope("pool-memory", "targets of the pool", "bytes of heap", targets, func(n int) float64 {
+			return measureHeapBytes(func() any { return newPool(n) })
 		}),
-		measure("queue", "accounts with waiting requests", "ns for one push and pop", []int{10, 50, 150, 440}, queueNanos),
-		measure("prefix-hash", "bytes of prompt", "ns", []int{1 << 16, 1 << 18, 1 << 20, 1 << 22}, func(n int) float64 {
+		measureSlope("queue", "accounts with waiting requests", "ns for one push and pop", []int{10, 50, 150, 440}, queueNanos),
+		measureSlope("prefix-hash", "bytes of prompt", "ns", []int{1 << 16, 1 << 18, 1 << 20, 1 << 22}, func(n int) float64 {
 			prompt := make([]byte, n)
-			return nanos(1, func() { prefix.Chain(nil, 1, prompt, 16384) })
+			return minNanosPerOp(1, func() { prefix.Chain(nil, 1, prompt, 16384) })
 		}),
 	}
 }
@@ -41,12 +41,12 @@
 	return placement.NewPool(list, "v1", placement.DefaultFilters())
 }
 
-func decisionNanos(n int) float64 {
+func placementNanos(n int) float64 {
 	const rounds = 2000
 	picker := placement.NewPicker(newPool(n), cacheindex.New(1<<20), placement.DefaultOptions())
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := placement.Request{PieceTokens: pieceTokens, PromptTokens: pieces * pieceTokens, Chain: make([]prefix.Hash, pieces)}
-	return nanos(rounds, func() {
+	r := placement.Request{PieceTokens: pieceTokens, PromptTokens: promptPieces * pieceTokens, Chain: make([]prefix.Hash, promptPieces)}
+	return minNanosPerOp(rounds, func() {
 		for i := range rounds {
 			r.Chain[1] = prefix.Hash(i * 7919)
 			_, _ = picker.Pick(0, &r, rng)
@@ -62,7 +62,7 @@
 		names[i] = fmt.Sprint("account-", i)
 		q.Push(0, fairqueue.Item[int]{Account: names[i], Cost: 100})
 	}
-	return nanos(rounds, func() {
+	return minNanosPerOp(rounds, func() {
 		for i := range rounds {
 			q.Push(0, fairqueue.Item[int]{Account: names[i%accounts], Cost: 100})
 			q.Pop(0)
@@ -70,29 +70,30 @@
 	})
 }
 
-func cacheEvents() []Slope {
+func cacheEventSlopes() []Slope {
 	sizes := []int{10000, 20000, 40000, 80000}
 	id := cacheindex.Identity{Target: "target-00001", Incarnation: "0123456789abcdef", Version: "v1"}
-	fill := func(n int) *cacheindex.Index {
-		s := cacheindex.New(n * cacheindex.EntryBytes)
-		s.Observe(0, id)
+	newIndex := func(n int) *cacheindex.Index {
+		index := cacheindex.New(n * cacheindex.EntryBytes)
+		index.Observe(0, id)
 		for i := range n {
-			s.Stored(id, []prefix.Hash{prefix.Hash(i)})
+			index.Stored(id, []prefix.Hash{prefix.Hash(i)})
 		}
-		return s
+		return index
 	}
 	return []Slope{
-		measure("cache-index-memory", "known pieces", "bytes of heap", sizes, func(n int) float64 {
-			return heapBytes(func() any { return fill(n) })
+		measureSlope("cache-index-memory", "known pieces", "bytes of heap", sizes, func(n int) float64 {
+			return measureHeapBytes(func() any { return newIndex(n) })
 		}),
-		measure("event-apply", "cache events", "ns for all", sizes, func(n int) float64 {
-			return nanos(1, func() { fill(n) })
+		measureSlope("event-apply", "cache events", "ns for all", sizes, func(n int) float64 {
+			return minNanosPerOp(1, func() { newIndex(n) })
 		}),
-		measure("event-bytes", "pieces in an answer of events", "bytes of JSON", []int{10, 100, 1000, 10000}, eventBytes),
+		measureSlope("event-bytes", "pieces in an answer of events", "bytes of JSON", []int{10, 100, 1000, 10000}, eventBytes),
 	}
 }
 
-// eventBytes is the size of an answer of GET /events, one piece an event.
+// eventBytes returns the size of a response to GET /events with n events of one
+// piece each.
 func eventBytes(n int) float64 {
 	size := len(`{"incarnation":"0123456789abcdef","next":1234567,"events":[]}`)
 	return float64(size + n*len(`{"seq":1234567,"op":"stored","pieces":["0123456789abcdef"]},`))
--- a/internal/slopes/slope.go
+++ b/internal/slopes/slope.go
@@ -1,31 +1,32 @@
 package slopes
 
-// Sample is one measured point.
+// Sample is a cost measured at one size.
 type Sample struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a cost measured at several sizes and the fitted line
+// Slope holds a cost measured at several sizes and the fitted line
 // Y = PerUnit*X + Fixed.
 type Slope struct {
-	// Name is the stable word by which the arithmetic finds the slope.
+	// Name is the key under which package capacity looks up the slope.
 	Name string `json:"name"`
-	// X and Y say what was varied and what was measured, with the unit.
+	// X and Y describe the varied size and the measured cost, with its unit.
 	X       string   `json:"x"`
 	Y       string   `json:"y"`
 	Samples []Sample `json:"samples"`
-	// Command is the test or benchmark that gave the samples, for slopes
-	// that Measure does not take itself.
+	// Command is the test or benchmark that printed the samples, for slopes
+	// that Measure doesn't produce.
 	Command string  `json:"command,omitempty"`
 	PerUnit float64 `json:"per_unit"`
 	Fixed   float64 `json:"fixed"`
-	// R2 is the part of the variance that the line explains.
+	// R2 is the coefficient of determination of the fit.
 	R2 float64 `json:"r2"`
 }
 
-// At is the cost at a size: on the fitted line, or what the least size took
-// for sizes below it. A rising line is not followed below that either.
+// At returns the cost at size x from the fitted line. Below the smallest measured
+// size it returns the cost measured there. A rising line never yields less than
+// that, since it may cross zero if the cost grows faster than linearly.
 func (s Slope) At(x float64) float64 {
 	first, line := s.Samples[0], s.PerUnit*x+s.Fixed
 	if x < first.X || s.PerUnit > 0 && line < first.Y {
@@ -34,7 +35,7 @@
 	return line
 }
 
-// Fit sets the line of least squares.
+// Fit computes the least-squares line through the samples.
 func (s *Slope) Fit() {
 	n := float64(len(s.Samples))
 	var sx, sy, sxx, sxy, syy float64
