--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -1,65 +1,69 @@
 package capacity
 
-// Design is how the roles work: the numbers that the arithmetic needs.
+// Design holds the parameters of the control roles that their cost depends on.
 type Design struct {
 	Name string
-	// HeartbeatPeers are the peers called with rate hints each HeartbeatEvery seconds; 0 is
-	// all nodes.
-	HeartbeatPeers, HeartbeatEvery, HeartbeatHints float64
-	// ListEvery is the least seconds between two reads of the platform's
-	// list of instances, and ListRate the most bytes a second spent on it.
-	ListEvery, ListRate float64
-	// LoadEvery is the seconds between two polls of a target. With
-	// SharedLoads the nodes of a domain share the polling and pass digests
-	// on along a tree of DigestFanOut.
-	LoadEvery, DigestFanOut float64
-	SharedLoads             bool
-	// ReadEvents: every node reads the cache events of all targets, and
-	// keeps what fits in CacheIndexBytes bytes.
-	ReadEvents      bool
+	// HeartbeatPeers is the number of peers that a node sends a heartbeat with
+	// HintsPerHeartbeat rate hints to in each interval; 0 means all nodes.
+	HeartbeatPeers, HeartbeatIntervalSeconds, HintsPerHeartbeat float64
+	// ListIntervalSeconds is the minimum time between two reads of the
+	// platform's instance list; ListBytesPerSecond limits the bytes read.
+	ListIntervalSeconds, ListBytesPerSecond float64
+	// LoadPollIntervalSeconds is the time between two polls of a target. With
+	// SharedLoadPolling the nodes of a domain share the polling and forward
+	// load digests along a tree of fan-out DigestFanOut.
+	LoadPollIntervalSeconds, DigestFanOut float64
+	SharedLoadPolling                     bool
+	// ReadCacheEvents means that every node reads the cache events of all targets
+	// into an index of at most CacheIndexBytes.
+	ReadCacheEvents bool
 	CacheIndexBytes float64
-	// MintSlots are the leases of a domain; 0 is one for each node.
-	MintSlots, RenewEvery float64
-	// Relays is the nodes that one node passes records on to.
-	Relays float64
-	// AskEvery, when not 0, is the seconds for which tokens are asked for
-	// ahead, at the one node of the domain that is the account's home, with
-	// one message for all accounts that have their home there.
-	AskEvery float64
-	// RateMessages is the messages of the rate exchange for one request
-	// otherwise.
-	RateMessages float64
-	// ClaimStreams is the number of streams that claims are spread over;
-	// ClaimBatches the appends a second to each; ClaimCopies the nodes that
-	// remember a key (0: all); ClaimWindow the seconds it is remembered.
-	ClaimStreams, ClaimBatches, ClaimCopies, ClaimWindow float64
-	// ClaimKeys bounds the keys that one node remembers.
-	ClaimKeys float64
+	// MintSlotsPerDomain is the number of mint leases in a domain; 0 means one
+	// for each node. Each lease is renewed every RenewIntervalSeconds.
+	MintSlotsPerDomain, RenewIntervalSeconds float64
+	// RelayFanOut is the number of nodes that a node forwards log records to.
+	RelayFanOut float64
+	// RateAskIntervalSeconds, if not 0, is how far ahead a node requests tokens
+	// from the account's home, a node of the same domain. One message covers all
+	// accounts with the same home.
+	RateAskIntervalSeconds float64
+	// RateMessagesPerRequest is the number of rate exchange messages per request
+	// if RateAskIntervalSeconds is 0.
+	RateMessagesPerRequest float64
+	// ClaimStreams is the number of log streams that claims are partitioned over,
+	// ClaimBatchesPerSecond the rate of appends to each. ClaimReplicas is the
+	// number of nodes that store a key (0 means all), ClaimRetentionSeconds how
+	// long they keep it.
+	ClaimStreams, ClaimBatchesPerSecond, ClaimReplicas, ClaimRetentionSeconds float64
+	// MaxClaimKeys limits the number of keys that a node stores.
+	MaxClaimKeys float64
 }
 
-// Messages a request, by BenchmarkWrongfulRefusals of internal/rate with all
-// links up: one hour of demand at 95% of the rate, 80% of it at one of six
-// instances. Demand that waits for the limit at its caller takes more.
+// Rate exchange messages per request, from BenchmarkWrongfulRefusals of
+// internal/rate with all links up: one hour of demand at 95% of the rate, 80% of it
+// at one of six instances. Requests arrive as a Poisson process, or are deferred by
+// their callers to stay within the limit, which takes more messages.
 const (
-	poissonMessages = 18.51
-	putOffMessages  = 47.46
+	poissonMessagesPerRequest  = 18.51
+	deferredMessagesPerRequest = 47.46
 )
 
-// AsBuilt is what runs today.
-func AsBuilt() Design {
+// CurrentDesign returns the parameters of the implementation.
+func CurrentDesign() Design {
 	return Design{
-		Name: "as built", HeartbeatEvery: 0.3, HeartbeatHints: 64, LoadEvery: 0.25, RenewEvery: 3,
-		ListEvery: 0.5, ListRate: 12 << 10, MintSlots: 2,
-		ReadEvents: true, CacheIndexBytes: 16 << 20, RateMessages: poissonMessages,
-		ClaimStreams: 1, ClaimWindow: secondsPerDay, ClaimKeys: 32768,
+		Name: "as built", HeartbeatIntervalSeconds: 0.3, HintsPerHeartbeat: 64, LoadPollIntervalSeconds: 0.25, RenewIntervalSeconds: 3,
+		ListIntervalSeconds: 0.5, ListBytesPerSecond: 12 << 10, MintSlotsPerDomain: 2,
+		ReadCacheEvents: true, CacheIndexBytes: 16 << 20, RateMessagesPerRequest: poissonMessagesPerRequest,
+		ClaimStreams: 1, ClaimRetentionSeconds: secondsPerDay, MaxClaimKeys: 32768,
 	}
 }
 
-// ForTarget is what is to be built as the fleet grows.
-func ForTarget() Design {
+// PlannedDesign returns the parameters of the design for the required fleet size.
+// Most of it isn't implemented.
+func PlannedDesign() Design {
 	return Design{
-		Name: "by design", HeartbeatPeers: 4, HeartbeatEvery: 2, HeartbeatHints: 8,
-		ListEvery: 0.5, ListRate: 4 << 10, LoadEvery: 2, DigestFanOut: 2, SharedLoads: true, MintSlots: 2, RenewEvery: 3, Relays: 2, AskEvery: 4,
-		ClaimStreams: 64, ClaimBatches: 5, ClaimCopies: 3, ClaimWindow: secondsPerDay / 2, ClaimKeys: 65536,
+		Name: "by design", HeartbeatPeers: 4, HeartbeatIntervalSeconds: 2, HintsPerHeartbeat: 8,
+		ListIntervalSeconds: 0.5, ListBytesPerSecond: 4 << 10, LoadPollIntervalSeconds: 2, DigestFanOut: 2, SharedLoadPolling: true, MintSlotsPerDomain: 2, RenewIntervalSeconds: 3, RelayFanOut: 2, RateAskIntervalSeconds: 4,
+		ClaimStreams: 64, ClaimBatchesPerSecond: 5, ClaimReplicas: 3, ClaimRetentionSeconds: secondsPerDay / 2, MaxClaimKeys: 65536,
 	}
 }
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -6,215 +6,218 @@
 	"github.com/mastictray/mastictray/internal/slopes"
 )
 
-// Cost is what a role costs one node.
+// Cost is the cost of a role on one node.
 type Cost struct {
 	Role string
-	// Messages a second, sent and received.
-	Messages float64
-	Core     float64 // part of a core
-	Memory   float64 // bytes
-	Rate     float64 // bytes a second, sent and received
+	// MessagesPerSecond counts messages sent and received.
+	MessagesPerSecond float64
+	Cores             float64 // CPU time per second, in cores
+	MemoryBytes       float64
+	BytesPerSecond    float64 // sent and received
 }
 
-// Set finds slopes by name.
-type Set map[string]slopes.Slope
+// SlopeSet maps the names of slopes to slopes.
+type SlopeSet map[string]slopes.Slope
 
 const (
-	nanosecond = 1e-9
-	// loadPollBytes is a GET /load with its answer, headers included,
-	// counted from the protocol page.
+	secondsPerNanosecond = 1e-9
+	// loadPollBytes is the size of a GET /load request and its response with
+	// headers, counted from docs/PROTOCOLS.md.
 	loadPollBytes = 450
-	// digestBytes is one target's load in a digest.
+	// digestBytes is the size of one target's load in a digest.
 	digestBytes = 4
-	// changedFileBytes is the mean size of a changed file; assumed.
-	changedFileBytes = 2000
-	// requestsPerCore and streamBytes are the entry's requests for a processor
-	// second and memory for an open stream: the worst of the runs of the
-	// whole-path benchmarks that the page names.
+	// meanChangedFileBytes is the assumed mean size of a changed configuration file.
+	meanChangedFileBytes = 2000
+	// requestsPerCore is the number of requests that an entry instance handles per
+	// second of CPU time, and streamBytes its memory per open stream: the worst
+	// results of the whole-path benchmark runs listed in docs/CAPACITY.md.
 	requestsPerCore = 3032.0
 	streamBytes     = 26214.0
-	// pieceBytes is the prompt bytes in one cached piece.
+	// pieceBytes is the number of prompt bytes in one cached piece.
 	pieceBytes = 16384
-	// listRowBytes is one instance or target in the platform's list: names,
-	// address and domain in JSON, as internal/entry counts them.
+	// listRowBytes is the size of one instance or target in the platform's list
+	// (names, address and domain in JSON), as internal/entry estimates it.
 	listRowBytes = 100
-	// messagesPerExchange are an ask, a grant and a report.
+	// messagesPerExchange counts a request for tokens, a grant and a report.
 	messagesPerExchange = 3
-	// recordsPerBooking are a claim and a result.
+	// recordsPerBooking counts a claim and a result.
 	recordsPerBooking = 2
 )
 
-// Costs are the costs of all roles; the first is serving, which is not
-// control.
-func Costs(f Fleet, d Design, s Set) []Cost {
+// RoleCosts returns the costs of all roles on one node. The first is serving, which
+// isn't a control role.
+func RoleCosts(f Fleet, d Design, s SlopeSet) []Cost {
 	return []Cost{
-		serving(f, s), loadReports(f, d), cacheEvents(f, d, s), membership(f, d, s), peerExchange(f, d, s), logFollower(f, d, s),
-		leaseHolder(f, d, s), rateShares(f, d, s), claims(f, d, s), auditTrail(f, s),
+		servingCost(f, s), loadReportCost(f, d), cacheEventCost(f, d, s), membershipCost(f, d, s), peerExchangeCost(f, d, s), logFollowerCost(f, d, s),
+		leaseHolderCost(f, d, s), rateShareCost(f, d, s), claimCost(f, d, s), auditCost(f, s),
 	}
 }
 
-// Control adds up all roles but serving.
-func Control(costs []Cost) Cost {
+// ControlTotal returns the sum of all costs except the first, that of serving.
+func ControlTotal(costs []Cost) Cost {
 	sum := Cost{Role: "control, together"}
 	for _, c := range costs[1:] {
-		sum.Messages += c.Messages
-		sum.Core += c.Core
-		sum.Memory += c.Memory
-		sum.Rate += c.Rate
+		sum.MessagesPerSecond += c.MessagesPerSecond
+		sum.Cores += c.Cores
+		sum.MemoryBytes += c.MemoryBytes
+		sum.BytesPerSecond += c.BytesPerSecond
 	}
 	return sum
 }
 
-// serving is one node's part of the requests. Its slopes are in the prompt, the
-// targets and the accounts; the rest of a request is that of the whole path.
-func serving(f Fleet, s Set) Cost {
-	decided := s["decision"].At(f.Targets/f.Models) + s["queue"].At(f.Accounts) + s["prefix-hash"].PerUnit*f.PromptBytes
+// servingCost is the cost of a node's share of the requests. The slopes give the
+// part that depends on prompt size, targets and accounts; requestsPerCore adds the
+// rest of the request path.
+func servingCost(f Fleet, s SlopeSet) Cost {
+	decisionNanos := s["decision"].At(f.Targets/f.Models) + s["queue"].At(f.Accounts) + s["prefix-hash"].PerUnit*f.MeanPromptBytes
 	return Cost{
-		Role: "serving", Messages: f.requests(), Core: f.requests() * (decided*nanosecond + 1/requestsPerCore),
-		Memory: s["pool-memory"].At(f.Targets) + f.openStreams()*streamBytes,
+		Role: "serving", MessagesPerSecond: f.nodeRequestsPerSecond(), Cores: f.nodeRequestsPerSecond() * (decisionNanos*secondsPerNanosecond + 1/requestsPerCore),
+		MemoryBytes: s["pool-memory"].At(f.Targets) + f.openStreamsPerNode()*streamBytes,
 	}
 }
 
-func loadReports(f Fleet, d Design) Cost {
+func loadReportCost(f Fleet, d Design) Cost {
 	c := Cost{Role: "load reports"}
-	if !d.SharedLoads {
-		c.Messages = f.Targets / d.LoadEvery
-		c.Rate = c.Messages * loadPollBytes
+	if !d.SharedLoadPolling {
+		c.MessagesPerSecond = f.Targets / d.LoadPollIntervalSeconds
+		c.BytesPerSecond = c.MessagesPerSecond * loadPollBytes
 		return c
 	}
-	polled := f.Targets / f.Nodes / d.LoadEvery
-	digest := f.Targets / f.Domains * digestBytes / d.LoadEvery
-	c.Messages = polled + (1+d.DigestFanOut)/d.LoadEvery
-	c.Rate = polled*loadPollBytes + (1+d.DigestFanOut)*digest
+	pollsPerSecond := f.Targets / f.Nodes / d.LoadPollIntervalSeconds
+	digestBytesPerSecond := f.Targets / f.Domains * digestBytes / d.LoadPollIntervalSeconds
+	c.MessagesPerSecond = pollsPerSecond + (1+d.DigestFanOut)/d.LoadPollIntervalSeconds
+	c.BytesPerSecond = pollsPerSecond*loadPollBytes + (1+d.DigestFanOut)*digestBytesPerSecond
 	return c
 }
 
-// Residence is how many seconds a block stays cached: half of the events
-// store a block, and as many are evicted.
-func (f Fleet) Residence() float64 { return f.CachedBlocks / (f.CacheEvents / 2) }
+// BlockLifetimeSeconds returns the mean time for which a block stays cached,
+// assuming that half of the cache events store a block and half evict one.
+func (f Fleet) BlockLifetimeSeconds() float64 { return f.CachedBlocks / (f.CacheEventsPerSecond / 2) }
 
-// cacheEvents is the reader of cache events, or without it what is known
-// from own answers.
-func cacheEvents(f Fleet, d Design, s Set) Cost {
-	if d.ReadEvents {
+// cacheEventCost is the cost of the cache index. It is filled from the cache events
+// of all targets, or without ReadCacheEvents from the node's own responses.
+func cacheEventCost(f Fleet, d Design, s SlopeSet) Cost {
+	if d.ReadCacheEvents {
 		return Cost{
-			Role: "cache-event reader", Messages: f.CacheEvents, Core: f.CacheEvents * s["event-apply"].PerUnit * nanosecond,
-			Memory: math.Min(d.CacheIndexBytes, f.CachedBlocks*s["cache-index-memory"].PerUnit),
-			Rate:   f.CacheEvents * s["event-bytes"].PerUnit,
+			Role: "cache-event reader", MessagesPerSecond: f.CacheEventsPerSecond, Cores: f.CacheEventsPerSecond * s["event-apply"].PerUnit * secondsPerNanosecond,
+			MemoryBytes:    math.Min(d.CacheIndexBytes, f.CachedBlocks*s["cache-index-memory"].PerUnit),
+			BytesPerSecond: f.CacheEventsPerSecond * s["event-bytes"].PerUnit,
 		}
 	}
-	touched := f.requests() * f.PromptBytes / pieceBytes
+	piecesPerSecond := f.nodeRequestsPerSecond() * f.MeanPromptBytes / pieceBytes
 	return Cost{
-		Role: "cache index from own answers", Core: touched * s["event-apply"].PerUnit * nanosecond,
-		Memory: s["cache-index-memory"].PerUnit * touched * f.Residence(),
+		Role: "cache index from own answers", Cores: piecesPerSecond * s["event-apply"].PerUnit * secondsPerNanosecond,
+		MemoryBytes: s["cache-index-memory"].PerUnit * piecesPerSecond * f.BlockLifetimeSeconds(),
 	}
 }
 
-// membership is the view of the other instances. Its slopes count each message
-// once, and a node sends and receives.
-func membership(f Fleet, d Design, s Set) Cost {
-	sent := s["membership-bytes"].At(f.Nodes) + s["membership-change-bytes"].At(f.Nodes)*(f.Replacements+f.Failures)/secondsPerDay
-	list := math.Min((f.Nodes+f.Targets)*listRowBytes/d.ListEvery, d.ListRate)
+// membershipCost is the cost of the membership protocol and of reading the
+// platform's list. The slopes count sent messages only; a node receives as many.
+func membershipCost(f Fleet, d Design, s SlopeSet) Cost {
+	sentBytesPerSecond := s["membership-bytes"].At(f.Nodes) + s["membership-change-bytes"].At(f.Nodes)*(f.ReplacementsPerDay+f.FailuresPerDay)/secondsPerDay
+	listBytesPerSecond := math.Min((f.Nodes+f.Targets)*listRowBytes/d.ListIntervalSeconds, d.ListBytesPerSecond)
 	return Cost{
-		Role: "membership", Messages: 2 * s["membership-messages"].At(f.Nodes),
-		Core:   s["membership-time"].At(f.Nodes) * nanosecond,
-		Memory: s["membership-memory"].At(f.Nodes), Rate: 2*sent + list,
+		Role: "membership", MessagesPerSecond: 2 * s["membership-messages"].At(f.Nodes),
+		Cores:       s["membership-time"].At(f.Nodes) * secondsPerNanosecond,
+		MemoryBytes: s["membership-memory"].At(f.Nodes), BytesPerSecond: 2*sentBytesPerSecond + listBytesPerSecond,
 	}
 }
 
-// peerExchange is the heartbeats, which carry rate hints only. What is
-// remembered of a peer is a balance for each account hinted at.
-func peerExchange(f Fleet, d Design, s Set) Cost {
+// peerExchangeCost is the cost of heartbeats, which carry only rate hints. A node
+// stores a balance for each peer and account in its hints.
+func peerExchangeCost(f Fleet, d Design, s SlopeSet) Cost {
 	peers := d.HeartbeatPeers
 	if peers == 0 {
 		peers = f.Nodes - 1
 	}
-	hints := math.Min(f.Accounts, d.HeartbeatHints)
-	calls := 2 * peers / d.HeartbeatEvery // made and answered
+	hints := math.Min(f.Accounts, d.HintsPerHeartbeat)
+	callsPerSecond := 2 * peers / d.HeartbeatIntervalSeconds // sent and answered
 	return Cost{
-		Role: "peer exchange", Messages: 2 * calls, Core: calls * s["heartbeat-time"].At(hints) * nanosecond,
-		Memory: peers * hints * s["rate-hint-memory"].PerUnit, Rate: 2 * calls * s["heartbeat-bytes"].At(hints),
+		Role: "peer exchange", MessagesPerSecond: 2 * callsPerSecond, Cores: callsPerSecond * s["heartbeat-time"].At(hints) * secondsPerNanosecond,
+		MemoryBytes: peers * hints * s["rate-hint-memory"].PerUnit, BytesPerSecond: 2 * callsPerSecond * s["heartbeat-bytes"].At(hints),
 	}
 }
 
-func logFollower(f Fleet, d Design, s Set) Cost {
-	received := f.changes() * (1 + d.Relays)
-	starts := f.Replacements / secondsPerDay / f.Nodes * s["config-state"].At(f.Targets)
+func logFollowerCost(f Fleet, d Design, s SlopeSet) Cost {
+	recordsPerSecond := f.changesPerSecond() * (1 + d.RelayFanOut)
+	snapshotBytesPerSecond := f.ReplacementsPerDay / secondsPerDay / f.Nodes * s["config-state"].At(f.Targets)
 	return Cost{
-		Role: "log follower", Messages: received, Core: f.changes() * s["config-fold"].At(f.Targets) * nanosecond,
-		Memory: s["config-memory"].At(f.Targets), Rate: received*s["config-record"].At(changedFileBytes) + 2*starts,
+		Role: "log follower", MessagesPerSecond: recordsPerSecond, Cores: f.changesPerSecond() * s["config-fold"].At(f.Targets) * secondsPerNanosecond,
+		MemoryBytes: s["config-memory"].At(f.Targets), BytesPerSecond: recordsPerSecond*s["config-record"].At(meanChangedFileBytes) + 2*snapshotBytesPerSecond,
 	}
 }
 
-func (f Fleet) renewals(d Design) float64 {
+func (f Fleet) renewalsPerSecond(d Design) float64 {
 	holders := f.Nodes
-	if d.MintSlots > 0 {
-		holders = math.Min(f.Nodes, f.Domains*d.MintSlots)
+	if d.MintSlotsPerDomain > 0 {
+		holders = math.Min(f.Nodes, f.Domains*d.MintSlotsPerDomain)
 	}
-	return holders / d.RenewEvery
+	return holders / d.RenewIntervalSeconds
 }
 
-func leaseHolder(f Fleet, d Design, s Set) Cost {
-	records := f.renewals(d) + 2*f.Replacements/secondsPerDay
+func leaseHolderCost(f Fleet, d Design, s SlopeSet) Cost {
+	recordsPerSecond := f.renewalsPerSecond(d) + 2*f.ReplacementsPerDay/secondsPerDay
 	return Cost{
-		Role: "lease holder", Messages: records, Core: records * s["lease-fold"].PerUnit * nanosecond,
-		Memory: s["lease-memory"].PerUnit * f.Nodes, Rate: records * s["lease-record"].At(1),
+		Role: "lease holder", MessagesPerSecond: recordsPerSecond, Cores: recordsPerSecond * s["lease-fold"].PerUnit * secondsPerNanosecond,
+		MemoryBytes: s["lease-memory"].PerUnit * f.Nodes, BytesPerSecond: recordsPerSecond * s["lease-record"].At(1),
 	}
 }
 
-// inUse is the expected number of accounts with a request at one node within
-// so many seconds, when the n-th account asks in proportion to 1/n.
-func (f Fleet) inUse(seconds float64) float64 {
-	sum, total := 0.0, 0.0
+// activeAccounts returns the expected number of accounts with at least one request
+// at a node within the given time, if the request rate of the n-th account is
+// proportional to 1/n.
+func (f Fleet) activeAccounts(seconds float64) float64 {
+	active, totalWeight := 0.0, 0.0
 	for n := 1.0; n <= f.Accounts; n++ {
-		total += 1 / n
+		totalWeight += 1 / n
 	}
 	for n := 1.0; n <= f.Accounts; n++ {
-		sum += 1 - math.Pow(1-1/n/total, seconds*f.requests())
+		active += 1 - math.Pow(1-1/n/totalWeight, seconds*f.nodeRequestsPerSecond())
 	}
-	return sum
+	return active
 }
 
-// rateShares is the buckets and the transfers between them. A node sends and
-// receives, so each message of the fleet counts twice.
-func rateShares(f Fleet, d Design, s Set) Cost {
-	bytes := s["rate-exchange-bytes"]
-	exchanges := 2 * f.requests() * d.RateMessages / messagesPerExchange
-	accounts := exchanges // one account in each
-	if d.AskEvery > 0 {
-		homes := f.Nodes / f.Domains
-		inUse := f.inUse(d.AskEvery)
-		accounts = 2 * inUse / d.AskEvery
-		exchanges = 2 * homes * (1 - math.Exp(-inUse/homes)) / d.AskEvery
+// rateShareCost is the cost of the token buckets and of moving tokens between
+// nodes. Each message counts twice, for its sender and its receiver.
+func rateShareCost(f Fleet, d Design, s SlopeSet) Cost {
+	bytesSlope := s["rate-exchange-bytes"]
+	exchangesPerSecond := 2 * f.nodeRequestsPerSecond() * d.RateMessagesPerRequest / messagesPerExchange
+	accountsPerSecond := exchangesPerSecond // one account per exchange
+	if d.RateAskIntervalSeconds > 0 {
+		homeNodes := f.Nodes / f.Domains
+		active := f.activeAccounts(d.RateAskIntervalSeconds)
+		accountsPerSecond = 2 * active / d.RateAskIntervalSeconds
+		exchangesPerSecond = 2 * homeNodes * (1 - math.Exp(-active/homeNodes)) / d.RateAskIntervalSeconds
 	}
 	return Cost{
-		Role: "rate shares", Messages: messagesPerExchange * exchanges,
-		Core:   (f.requests()*s["rate-admit"].At(f.Accounts) + exchanges*s["heartbeat-time"].At(accounts/exchanges)) * nanosecond,
-		Memory: s["rate-memory"].At(f.Accounts), Rate: exchanges*bytes.Fixed + accounts*bytes.PerUnit,
+		Role: "rate shares", MessagesPerSecond: messagesPerExchange * exchangesPerSecond,
+		Cores:       (f.nodeRequestsPerSecond()*s["rate-admit"].At(f.Accounts) + exchangesPerSecond*s["heartbeat-time"].At(accountsPerSecond/exchangesPerSecond)) * secondsPerNanosecond,
+		MemoryBytes: s["rate-memory"].At(f.Accounts), BytesPerSecond: exchangesPerSecond*bytesSlope.Fixed + accountsPerSecond*bytesSlope.PerUnit,
 	}
 }
 
-// claims is the fold of the streams that a node follows and the appends of its
-// own requests.
-func claims(f Fleet, d Design, s Set) Cost {
-	requests := f.bookings() / d.ClaimStreams
-	own := f.bookings() / f.Nodes
-	keys := f.bookings() * d.ClaimWindow
-	if d.ClaimCopies > 0 {
-		keys *= d.ClaimCopies / f.Nodes
+// claimCost is the cost of following the node's share of the claim streams and of
+// appending records for its own requests.
+func claimCost(f Fleet, d Design, s SlopeSet) Cost {
+	followedPerSecond := f.bookingsPerSecond() / d.ClaimStreams
+	ownPerSecond := f.bookingsPerSecond() / f.Nodes
+	keys := f.bookingsPerSecond() * d.ClaimRetentionSeconds
+	if d.ClaimReplicas > 0 {
+		keys *= d.ClaimReplicas / f.Nodes
 	}
 	return Cost{
-		Role: "claims", Messages: recordsPerBooking * (requests + own), Core: requests * s["claim-fold"].PerUnit * nanosecond,
-		Memory: math.Min(keys, d.ClaimKeys) * s["claim-memory"].PerUnit, Rate: (requests + own) * s["claim-bytes"].PerUnit,
+		Role: "claims", MessagesPerSecond: recordsPerBooking * (followedPerSecond + ownPerSecond), Cores: followedPerSecond * s["claim-fold"].PerUnit * secondsPerNanosecond,
+		MemoryBytes: math.Min(keys, d.MaxClaimKeys) * s["claim-memory"].PerUnit, BytesPerSecond: (followedPerSecond + ownPerSecond) * s["claim-bytes"].PerUnit,
 	}
 }
 
-// trailEntries is the bound of the trail kept in the configuration's state.
-const trailEntries = 512
+// maxAuditEntries is the maximum length of the audit trail in the configuration
+// state.
+const maxAuditEntries = 512
 
-func auditTrail(f Fleet, s Set) Cost {
+func auditCost(f Fleet, s SlopeSet) Cost {
 	return Cost{
-		Role: "audit", Core: f.changes() * s["audit-append"].At(trailEntries) * nanosecond,
-		Memory: s["audit-bytes"].At(trailEntries),
+		Role: "audit", Cores: f.changesPerSecond() * s["audit-append"].At(maxAuditEntries) * secondsPerNanosecond,
+		MemoryBytes: s["audit-bytes"].At(maxAuditEntries),
 	}
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -12,95 +12,96 @@
 )
 
 //go:embed slopes.json
-var measured []byte
+var slopesJSON []byte
 
-// runs holds slopes from the packages' own tests and benchmarks: samples and
-// commands as they were printed; the lines are fitted here.
+// runsJSON holds the slopes that tests and benchmarks of other packages printed,
+// with samples and commands but without the fitted lines.
 //
 //go:embed runs.json
-var runs []byte
+var runsJSON []byte
 
-// Load reads the measured slopes.
-func Load() ([]slopes.Slope, Set, error) {
-	var list []slopes.Slope
-	if err := json.Unmarshal(measured, &list); err != nil {
+// LoadSlopes returns the measured slopes as a list in file order and by name.
+func LoadSlopes() ([]slopes.Slope, SlopeSet, error) {
+	var all []slopes.Slope
+	if err := json.Unmarshal(slopesJSON, &all); err != nil {
 		return nil, nil, errors.Wrap(err, "decode slopes.json")
 	}
-	var printed []slopes.Slope
-	if err := json.Unmarshal(runs, &printed); err != nil {
+	var fromRuns []slopes.Slope
+	if err := json.Unmarshal(runsJSON, &fromRuns); err != nil {
 		return nil, nil, errors.Wrap(err, "decode runs.json")
 	}
-	for i := range printed {
-		printed[i].Fit()
+	for i := range fromRuns {
+		fromRuns[i].Fit()
 	}
-	list = append(list, printed...)
-	set := Set{}
-	for _, s := range list {
+	all = append(all, fromRuns...)
+	set := SlopeSet{}
+	for _, s := range all {
 		set[s.Name] = s
 	}
-	return list, set, nil
+	return all, set, nil
 }
 
-// Tables are the generated parts of the page, in Markdown.
+// Tables returns the generated parts of docs/CAPACITY.md in Markdown.
 func Tables() (string, error) {
-	list, set, err := Load()
+	list, set, err := LoadSlopes()
 	if err != nil {
 		return "", err
 	}
 	var b strings.Builder
 	b.WriteString("### Costs of one node\n\n")
-	writeCosts(&b, Today(), set, AsBuilt())
-	writeCosts(&b, Target(), set, AsBuilt(), ForTarget())
+	writeCostTable(&b, CurrentFleet(), set, CurrentDesign())
+	writeCostTable(&b, RequiredFleet(), set, CurrentDesign(), PlannedDesign())
 	b.WriteString("### Hard points at the target's size\n\n| question | answer |\n| --- | --- |\n")
-	for _, p := range Points(Target(), set) {
+	for _, p := range Estimates(RequiredFleet(), set) {
 		fmt.Fprintf(&b, "| %s | %s |\n", p.Question, p.Answer)
 	}
 	b.WriteString("\n### Slopes\n\n")
-	writeSlopes(&b, list)
+	writeSlopeTable(&b, list)
 	return b.String(), nil
 }
 
-// writeCosts writes one table of a size, with a row for each role and design.
-func writeCosts(b *strings.Builder, f Fleet, s Set, designs ...Design) {
+// writeCostTable writes the table of one fleet size with a row for each role and
+// design.
+func writeCostTable(b *strings.Builder, f Fleet, s SlopeSet, designs ...Design) {
 	fmt.Fprintf(b, "%s: %.0f nodes, %.0f targets, %.0f requests/s\n\n", f.Name, f.Nodes, f.Targets, f.RequestsPerSecond)
 	b.WriteString("| role | | messages/s | % of a core | memory | bytes/s | over budget |\n| --- | --- | ---: | ---: | ---: | ---: | --- |\n")
 	var costs [][]Cost
 	for _, d := range designs {
-		list := Costs(f, d, s)
-		costs = append(costs, append(list, Control(list)))
+		list := RoleCosts(f, d, s)
+		costs = append(costs, append(list, ControlTotal(list)))
 	}
 	for role := range costs[0] {
 		for i, d := range designs {
-			writeCost(b, costs[i][role], d, role > 0)
+			writeCostRow(b, costs[i][role], d, role > 0)
 		}
 	}
 	b.WriteString("\n")
 }
 
-func writeCost(b *strings.Builder, c Cost, d Design, control bool) {
+func writeCostRow(b *strings.Builder, c Cost, d Design, control bool) {
 	over := ""
 	if control {
-		over = ControlBudget().exceeded(c)
+		over = ControlBudget().exceededResources(c)
 	}
-	fmt.Fprintf(b, "| %s | %s | %.4g | %.3g | %s | %s | %s |\n", c.Role, d.Name, c.Messages, 100*c.Core, size(c.Memory), size(c.Rate), over)
+	fmt.Fprintf(b, "| %s | %s | %.4g | %.3g | %s | %s | %s |\n", c.Role, d.Name, c.MessagesPerSecond, 100*c.Cores, formatBytes(c.MemoryBytes), formatBytes(c.BytesPerSecond), over)
 }
 
-// exceeded names what a cost has over the budget.
-func (b Budget) exceeded(c Cost) string {
+// exceededResources lists the resources of which a cost exceeds the budget.
+func (b Budget) exceededResources(c Cost) string {
 	var over []string
-	if c.Core > b.Core {
+	if c.Cores > b.Cores {
 		over = append(over, "core")
 	}
-	if c.Memory > b.Memory {
+	if c.MemoryBytes > b.MemoryBytes {
 		over = append(over, "memory")
 	}
-	if c.Rate > b.Rate {
+	if c.BytesPerSecond > b.BytesPerSecond {
 		over = append(over, "bytes/s")
 	}
 	return strings.Join(over, ", ")
 }
 
-func writeSlopes(b *strings.Builder, list []slopes.Slope) {
+func writeSlopeTable(b *strings.Builder, list []slopes.Slope) {
 	b.WriteString("| slope | varied | measured | raw figures (size: value) | a unit more | fixed | R2 |\n| --- | --- | --- | --- | ---: | ---: | ---: |\n")
 	for _, s := range list {
 		var raw []string
--- a/internal/capacity/tables_test.go
+++ b/internal/capacity/tables_test.go
@@ -15,24 +15,24 @@
 	end   = "<!-- generated: end -->\n"
 )
 
-// Someone measures the slopes again, or changes the arithmetic, and leaves the
-// page as it is: its figures would be those of another program.
-func TestPageHoldsWhatIsComputed(t *testing.T) {
+// If the slopes are measured again or a formula changes and the page isn't
+// regenerated, its figures no longer match the code.
+func TestPageMatchesGeneratedTables(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile(page)
 	is.NoErr(err)
 	want, err := Tables()
 	is.NoErr(err)
-	is.Equal(strings.Join(generated(t, string(text)), "\n\n"), strings.TrimSpace(want))
+	is.Equal(strings.Join(generatedParts(t, string(text)), "\n\n"), strings.TrimSpace(want))
 }
 
-// generated are the marked parts of the page, in order.
-func generated(t *testing.T, text string) []string {
+// generatedParts returns the parts of the page between the markers, in order.
+func generatedParts(t *testing.T, text string) []string {
 	var parts []string
 	for _, after := range strings.Split(text, begin)[1:] {
 		part, _, found := strings.Cut(after, end)
 		if !found {
-			t.Fatal("a generated part does not end")
+			t.Fatal("generated part has no end marker")
 		}
 		parts = append(parts, strings.TrimSpace(part))
 	}
@@ -41,7 +41,7 @@
 
 func TestSlopesHaveFourSizes(t *testing.T) {
 	is := is.New(t)
-	list, set, err := Load()
+	list, set, err := LoadSlopes()
 	is.NoErr(err)
 	is.Equal(len(list), len(set))
 	for _, s := range list {
@@ -49,21 +49,21 @@
 	}
 }
 
-// The arithmetic on figures that can be worked out by hand.
-func TestCostsFollowFleet(t *testing.T) {
+// Checks the formulas with results that can be calculated by hand.
+func TestCostsMatchHandCalculation(t *testing.T) {
 	is := is.New(t)
-	f, d := Target(), AsBuilt()
-	_, set, err := Load()
+	f, d := RequiredFleet(), CurrentDesign()
+	_, set, err := LoadSlopes()
 	is.NoErr(err)
-	costs := Costs(f, d, set)
-	is.Equal(costs[1].Messages, 40000.0) // 10,000 targets, four times a second
-	is.Equal(f.requests(), 50.0)
-	is.Equal(f.renewals(Design{RenewEvery: 3}), 800.0) // 2,400 holders, each every 3 s
-	is.Equal(f.renewals(d), 22./3)                     // 11 domains with 2 slots
-	is.Equal(f.renewals(ForTarget()), 22./3)
-	is.Equal(claims(f, d, set).Rate, 1200.5*441)                 // all requests' records, and the own ones sent
-	is.Equal(math.Round(rateShares(f, d, set).Messages), 1851.0) // 50 requests x 18.51 messages, sent and received
-	is.Equal(rateShares(f, d, set).Rate > ControlBudget().Rate, true)
-	is.Equal(math.Round(f.openStreams()), 431.0) // 50 x (0.62 s + 258.3 tokens x 31 ms)
-	is.Equal(ControlBudget().exceeded(Cost{Core: 0.02, Memory: 1, Rate: 30e3}), "core, bytes/s")
+	costs := RoleCosts(f, d, set)
+	is.Equal(costs[1].MessagesPerSecond, 40000.0) // 10,000 targets, four times a second
+	is.Equal(f.nodeRequestsPerSecond(), 50.0)
+	is.Equal(f.renewalsPerSecond(Design{RenewIntervalSeconds: 3}), 800.0) // 2,400 holders, each every 3 s
+	is.Equal(f.renewalsPerSecond(d), 22./3)                               // 11 domains with 2 slots
+	is.Equal(f.renewalsPerSecond(PlannedDesign()), 22./3)
+	is.Equal(claimCost(f, d, set).BytesPerSecond, 1200.5*441)                // records of all requests, plus the node's own
+	is.Equal(math.Round(rateShareCost(f, d, set).MessagesPerSecond), 1851.0) // 50 requests x 18.51 messages, sent and received
+	is.Equal(rateShareCost(f, d, set).BytesPerSecond > ControlBudget().BytesPerSecond, true)
+	is.Equal(math.Round(f.openStreamsPerNode()), 431.0) // 50 x (0.62 s + 258.3 tokens x 31 ms)
+	is.Equal(ControlBudget().exceededResources(Cost{Cores: 0.02, MemoryBytes: 1, BytesPerSecond: 30e3}), "core, bytes/s")
 }
