--- a/internal/wholepath/doc.go
+++ b/internal/wholepath/doc.go
@@ -1,4 +1,4 @@
-// Package wholepath holds tests that run the system as separate processes over
-// real sockets: what only real signals, connections and restarts can show.
-// Their verdicts wait for conditions and never compare times.
+// Package wholepath contains end-to-end tests that run the system as separate
+// processes with real sockets, signals and restarts. The tests wait for conditions
+// and never assert on durations.
 package wholepath
--- a/internal/wholepath/fault_test.go
+++ b/internal/wholepath/fault_test.go
@@ -10,138 +10,138 @@
 	"github.com/matryer/is"
 )
 
-// An engine freezes while it streams: its connections stay open and nothing
-// comes. Callers see whole answers: the router finds that the engine answers
-// no questions and takes the streams up elsewhere.
+// An engine freezes during streams: its connections stay open but carry no more
+// data. Callers still get complete answers, since the router detects that the engine
+// doesn't respond and resumes the streams on other engines.
 func TestStreamsSurviveFrozenEngine(t *testing.T) {
-	f := newFleet(t, shape{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
-	f.stream(24, 60, func() {
-		f.wait("engine0 runs streams", func() bool { return f.running("engine0") > 0 })
-		f.fault("engine0", `{"kind":"freeze"}`)
+	f := newFleet(t, fleetSpec{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
+	f.checkStreams(24, 60, func() {
+		f.waitFor("engine0 runs streams", func() bool { return f.runningStreams("engine0") > 0 })
+		f.injectFault("engine0", `{"kind":"freeze"}`)
 	})
 }
 
-// The log answers every call late. Chats are answered, a booking that is sent
-// twice runs once at most and its refusals are true, and a change of the
-// configuration comes into force everywhere.
-func TestSlowLogDelaysOnly(t *testing.T) {
-	f := newFleet(t, shape{entries: 3, engines: 2, services: 2})
-	f.fault("log", `{"kind":"slow","ms":400}`)
-	f.stream(6, 5, func() {})
+// With a slow log, chats are answered, a booking that is sent several times runs
+// at most once and is never falsely reported as not run, and a configuration change
+// takes effect on all instances.
+func TestSlowLogCausesNoErrors(t *testing.T) {
+	f := newFleet(t, fleetSpec{entries: 3, engines: 2, services: 2})
+	f.injectFault("log", `{"kind":"slow","ms":400}`)
+	f.checkStreams(6, 5, func() {})
 	for i := range 6 {
-		answers := f.book(i)
-		f.checkBooking(i, f.runs(2)[bookingKey(i)], answers)
-		f.wait("the booking is confirmed", func() bool {
+		responses := f.bookFourTimes(i)
+		f.checkBooking(i, f.runCounts(2)[bookingKey(i)], responses)
+		f.waitFor("the booking is confirmed", func() bool {
 			return f.send("entry0", "office", "/bookings", fmt.Sprintf(`{"seat":%d}`, i), "Idempotency-Key", bookingKey(i)).status == http.StatusOK
 		})
 	}
-	for key, n := range f.runs(2) {
+	for key, n := range f.runCounts(2) {
 		if n != 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	f.republish("tokens-per-second = 10000000", "tokens-per-second = 9000000")
-	f.wait("the change is in force everywhere", func() bool { return f.rateInForce(f.entries) == 9_000_000 })
+	f.replaceAndPublish("tokens-per-second = 10000000", "tokens-per-second = 9000000")
+	f.waitFor("the change is in force everywhere", func() bool { return f.accountRateInForce(f.entries) == 9_000_000 })
 }
 
-// logStart is the offset of the oldest record that the log has kept.
-func (f *fleet) logStart(stream string) int64 {
+// oldestLogOffset returns the offset of the oldest record that the log retains.
+func (f *fleet) oldestLogOffset(stream string) int64 {
 	var ans struct {
 		Start int64 `json:"start"`
 	}
-	f.get("log", "/v1/streams/"+stream+"/records?from=0", &ans)
+	f.getJSON("log", "/v1/streams/"+stream+"/records?from=0", &ans)
 	return ans.Start
 }
 
-// The log keeps few records, so those of the leases and of the configuration
-// from the start are gone when instances are restarted: first those that mint
-// nothing, then one that does. They have the configuration from a snapshot or a
-// peer. None takes a slot of the rates that another holds, although the records
-// that say so are gone.
-func TestTrimmedLogIsNoReset(t *testing.T) {
+// The log retains only 12 records, so the first lease and configuration records are
+// trimmed before instances are restarted: first those that don't mint, then one that
+// does. They restore the configuration from a snapshot or a peer, and none acquires
+// a mint slot that another instance holds, although the record of its acquisition is
+// gone.
+func TestRestartAfterLogTrimKeepsState(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, shape{entries: 6, engines: 2, logFlags: []string{"--retain-records", "12"}})
-	f.tool("keys", "create", "--as", "tester", "--account", "office", "second-key")
-	f.logMovesOn(t)
-	before, _ := f.state("entry0")
-	minter, idle := f.minter()
-	idle = slices.DeleteFunc(idle, func(e string) bool { s, _ := f.state(e); return s.RateShare > 0 })
-	is.True(len(idle) > 0)
-	for _, e := range append(idle, minter) {
+	f := newFleet(t, fleetSpec{entries: 6, engines: 2, logFlags: []string{"--retain-records", "12"}})
+	f.runTool("keys", "create", "--as", "tester", "--account", "office", "second-key")
+	f.waitForLogTrim(t)
+	before, _ := f.readAdminState("entry0")
+	minting, nonMinting := f.findMinter()
+	nonMinting = slices.DeleteFunc(nonMinting, func(e string) bool { s, _ := f.readAdminState(e); return s.RateShare > 0 })
+	is.True(len(nonMinting) > 0)
+	for _, e := range append(nonMinting, minting) {
 		f.procs[e].kill()
-		f.procs[e].begin()
-		f.wait(e+" is ready", func() bool { return f.ready(e) })
-		after, _ := f.state(e)
-		is.True(after.Revision >= before.Revision) // the configuration went back
+		f.procs[e].start()
+		f.waitFor(e+" is ready", func() bool { return f.isReady(e) })
+		after, _ := f.readAdminState(e)
+		is.True(after.Revision >= before.Revision) // the configuration was reverted
 	}
-	f.logMovesOn(t)
-	f.neverMintsTwice(0.99)
-	f.stream(12, 5, func() {})
+	f.waitForLogTrim(t)
+	f.checkMintingUntil(0.99)
+	f.checkStreams(12, 5, func() {})
 }
 
-// logMovesOn waits until no record of the leases is left that is in the log
-// now, and fails when a slot is minted for twice meanwhile.
-func (f *fleet) logMovesOn(t *testing.T) {
+// waitForLogTrim waits until all records now in the control stream are trimmed. It
+// fails if two instances mint for the same slot in the meantime.
+func (f *fleet) waitForLogTrim(t *testing.T) {
 	t.Helper()
-	was := f.logStart("control")
-	f.wait("the lease records are trimmed", func() bool {
-		if f.overMinted() {
+	before := f.oldestLogOffset("control")
+	f.waitFor("the lease records are trimmed", func() bool {
+		if f.mintsTooMuch() {
 			t.Fatal("the instances mint more than the whole rate together")
 		}
-		return f.logStart("control") > was+12
+		return f.oldestLogOffset("control") > before+12
 	})
 }
 
-// confirms sends a booking again and reports whether the answer is the one from
-// before.
-func (f *fleet) confirms(entry string, i int, body string) bool {
+// repeatsConfirmation retries a booking and reports whether the response equals the
+// given one.
+func (f *fleet) repeatsConfirmation(entry string, i int, body string) bool {
 	a := f.send(entry, "office", "/bookings", fmt.Sprintf(`{"seat":%d}`, i), "Idempotency-Key", bookingKey(i))
 	return a.status == http.StatusOK && a.body == body
 }
 
-// The platform is down and every instance is restarted meanwhile, so nobody
-// has a configuration. Requests are refused, truly not run. When the platform
-// is back the configuration is the one from before, and a repeat of a booking
-// that was confirmed before gets that confirmation and does not run again.
-func TestHerdRestartWhilePlatformIsDown(t *testing.T) {
+// Every instance is restarted while the platform is down, so none has a
+// configuration. Requests are refused and not run. Once the platform is back, the
+// instances restore the previous configuration or a newer one, and a retry of a
+// booking that was confirmed before gets that confirmation and doesn't run again.
+func TestSimultaneousRestartDuringPlatformOutage(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, shape{entries: 3, engines: 2, services: 2})
-	before, _ := f.state("entry0")
+	f := newFleet(t, fleetSpec{entries: 3, engines: 2, services: 2})
+	before, _ := f.readAdminState("entry0")
 	booked := f.send("entry0", "office", "/bookings", `{"seat":0}`, "Idempotency-Key", bookingKey(0))
 	is.Equal(booked.status, http.StatusOK)
-	f.wait("the answer is recorded", func() bool { return f.confirms("entry1", 0, booked.body) })
-	f.fault("log", `{"kind":"outage"}`)
-	f.fault("instances", `{"kind":"outage"}`)
+	f.waitFor("the answer is recorded", func() bool { return f.repeatsConfirmation("entry1", 0, booked.body) })
+	f.injectFault("log", `{"kind":"outage"}`)
+	f.injectFault("instances", `{"kind":"outage"}`)
 	for _, e := range f.entries {
 		f.procs[e].kill()
 	}
 	for _, e := range f.entries {
-		f.procs[e].begin()
+		f.procs[e].start()
 	}
 	for i, e := range f.entries {
-		f.wait(e+" listens", func() bool { return f.listens(e) })
+		f.waitFor(e+" listens", func() bool { return f.isListening(e) })
 		a := f.send(e, "office", "/bookings", `{"seat":1}`, "Idempotency-Key", bookingKey(1+i))
 		is.Equal(a.status, http.StatusServiceUnavailable)
 		is.Equal(a.outcome, "not_run")
 	}
-	is.Equal(len(f.runs(2)), 1) // a refused booking ran
-	f.fault("log", `{"kind":"none"}`)
-	f.fault("instances", `{"kind":"none"}`)
+	is.Equal(len(f.runCounts(2)), 1) // a refused booking ran
+	f.injectFault("log", `{"kind":"none"}`)
+	f.injectFault("instances", `{"kind":"none"}`)
 	for _, e := range f.entries {
-		f.wait(e+" is ready", func() bool { return f.ready(e) })
-		after, _ := f.state(e)
+		f.waitFor(e+" is ready", func() bool { return f.isReady(e) })
+		after, _ := f.readAdminState(e)
 		is.True(after.Revision >= before.Revision)
 	}
-	f.neverMintsTwice(0.99)
-	f.wait("the repeat is answered", func() bool { return f.confirms("entry1", 0, booked.body) })
-	is.Equal(f.runs(2)[bookingKey(0)], 1)
-	f.stream(6, 5, func() {})
+	f.checkMintingUntil(0.99)
+	f.waitFor("the retry is answered", func() bool { return f.repeatsConfirmation("entry1", 0, booked.body) })
+	is.Equal(f.runCounts(2)[bookingKey(0)], 1)
+	f.checkStreams(6, 5, func() {})
 }
 
-// Requests that cannot be served are refused with their status and code, and
-// the refusal says that they have not run. None reaches a target.
-func TestRefusalsSayNotRun(t *testing.T) {
-	f := newFleet(t, shape{entries: 3, engines: 1, services: 1, entryFlags: []string{"--max-body-bytes", "4096"}})
+// Requests that can't be served are refused with the right status and code and marked
+// as not run. None reaches a target.
+func TestRefusalsAreMarkedNotRun(t *testing.T) {
+	f := newFleet(t, fleetSpec{entries: 3, engines: 1, services: 1, entryFlags: []string{"--max-body-bytes", "4096"}})
 	f.keys["stranger"], f.keys["nobody"] = "mt-no-such-key", ""
 	large := chatBody(strings.Repeat("x", 5000), 2)
 	for _, x := range []struct {
@@ -168,6 +168,6 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(len(f.runs(1)), 0)
-	is.Equal(f.attempts("engine0"), int64(0))
+	is.Equal(len(f.runCounts(1)), 0)
+	is.Equal(f.cacheEventCount("engine0"), int64(0))
 }
--- a/internal/wholepath/fleet_test.go
+++ b/internal/wholepath/fleet_test.go
@@ -19,11 +19,11 @@
 	"github.com/mastictray/mastictray/internal/keys"
 )
 
-// patience bounds every wait for a condition. It is far above what any
-// condition takes, so that a busy machine does not change a verdict.
-const patience = 30 * time.Second
+// waitTimeout limits every wait for a condition. It is much longer than any condition
+// takes, so that tests don't fail on a busy machine.
+const waitTimeout = 30 * time.Second
 
-var binaries string
+var binaryDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -35,7 +35,7 @@
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	binaries = dir
+	binaryDir = dir
 	build := exec.Command("go", "build", "-o", dir, "../../cmd/mastictray", "../../cmd/mastictray-entry", "../../cmd/mastictray-standin")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintln(os.Stderr, string(out))
@@ -44,13 +44,13 @@
 	return m.Run()
 }
 
-// process is one process of the fleet.
+// process is one process of the fleet. It can be restarted.
 type process struct {
-	t    testing.TB
-	name string
-	args []string
-	log  string
-	cmd  *exec.Cmd
+	t       testing.TB
+	name    string
+	args    []string
+	logPath string
+	cmd     *exec.Cmd
 }
 
 // fleet is a running deployment: the platform's stand-ins, targets and entry
@@ -63,24 +63,25 @@
 	procs   map[string]*process
 	entries []string
 	engines []string
-	// keys by account.
+	// keys maps accounts to their API keys.
 	keys map[string]string
 }
 
-// shape is what a test wants to run.
-type shape struct {
+// fleetSpec describes the fleet that a test needs.
+type fleetSpec struct {
 	entries, engines, services int
-	// engineFlags go to every engine.
+	// engineFlags are passed to every engine.
 	engineFlags []string
-	// route is added to the section of the booking route.
-	route string
-	// accounts by name: rate and burst in tokens.
+	// bookingRouteConfig is appended to the configuration section of the booking
+	// route.
+	bookingRouteConfig string
+	// accounts maps names to rate and burst in tokens.
 	accounts map[string][2]int
-	// logFlags go to the log service, entryFlags to every instance.
+	// logFlags are passed to the log service, entryFlags to every entry instance.
 	logFlags, entryFlags []string
 }
 
-func newFleet(t testing.TB, s shape) *fleet {
+func newFleet(t testing.TB, s fleetSpec) *fleet {
 	t.Helper()
 	if test, ok := t.(*testing.T); ok {
 		test.Parallel()
@@ -93,39 +94,39 @@
 		s.accounts = map[string][2]int{"office": {10_000_000, 10_000_000}}
 	}
 	f.must(os.WriteFile(filepath.Join(f.dir, "secret"), []byte("a secret of the whole fleet"), 0o600))
-	f.start("log", append([]string{"mastictray-standin", "log", "--listen", f.addr("log")}, s.logFlags...)...)
-	f.start("instances", "mastictray-standin", "instances", "--listen", f.addr("instances"))
+	f.startProcess("log", append([]string{"mastictray-standin", "log", "--listen", f.addressOf("log")}, s.logFlags...)...)
+	f.startProcess("instances", "mastictray-standin", "instances", "--listen", f.addressOf("instances"))
 	f.startTargets(s)
-	f.config(s)
-	f.wait("log listens", func() bool { return f.listens("log") })
+	f.writeConfig(s)
+	f.waitFor("log listens", func() bool { return f.isListening("log") })
 	f.publish()
 	for i := range s.entries {
 		f.startEntry(fmt.Sprintf("entry%d", i), f.domains[i%len(f.domains)], s)
 	}
 	for _, name := range f.entries {
-		f.wait(name+" is ready", func() bool { return f.ready(name) })
+		f.waitFor(name+" is ready", func() bool { return f.isReady(name) })
 	}
-	f.wait("all mint slots are held", func() bool { return f.share(f.entries) > 0.99 })
+	f.waitFor("all mint slots are held", func() bool { return f.totalRateShare(f.entries) > 0.99 })
 	return f
 }
 
-func (f *fleet) startTargets(s shape) {
+func (f *fleet) startTargets(s fleetSpec) {
 	for i := range s.engines {
 		name := fmt.Sprintf("engine%d", i)
 		f.engines = append(f.engines, name)
-		args := []string{"mastictray-standin", "engine", "--listen", f.addr(name), "--model", "m", "--seed", fmt.Sprint(i + 1)}
-		f.start(name, append(args, s.engineFlags...)...)
-		f.wait(name+" listens", func() bool { return f.listens(name) })
+		args := []string{"mastictray-standin", "engine", "--listen", f.addressOf(name), "--model", "m", "--seed", fmt.Sprint(i + 1)}
+		f.startProcess(name, append(args, s.engineFlags...)...)
+		f.waitFor(name+" listens", func() bool { return f.isListening(name) })
 	}
 	for i := range s.services {
 		name := fmt.Sprintf("service%d", i)
-		f.start(name, "mastictray-standin", "service", "--listen", f.addr(name), "--name", name)
-		f.wait(name+" listens", func() bool { return f.listens(name) })
+		f.startProcess(name, "mastictray-standin", "service", "--listen", f.addressOf(name), "--name", name)
+		f.waitFor(name+" listens", func() bool { return f.isListening(name) })
 	}
 }
 
-// config writes the configuration files of the deployment.
-func (f *fleet) config(s shape) {
+// writeConfig writes the configuration files of the deployment.
+func (f *fleet) writeConfig(s fleetSpec) {
 	var b strings.Builder
 	for name, limits := range s.accounts {
 		key, hash, err := keys.New(strings.NewReader(strings.Repeat(name, 64)))
@@ -137,54 +138,55 @@
 	b.WriteString("[model \"m\"]\nversion = 1\n[pool \"p\"]\nkind = engine\nmodel = m\nprefill-tokens-per-second = 40000\n")
 	b.WriteString("[route \"chat\"]\npath = /v1/chat/completions\npool = p\nidempotent = yes\ndeadline = 30s\n")
 	b.WriteString("[pool \"s\"]\nkind = service\nmax-concurrent = 64\n")
-	fmt.Fprintf(&b, "[route \"book\"]\npath = /bookings\npool = s\nidempotent = no\ndeadline = 10s\n%s\n", s.route)
+	fmt.Fprintf(&b, "[route \"book\"]\npath = /bookings\npool = s\nidempotent = no\ndeadline = 10s\n%s\n", s.bookingRouteConfig)
 	for i := range s.engines {
-		f.target(&b, fmt.Sprintf("engine%d", i), "p", i)
+		f.writeTarget(&b, fmt.Sprintf("engine%d", i), "p", i)
 	}
 	for i := range s.services {
-		f.target(&b, fmt.Sprintf("service%d", i), "s", i)
+		f.writeTarget(&b, fmt.Sprintf("service%d", i), "s", i)
 	}
 	f.must(os.MkdirAll(filepath.Join(f.dir, "config"), 0o700))
 	f.must(os.WriteFile(filepath.Join(f.dir, "config", "all.ini"), []byte(b.String()), 0o600))
 }
 
-func (f *fleet) target(b *strings.Builder, name, pool string, i int) {
-	fmt.Fprintf(b, "[target %q]\naddress = %s\ndomain = %s\npool = %s\n", name, f.addr(name), f.domains[i%len(f.domains)], pool)
+func (f *fleet) writeTarget(b *strings.Builder, name, pool string, i int) {
+	fmt.Fprintf(b, "[target %q]\naddress = %s\ndomain = %s\npool = %s\n", name, f.addressOf(name), f.domains[i%len(f.domains)], pool)
 }
 
-func (f *fleet) startEntry(name, domain string, s shape) {
+func (f *fleet) startEntry(name, domain string, s fleetSpec) {
 	f.entries = append(f.entries, name)
 	var peers []string
 	for i := range s.entries {
-		peers = append(peers, f.addr(fmt.Sprintf("entry%d.peer", i)))
+		peers = append(peers, f.addressOf(fmt.Sprintf("entry%d.peer", i)))
 	}
 	args := []string{
 		"mastictray-entry", "--instance-id", name, "--domain", domain,
-		"--caller-listen", f.addr(name), "--peer-listen", f.addr(name + ".peer"), "--admin-listen", f.addr(name + ".admin"),
-		"--log-url", "http://" + f.addr("log"), "--instances-url", "http://" + f.addr("instances"),
+		"--caller-listen", f.addressOf(name), "--peer-listen", f.addressOf(name + ".peer"), "--admin-listen", f.addressOf(name + ".admin"),
+		"--log-url", "http://" + f.addressOf("log"), "--instances-url", "http://" + f.addressOf("instances"),
 		"--peers", strings.Join(peers, ","), "--peer-secret-file", filepath.Join(f.dir, "secret"),
 		"--fleet-domains", strings.Join(f.domains, ","), "--mint-slots", "1", "--balancer-lag", "100ms",
 	}
-	f.start(name, append(args, s.entryFlags...)...)
+	f.startProcess(name, append(args, s.entryFlags...)...)
 }
 
-// nextPort hands out ports below the range from which the kernel takes those
-// of outgoing connections: a port from that range may be taken again before
-// its process listens. Runs of two checkouts at once begin at other ports, for
-// the same reason.
+// nextPort allocates ports below the kernel's ephemeral range: an outgoing connection
+// could take a port from that range before its process listens on it. Each test
+// process starts at a different port, so that concurrent runs in two checkouts don't
+// take each other's ports.
 var nextPort atomic.Int32
 
 const (
-	firstPort, ports = 12000, 18000
-	portsOfRun       = 900
+	firstPort, portCount = 12000, 18000
+	portsPerRun          = 900
 )
 
-func init() { nextPort.Store(int32(os.Getpid() * portsOfRun % ports)) }
+func init() { nextPort.Store(int32(os.Getpid() * portsPerRun % portCount)) }
 
-// addr is the address of a name, chosen when first asked for.
-func (f *fleet) addr(name string) string {
+// addressOf returns the address of a process or listener, which is allocated on
+// first use.
+func (f *fleet) addressOf(name string) string {
 	for f.ports[name] == 0 {
-		port := firstPort + int(nextPort.Add(1))%ports
+		port := firstPort + int(nextPort.Add(1))%portCount
 		if l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
 			f.ports[name] = port
 			f.must(l.Close())
@@ -193,34 +195,34 @@
 	return fmt.Sprintf("127.0.0.1:%d", f.ports[name])
 }
 
-func (f *fleet) start(name string, args ...string) {
+func (f *fleet) startProcess(name string, args ...string) {
 	f.t.Helper()
-	p := &process{t: f.t, name: name, args: args, log: filepath.Join(f.dir, name+".log")}
+	p := &process{t: f.t, name: name, args: args, logPath: filepath.Join(f.dir, name+".log")}
 	f.procs[name] = p
-	p.begin()
+	p.start()
 	f.t.Cleanup(func() {
 		p.kill()
 		if f.t.Failed() {
-			raw, _ := os.ReadFile(p.log)
-			f.t.Logf("--- %s\n%s", name, tail(raw, 3000))
+			raw, _ := os.ReadFile(p.logPath)
+			f.t.Logf("--- %s\n%s", name, lastBytes(raw, 3000))
 		}
 	})
 }
 
-func (p *process) begin() {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (p *process) start() {
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer out.Close()
-	p.cmd = exec.Command(filepath.Join(binaries, p.args[0]), p.args[1:]...)
+	p.cmd = exec.Command(filepath.Join(binaryDir, p.args[0]), p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// kill ends the process at once, as a crash does.
+// kill ends the process with SIGKILL, which simulates a crash.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
@@ -228,7 +230,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-func tail(raw []byte, n int) []byte { return raw[max(0, len(raw)-n):] }
+func lastBytes(raw []byte, n int) []byte { return raw[max(0, len(raw)-n):] }
 
 func (f *fleet) must(err error) {
 	f.t.Helper()
@@ -237,28 +239,28 @@
 	}
 }
 
-// wait waits for a condition.
-func (f *fleet) wait(what string, cond func() bool) {
+// waitFor polls a condition until it holds and fails the test after waitTimeout.
+func (f *fleet) waitFor(description string, cond func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if cond() {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.t.Fatalf("gave up waiting: %s", what)
+	f.t.Fatalf("timed out waiting for: %s", description)
 }
 
-func (f *fleet) listens(name string) bool {
-	c, err := net.Dial("tcp", f.addr(name))
+func (f *fleet) isListening(name string) bool {
+	c, err := net.Dial("tcp", f.addressOf(name))
 	if err == nil {
 		c.Close()
 	}
 	return err == nil
 }
 
-func (f *fleet) ready(entry string) bool {
-	resp, err := http.Get("http://" + f.addr(entry+".admin") + "/readyz")
+func (f *fleet) isReady(entry string) bool {
+	resp, err := http.Get("http://" + f.addressOf(entry+".admin") + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -266,8 +268,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// entryState is the part of the admin API's state that tests look at.
-type entryState struct {
+// adminState is the part of the admin API's state that the tests use.
+type adminState struct {
 	Revision  int64   `json:"revision"`
 	RateShare float64 `json:"rate_share"`
 	Poison    struct {
@@ -284,8 +286,8 @@
 	} `json:"targets"`
 }
 
-func (f *fleet) state(entry string) (s entryState, ok bool) {
-	resp, err := http.Get("http://" + f.addr(entry+".admin") + "/admin/v1/state")
+func (f *fleet) readAdminState(entry string) (s adminState, ok bool) {
+	resp, err := http.Get("http://" + f.addressOf(entry+".admin") + "/admin/v1/state")
 	if err != nil {
 		return s, false
 	}
@@ -293,18 +295,18 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s) == nil
 }
 
-// share is the part of all rates that the entries mint together.
-func (f *fleet) share(entries []string) float64 {
-	sum := 0.0
+// totalRateShare returns the fraction of all rates that the entries mint together.
+func (f *fleet) totalRateShare(entries []string) float64 {
+	total := 0.0
 	for _, e := range entries {
-		s, _ := f.state(e)
-		sum += s.RateShare
+		s, _ := f.readAdminState(e)
+		total += s.RateShare
 	}
-	return sum
+	return total
 }
 
-// tool runs the operators' command line.
-func (f *fleet) tool(args ...string) string {
+// runTool runs the operators' command-line tool and fails the test if it fails.
+func (f *fleet) runTool(args ...string) string {
 	f.t.Helper()
 	out, status := f.tryTool(args...)
 	if status != 0 {
@@ -313,11 +315,12 @@
 	return out
 }
 
-// tryTool runs the operators' command line and returns its output and status.
+// tryTool runs the operators' command-line tool and returns its output and exit
+// status.
 func (f *fleet) tryTool(args ...string) (out string, status int) {
-	cmd := exec.Command(filepath.Join(binaries, "mastictray"), append([]string{"--log", "http://" + f.addr("log")}, args...)...)
+	cmd := exec.Command(filepath.Join(binaryDir, "mastictray"), append([]string{"--log", "http://" + f.addressOf("log")}, args...)...)
 	raw, err := cmd.CombinedOutput()
-	if exit := (&exec.ExitError{}); err != nil && !errors.As(err, &exit) {
+	if exitErr := (&exec.ExitError{}); err != nil && !errors.As(err, &exitErr) {
 		return err.Error(), -1
 	}
 	return string(raw), cmd.ProcessState.ExitCode()
@@ -325,15 +328,15 @@
 
 func (f *fleet) publish() {
 	f.t.Helper()
-	f.tool("publish", "--as", "tester", "--root", f.dir, filepath.Join(f.dir, "config"))
+	f.runTool("publish", "--as", "tester", "--root", f.dir, filepath.Join(f.dir, "config"))
 }
 
-// fault switches a fault of a stand-in on.
-func (f *fleet) fault(name, body string) {
+// injectFault sets a fault of a stand-in; kind "none" clears it.
+func (f *fleet) injectFault(name, body string) {
 	f.t.Helper()
-	resp, err := http.Post("http://"+f.addr(name)+"/fault", "application/json", strings.NewReader(body))
+	resp, err := http.Post("http://"+f.addressOf(name)+"/fault", "application/json", strings.NewReader(body))
 	if err != nil {
-		return // a killed stand-in gives no answer
+		return // the stand-in has been killed
 	}
 	resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
@@ -341,10 +344,10 @@
 	}
 }
 
-// list gives the platform's instance list.
-func (f *fleet) list(body string) {
+// setInstanceList replaces the platform's instance list.
+func (f *fleet) setInstanceList(body string) {
 	f.t.Helper()
-	resp, err := http.Post("http://"+f.addr("instances")+"/v1/instances", "application/json", strings.NewReader(body))
+	resp, err := http.Post("http://"+f.addressOf("instances")+"/v1/instances", "application/json", strings.NewReader(body))
 	f.must(err)
 	resp.Body.Close()
 }
--- a/internal/wholepath/rate_test.go
+++ b/internal/wholepath/rate_test.go
@@ -9,135 +9,137 @@
 	"time"
 )
 
-// hammer sends calls of an account to every instance, far over its rate, and
-// counts by the services what was admitted.
-type hammer struct {
+// overload sends requests of one account to every instance at far more than the
+// account's rate. Admitted requests are counted at the services.
+type overload struct {
 	f        *fleet
 	services int
-	began    time.Time
+	start    time.Time
 	stop     chan struct{}
 	wg       sync.WaitGroup
 }
 
-// callersPerEntry is how many calls wait at an instance at once. Each caller
-// stays with its instance, so that a frozen one holds up its own callers only.
+// callersPerEntry is the number of concurrent requests at an instance. Each caller
+// uses a single instance, so that a paused instance blocks only its own callers.
 const callersPerEntry = 4
 
-func (f *fleet) hammer(account string, services int) *hammer {
-	h := &hammer{f: f, services: services, began: time.Now(), stop: make(chan struct{})}
+func (f *fleet) startOverload(account string, services int) *overload {
+	load := &overload{f: f, services: services, start: time.Now(), stop: make(chan struct{})}
 	for _, entry := range f.entries {
 		for range callersPerEntry {
-			h.wg.Add(1)
-			go h.call(entry, account)
+			load.wg.Add(1)
+			go load.sendUntilStopped(entry, account)
 		}
 	}
-	return h
+	return load
 }
 
-func (h *hammer) call(entry, account string) {
-	defer h.wg.Done()
+func (o *overload) sendUntilStopped(entry, account string) {
+	defer o.wg.Done()
 	for {
 		select {
-		case <-h.stop:
+		case <-o.stop:
 			return
 		default:
-			h.f.send(entry, account, "/bookings", `{}`)
+			o.f.send(entry, account, "/bookings", `{}`)
 		}
 	}
 }
 
-func (h *hammer) admitted() int {
+func (o *overload) admittedCount() int {
 	n := 0
-	for _, runs := range h.f.runs(h.services) {
+	for _, runs := range o.f.runCounts(o.services) {
 		n += runs
 	}
 	return n
 }
 
-// goesOn waits until n more calls were admitted.
-func (h *hammer) goesOn(n int) {
-	h.f.t.Helper()
-	more := h.admitted() + n
-	h.f.wait("the fleet goes on", func() bool { return h.admitted() > more })
+// waitForAdmitted waits until more than n further requests are admitted.
+func (o *overload) waitForAdmitted(n int) {
+	o.f.t.Helper()
+	want := o.admittedCount() + n
+	o.f.waitFor("the fleet admits more requests", func() bool { return o.admittedCount() > want })
 }
 
-// end stops the callers, and fails when more was admitted since the start than
-// the account may have.
-func (h *hammer) end(rate, burst float64) {
-	h.f.t.Helper()
-	close(h.stop)
-	h.wg.Wait()
-	allowed := burst + rate*time.Since(h.began).Seconds()
-	if n := h.admitted(); float64(n) > allowed {
-		h.f.t.Errorf("admitted %d, allowed %.0f", n, allowed)
+// stopAndCheckRate stops the callers and fails if more requests were admitted since
+// the start than rate and burst allow.
+func (o *overload) stopAndCheckRate(rate, burst float64) {
+	o.f.t.Helper()
+	close(o.stop)
+	o.wg.Wait()
+	allowed := burst + rate*time.Since(o.start).Seconds()
+	if n := o.admittedCount(); float64(n) > allowed {
+		o.f.t.Errorf("admitted %d, allowed %.0f", n, allowed)
 	}
 }
 
-// One account is hammered at all instances while one of them is killed and
-// restarted and the log goes down. What the fleet admits stays within the
-// rate and burst: counted by the services, over the time from before the first
-// request to after the last answer.
+// One account overloads all instances while one of them is killed and restarted and
+// the log is down for a while. The requests that the fleet admits stay within rate
+// and burst, counted at the services from before the first request until after the
+// last response.
 func TestRateHoldsOverFleetUnderFaults(t *testing.T) {
 	const rate, burst = 40, 30
-	f := newFleet(t, shape{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
-	h := f.hammer("office", 2)
-	f.wait("tokens are minted", func() bool { return h.admitted() > burst })
+	f := newFleet(t, fleetSpec{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
+	load := f.startOverload("office", 2)
+	f.waitFor("tokens are minted", func() bool { return load.admittedCount() > burst })
 	f.procs["entry3"].kill()
-	f.procs["entry3"].begin()
-	f.fault("log", `{"kind":"outage"}`)
-	h.goesOn(2 * rate)
-	f.fault("log", `{"kind":"none"}`)
-	h.goesOn(2 * rate)
-	h.end(rate, burst)
+	f.procs["entry3"].start()
+	f.injectFault("log", `{"kind":"outage"}`)
+	load.waitForAdmitted(2 * rate)
+	f.injectFault("log", `{"kind":"none"}`)
+	load.waitForAdmitted(2 * rate)
+	load.stopAndCheckRate(rate, burst)
 }
 
-// An instance that mints a third of the rate is paused while the account is
-// hammered. Another instance of its domain takes the slot over; then the first
-// thaws, with its balance and its callers' requests from before. They must not
-// come on top of what the new holder mints.
-func TestRateHoldsWhileMintingInstanceIsFrozen(t *testing.T) {
+// An instance that mints a third of the rate is paused while the account overloads
+// the fleet. Another instance of its domain takes over the mint slot, then the first
+// one resumes with its old token balance and pending requests. The two together must
+// not exceed the rate.
+func TestRateHoldsWhileMintingInstanceIsPaused(t *testing.T) {
 	const rate, burst = 40, 30
-	f := newFleet(t, shape{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
-	h := f.hammer("office", 2)
-	f.wait("tokens are minted", func() bool { return h.admitted() > burst })
-	// A lease lapses only for members that its holder's last record has seen
-	// join. Tokens for three times the renewal period put that record behind.
-	h.goesOn(9 * rate)
-	frozen, others := f.minter()
-	slot := f.mintSlot(frozen)
-	f.procs[frozen].signal(syscall.SIGSTOP)
-	t.Cleanup(func() { f.procs[frozen].signal(syscall.SIGCONT) })
-	f.wait("another instance took the slot", func() bool {
-		return f.holds(others, slot)
+	f := newFleet(t, fleetSpec{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
+	load := f.startOverload("office", 2)
+	f.waitFor("tokens are minted", func() bool { return load.admittedCount() > burst })
+	// Only members that joined before the holder's last record can take over its
+	// lease. Admitting tokens for three renewal periods ensures that the holder has
+	// written a record since all members joined.
+	load.waitForAdmitted(9 * rate)
+	paused, others := f.findMinter()
+	slot := f.mintLease(paused)
+	f.procs[paused].signal(syscall.SIGSTOP)
+	t.Cleanup(func() { f.procs[paused].signal(syscall.SIGCONT) })
+	f.waitFor("another instance holds the slot", func() bool {
+		return f.anyHolds(others, slot)
 	})
-	thawed, before := time.Now(), h.admitted()
-	f.procs[frozen].signal(syscall.SIGCONT)
-	h.goesOn(3 * rate)
-	window := time.Since(thawed).Seconds()
-	// What was on the way to a service when the window began counts in it.
-	onTheWay := float64(callersPerEntry * len(f.entries))
-	if n, allowed := h.admitted()-before, burst+rate*window+onTheWay; float64(n) > allowed {
-		t.Errorf("admitted %d after the thaw, allowed %.0f", n, allowed)
+	resumedAt, admittedBefore := time.Now(), load.admittedCount()
+	f.procs[paused].signal(syscall.SIGCONT)
+	load.waitForAdmitted(3 * rate)
+	window := time.Since(resumedAt).Seconds()
+	// Requests that were in flight to a service at the start of the window are
+	// counted in it.
+	inFlight := float64(callersPerEntry * len(f.entries))
+	if n, allowed := load.admittedCount()-admittedBefore, burst+rate*window+inFlight; float64(n) > allowed {
+		t.Errorf("admitted %d after the instance resumed, allowed %.0f", n, allowed)
 	}
-	h.end(rate, burst)
-	f.neverMintsTwice(0.9)
+	load.stopAndCheckRate(rate, burst)
+	f.checkMintingUntil(0.9)
 }
 
-// minter picks an instance that mints, and returns the others beside it.
-func (f *fleet) minter() (minter string, others []string) {
+// findMinter returns the first instance that mints, and all others.
+func (f *fleet) findMinter() (minting string, others []string) {
 	for _, e := range f.entries {
-		if s, _ := f.state(e); minter == "" && s.RateShare > 0 {
-			minter = e
+		if s, _ := f.readAdminState(e); minting == "" && s.RateShare > 0 {
+			minting = e
 			continue
 		}
 		others = append(others, e)
 	}
-	return minter, others
+	return minting, others
 }
 
-// mintSlot is the mint lease of an instance.
-func (f *fleet) mintSlot(entry string) string {
-	for _, lease := range strings.Fields(f.leases(entry)) {
+// mintLease returns the mint lease that an instance holds.
+func (f *fleet) mintLease(entry string) string {
+	for _, lease := range strings.Fields(f.heldLeases(entry)) {
 		if strings.HasPrefix(lease, `"mint/`) {
 			return lease
 		}
@@ -146,50 +148,51 @@
 	return ""
 }
 
-// holds reports that one of the instances holds the lease.
-func (f *fleet) holds(entries []string, lease string) bool {
+// anyHolds reports whether any of the instances holds the lease.
+func (f *fleet) anyHolds(entries []string, lease string) bool {
 	for _, e := range entries {
-		if slices.Contains(strings.Fields(f.leases(e)), lease) {
+		if slices.Contains(strings.Fields(f.heldLeases(e)), lease) {
 			return true
 		}
 	}
 	return false
 }
 
-// overMinted reports that the instances mint more than the whole rate. A slot
-// that changes hands during a look may be seen twice, so only several looks in
-// a row count: a slot held twice stays so.
-func (f *fleet) overMinted() bool {
-	const looks = 4
-	for range looks {
-		if f.share(f.entries) < 1.01 {
+// mintsTooMuch reports whether the instances together mint more than the whole rate.
+// A slot that changes its holder while the instances are queried may be counted
+// twice, so several consecutive queries must agree: a slot that two instances hold is
+// counted twice each time.
+func (f *fleet) mintsTooMuch() bool {
+	const attempts = 4
+	for range attempts {
+		if f.totalRateShare(f.entries) < 1.01 {
 			return false
 		}
 	}
 	return true
 }
 
-// neverMintsTwice looks at the shares until the fleet mints a part of its rate,
-// and fails when it ever minted more than the whole.
-func (f *fleet) neverMintsTwice(part float64) {
+// checkMintingUntil waits until the fleet mints more than the given fraction of its
+// rate, and fails if it ever mints more than the whole rate.
+func (f *fleet) checkMintingUntil(minShare float64) {
 	f.t.Helper()
-	f.wait("the fleet mints its rate", func() bool {
-		if f.overMinted() {
+	f.waitFor("the fleet mints its rate", func() bool {
+		if f.mintsTooMuch() {
 			f.t.Fatal("the instances mint more than the whole rate together")
 		}
-		return f.share(f.entries) > part
+		return f.totalRateShare(f.entries) > minShare
 	})
 }
 
-// An instance that mints a third of the rate gets SIGTERM. It gives its slot
-// back when it ends, another instance of its domain takes it, and at no time do
-// two mint for it. The account keeps its whole rate.
+// An instance that mints a third of the rate gets SIGTERM. It releases its mint slot
+// when it exits, and another instance of its domain acquires it. Two instances never
+// mint for the slot at the same time, and the fleet mints the whole rate again.
 func TestDrainedInstanceHandsItsMintSlotOver(t *testing.T) {
-	f := newFleet(t, shape{entries: 6, engines: 2})
-	drained, others := f.minter()
+	f := newFleet(t, fleetSpec{entries: 6, engines: 2})
+	drained, others := f.findMinter()
 	f.procs[drained].signal(syscall.SIGTERM)
 	f.entries = others
-	f.neverMintsTwice(0.99)
+	f.checkMintingUntil(0.99)
 	f.must(f.procs[drained].cmd.Wait())
-	f.stream(10, 5, func() {})
+	f.checkStreams(10, 5, func() {})
 }
--- a/internal/wholepath/stream_test.go
+++ b/internal/wholepath/stream_test.go
@@ -13,8 +13,8 @@
 	"github.com/mastictray/mastictray/internal/standin/engine"
 )
 
-// streamed is the text of an SSE answer, and whether it ended with [DONE].
-func streamed(body string) (text string, done bool) {
+// parseStream returns the text of an SSE response and whether it ended with [DONE].
+func parseStream(body string) (text string, done bool) {
 	lines := bufio.NewScanner(strings.NewReader(body))
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -39,66 +39,68 @@
 	return text, false
 }
 
-// want is the text that the engines give for a prompt.
-func want(prompt string, n int) string {
+// expectedText returns the first n tokens that the engines generate for a prompt.
+func expectedText(prompt string, n int) string {
 	return engine.NewText([]byte("user\n" + prompt + "\n")).First(n)
 }
 
-// stream sends n prompts at once over all entries and checks each answer.
-// during runs while the answers are on their way.
-func (f *fleet) stream(n, tokens int, during func()) {
+// checkStreams sends n prompts concurrently through all entries, calls during while
+// they run, and checks that each answer is complete.
+func (f *fleet) checkStreams(n, tokens int, during func()) {
 	f.t.Helper()
 	var wg sync.WaitGroup
-	answers := make([]answer, n)
+	responses := make([]response, n)
 	prompts := make([]string, n)
 	for i := range n {
 		prompts[i] = strings.Repeat("case dossier ", 2000) + strings.Repeat("q", i)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answers[i] = f.send(f.entries[i%len(f.entries)], "office", "/v1/chat/completions", chatBody(prompts[i], tokens))
+			responses[i] = f.send(f.entries[i%len(f.entries)], "office", "/v1/chat/completions", chatBody(prompts[i], tokens))
 		}()
 	}
 	during()
 	wg.Wait()
-	for i, a := range answers {
-		text, done := streamed(a.body)
-		if a.err != nil || a.status != 200 || !done || text != want(prompts[i], tokens) {
-			f.t.Errorf("stream %d: status=%d done=%v whole=%v err=%v body=%.300s", i, a.status, done, text == want(prompts[i], tokens), a.err, a.body)
+	for i, a := range responses {
+		text, done := parseStream(a.body)
+		if a.err != nil || a.status != 200 || !done || text != expectedText(prompts[i], tokens) {
+			f.t.Errorf("stream %d: status=%d done=%v complete=%v err=%v body=%.300s", i, a.status, done, text == expectedText(prompts[i], tokens), a.err, a.body)
 		}
 	}
 }
 
-// Callers stream answers while the engine that generates some of them is
-// killed. They see one unbroken answer each: the router takes the stream up at
-// another engine, skips what was relayed, and goes on.
+// An engine is killed while it generates streams. Each caller still gets one complete
+// answer: the router continues the stream on another engine and skips the part that
+// it has already relayed.
 func TestStreamsSurviveKilledEngine(t *testing.T) {
-	f := newFleet(t, shape{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
-	f.stream(24, 60, func() {
-		f.wait("engine0 runs streams", func() bool { return f.running("engine0") > 0 })
+	f := newFleet(t, fleetSpec{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
+	f.checkStreams(24, 60, func() {
+		f.waitFor("engine0 runs streams", func() bool { return f.runningStreams("engine0") > 0 })
 		f.procs["engine0"].kill()
 	})
 }
 
-// An instance gets SIGTERM while streams run through it. Its callers see whole
-// answers: it takes no new requests after the balancer's lag, finishes what it
-// has, and only then ends.
+// An instance gets SIGTERM while streams run through it. Its callers get complete
+// answers: it stops accepting requests after the load balancer's lag, finishes the
+// running ones and then exits.
 func TestStreamsSurviveDrainedEntry(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, shape{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
-	f.stream(12, 60, func() {
-		f.wait("streams run", func() bool { return f.running("engine0")+f.running("engine1")+f.running("engine2") >= 12 })
+	f := newFleet(t, fleetSpec{entries: 3, engines: 3, engineFlags: []string{"--itl-ms", "20"}})
+	f.checkStreams(12, 60, func() {
+		f.waitFor("streams run", func() bool {
+			return f.runningStreams("engine0")+f.runningStreams("engine1")+f.runningStreams("engine2") >= 12
+		})
 		f.procs["entry1"].signal(syscall.SIGTERM)
 	})
 	is.NoErr(f.procs["entry1"].cmd.Wait())
 }
 
-// running is the streams that an engine generates now.
-func (f *fleet) running(name string) int {
+// runningStreams returns the number of requests that an engine is running.
+func (f *fleet) runningStreams(name string) int {
 	var load struct {
 		Running int `json:"running"`
 		Waiting int `json:"waiting"`
 	}
-	f.get(name, "/load", &load)
+	f.getJSON(name, "/load", &load)
 	return load.Running
 }
--- a/internal/wholepath/tls_test.go
+++ b/internal/wholepath/tls_test.go
@@ -20,8 +20,8 @@
 	"github.com/matryer/is"
 )
 
-// writeCertificates makes an authority and one certificate for 127.0.0.1, and
-// returns the names of the authority's, the certificate's and the key's file.
+// writeCertificates creates a certificate authority and a certificate for 127.0.0.1
+// and returns the paths of the CA certificate, the certificate and its key.
 func writeCertificates(t *testing.T) (ca, cert, key string) {
 	t.Helper()
 	is := is.New(t)
@@ -55,13 +55,13 @@
 	return ca, cert, key
 }
 
-// Callers and peers speak TLS. The instances find each other over it and
-// mint the whole rate; a caller that trusts the authority gets its answer, and
-// one that speaks plain HTTP gets none.
+// With TLS for callers and peers, the instances find each other and mint the whole
+// rate. A caller that trusts the authority gets an answer, one that uses plain HTTP
+// doesn't.
 func TestCallersAndPeersOverTLS(t *testing.T) {
 	is := is.New(t)
 	ca, cert, key := writeCertificates(t)
-	f := newFleet(t, shape{entries: 3, engines: 1, entryFlags: []string{
+	f := newFleet(t, fleetSpec{entries: 3, engines: 1, entryFlags: []string{
 		"--caller-tls-cert", cert, "--caller-tls-key", key,
 		"--peer-tls-cert", cert, "--peer-tls-key", key, "--peer-tls-ca", ca,
 	}})
@@ -71,7 +71,7 @@
 	is.True(roots.AppendCertsFromPEM(raw))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}}}
 	for _, e := range f.entries {
-		req, err := http.NewRequest(http.MethodPost, "https://"+f.addr(e)+"/v1/chat/completions", strings.NewReader(chatBody("hello", 3)))
+		req, err := http.NewRequest(http.MethodPost, "https://"+f.addressOf(e)+"/v1/chat/completions", strings.NewReader(chatBody("hello", 3)))
 		is.NoErr(err)
 		req.Header.Set("Authorization", "Bearer "+f.keys["office"])
 		resp, err := client.Do(req)
