--- a/internal/load/booking.go
+++ b/internal/load/booking.go
@@ -47,20 +47,20 @@
 // CheckBookings compares the answers with the runs recorded by the services.
 func CheckBookings(bookings []Booking, runs []service.Run) BookingReport {
 	rep := BookingReport{Bookings: len(bookings), Outcomes: map[string]int{}, Codes: map[string]int{}}
-	ran := map[string]int{}
+	runsByKey := map[string]int{}
 	for _, r := range runs {
-		ran[r.IdempotencyKey]++
+		runsByKey[r.IdempotencyKey]++
 	}
 	for _, b := range bookings {
-		rep.countBooking(b, ran[b.Key])
-		for _, v := range b.violations(ran[b.Key]) {
+		rep.countBooking(b, runsByKey[b.Key])
+		for _, v := range b.violations(runsByKey[b.Key]) {
 			rep.Violations = append(rep.Violations, b.Key+": "+v)
 		}
 	}
 	return rep
 }
 
-func (rep *BookingReport) countBooking(b Booking, ran int) {
+func (rep *BookingReport) countBooking(b Booking, runs int) {
 	for _, a := range b.Attempts {
 		rep.Attempts++
 		rep.Outcomes[string(a.Outcome)]++
@@ -71,7 +71,7 @@
 	switch {
 	case b.hasOutcome(OutcomeOK):
 		rep.Confirmed++
-	case ran > 0:
+	case runs > 0:
 		rep.Unconfirmed++
 	default:
 		rep.NotRun++
@@ -89,15 +89,15 @@
 
 // violations lists the guarantees broken for a booking that ran the given number
 // of times.
-func (b Booking) violations(ran int) []string {
+func (b Booking) violations(runs int) []string {
 	var out []string
-	if ran > 1 {
-		out = append(out, fmt.Sprintf("ran %d times", ran))
+	if runs > 1 {
+		out = append(out, fmt.Sprintf("ran %d times", runs))
 	}
-	if ran == 0 && b.hasOutcome(OutcomeOK) {
+	if runs == 0 && b.hasOutcome(OutcomeOK) {
 		out = append(out, "answered but not run")
 	}
-	if ran > 0 && !b.hasOutcome(OutcomeOK) && !b.hasOutcome(OutcomeFailed) {
+	if runs > 0 && !b.hasOutcome(OutcomeOK) && !b.hasOutcome(OutcomeFailed) {
 		out = append(out, "ran although every attempt was refused as not run")
 	}
 	return append(out, b.wrongAnswers()...)
@@ -107,14 +107,14 @@
 // first answer.
 func (b Booking) wrongAnswers() []string {
 	sum := sha256.Sum256(b.Body)
-	want := hex.EncodeToString(sum[:])
+	wantBodySHA256 := hex.EncodeToString(sum[:])
 	var first *service.Answer
 	var out []string
 	for _, a := range b.Attempts {
 		if a.Outcome != OutcomeOK {
 			continue
 		}
-		if a.Answer.IdempotencyKey != b.Key || a.Answer.BodySHA256 != want {
+		if a.Answer.IdempotencyKey != b.Key || a.Answer.BodySHA256 != wantBodySHA256 {
 			out = append(out, "answer is for booking "+a.Answer.IdempotencyKey)
 		}
 		if first == nil {
--- a/internal/load/leakybucket.go
+++ b/internal/load/leakybucket.go
@@ -12,14 +12,14 @@
 }
 
 // levelAt returns the level at a time, which must not decrease between calls.
-func (m *leakyBucket) levelAt(now time.Duration) float64 {
-	m.level = max(0, m.level-m.rate*(now-m.last).Seconds())
-	m.last = now
-	return m.level
+func (b *leakyBucket) levelAt(now time.Duration) float64 {
+	b.level = max(0, b.level-b.rate*(now-b.last).Seconds())
+	b.last = now
+	return b.level
 }
 
 // add adds tokens and returns the new level.
-func (m *leakyBucket) add(now time.Duration, tokens float64) float64 {
-	m.level = m.levelAt(now) + tokens
-	return m.level
+func (b *leakyBucket) add(now time.Duration, tokens float64) float64 {
+	b.level = b.levelAt(now) + tokens
+	return b.level
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -120,15 +120,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			check := newStreamChecker(req)
+			checker := newStreamChecker(req)
 			var err error
 			for _, e := range tc.events {
-				if err = check.checkEvent(e); err != nil {
+				if err = checker.checkEvent(e); err != nil {
 					break
 				}
 			}
 			if err == nil {
-				err = check.checkEOF()
+				err = checker.checkEOF()
 			}
 			is.True(errors.Is(err, tc.wantErr))
 			is.True(tc.wantErr == nil || strings.Contains(err.Error(), tc.wantMessage))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -198,9 +198,9 @@
 // within their rate rank before the others, and accounts without any answer before
 // those with one.
 func worstAccount(accounts []AccountReport, score func(AccountReport) float64) string {
-	sorted := append([]AccountReport{}, accounts...)
-	sort.SliceStable(sorted, func(i, j int) bool {
-		a, b := sorted[i], sorted[j]
+	ranked := append([]AccountReport{}, accounts...)
+	sort.SliceStable(ranked, func(i, j int) bool {
+		a, b := ranked[i], ranked[j]
 		if a.WithinRate != b.WithinRate {
 			return a.WithinRate
 		}
@@ -209,7 +209,7 @@
 		}
 		return score(a) > score(b)
 	})
-	return sorted[0].Name
+	return ranked[0].Name
 }
 
 func (ar AccountReport) neverAnswered() bool { return ar.Sent > 0 && ar.OK == 0 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -49,22 +49,22 @@
 
 // Run sends each request at its scheduled time until a limit is reached, waits for
 // the answers and returns the results in order of arrival.
-func (r *Runner) Run(ctx context.Context, seed uint64, b RunLimits) []Result {
+func (r *Runner) Run(ctx context.Context, seed uint64, limits RunLimits) []Result {
 	gen := NewGenerator(r.profile, seed)
 	start := time.Now()
 	var (
 		wg      sync.WaitGroup
 		results []*Result
 	)
-	for len(results) < b.MaxRequests {
+	for len(results) < limits.MaxRequests {
 		a := gen.Next()
-		if a.At > b.Duration || sleepUntil(ctx, start.Add(a.At)) != nil {
+		if a.At > limits.Duration || sleepUntil(ctx, start.Add(a.At)) != nil {
 			break
 		}
 		res := newResult(a, r.profile.PieceBytes)
 		results = append(results, &res)
 		r.counters.sent.Add(1)
-		wg.Go(func() { r.sendAndRecord(ctx, a, start, b.Timeout, &res) })
+		wg.Go(func() { r.sendAndRecord(ctx, a, start, limits.Timeout, &res) })
 	}
 	wg.Wait()
 	out := make([]Result, 0, len(results))
@@ -158,24 +158,24 @@
 
 // checkStream reads a stream to its end and checks it.
 func (r *Runner) checkStream(body io.Reader, a Arrival, start time.Time, res *Result) error {
-	check := newStreamChecker(a.Request)
+	checker := newStreamChecker(a.Request)
 	events := newEventReader(body)
 	for {
 		e, err := events.next()
 		if errors.Is(err, io.EOF) {
-			if err := check.checkEOF(); err != nil {
+			if err := checker.checkEOF(); err != nil {
 				return err
 			}
-			res.Outcome, res.Usage = OutcomeOK, *check.usage
+			res.Outcome, res.Usage = OutcomeOK, *checker.usage
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := check.checkEvent(e); err != nil {
+		if err := checker.checkEvent(e); err != nil {
 			return err
 		}
-		if res.TimeToFirstToken == 0 && check.chunks > 0 {
+		if res.TimeToFirstToken == 0 && checker.chunks > 0 {
 			res.TimeToFirstToken = time.Since(start) - a.At
 		}
 	}
