--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -79,26 +79,26 @@
 }
 
 func writeCostRow(b *strings.Builder, c Cost, d Design, control bool) {
-	over := ""
+	exceeded := ""
 	if control {
-		over = ControlBudget().exceededResources(c)
+		exceeded = ControlBudget().exceededResources(c)
 	}
-	fmt.Fprintf(b, "| %s | %s | %.4g | %.3g | %s | %s | %s |\n", c.Role, d.Name, c.MessagesPerSecond, 100*c.Cores, formatBytes(c.MemoryBytes), formatBytes(c.BytesPerSecond), over)
+	fmt.Fprintf(b, "| %s | %s | %.4g | %.3g | %s | %s | %s |\n", c.Role, d.Name, c.MessagesPerSecond, 100*c.Cores, formatBytes(c.MemoryBytes), formatBytes(c.BytesPerSecond), exceeded)
 }
 
 // exceededResources lists the resources of which a cost exceeds the budget.
 func (b Budget) exceededResources(c Cost) string {
-	var over []string
+	var exceeded []string
 	if c.Cores > b.Cores {
-		over = append(over, "core")
+		exceeded = append(exceeded, "core")
 	}
 	if c.MemoryBytes > b.MemoryBytes {
-		over = append(over, "memory")
+		exceeded = append(exceeded, "memory")
 	}
 	if c.BytesPerSecond > b.BytesPerSecond {
-		over = append(over, "bytes/s")
+		exceeded = append(exceeded, "bytes/s")
 	}
-	return strings.Join(over, ", ")
+	return strings.Join(exceeded, ", ")
 }
 
 func writeSlopeTable(b *strings.Builder, list []slopes.Slope) {
