--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -60,7 +60,7 @@
 // require lets a call through whose token has the role.
 func (a *adminServer) require(need adminRole) iris.Handler {
 	return func(ctx iris.Context) {
-		if !a.tokens.allows(bearer(ctx.Request()), need) {
+		if !a.tokens.allows(bearerToken(ctx.Request()), need) {
 			ctx.StopWithText(http.StatusForbidden, "the token does not have the role %s\n", need)
 			return
 		}
@@ -117,7 +117,7 @@
 		ctx.StopWithText(http.StatusBadRequest, "expected path, account and body as JSON\n")
 		return
 	}
-	req, err := parseBody(ask.Path, ask.Body)
+	req, err := parseRequestBody(ask.Path, ask.Body)
 	if err != nil {
 		ctx.StopWithText(http.StatusBadRequest, "%s\n", err.Error())
 		return
@@ -127,7 +127,7 @@
 		ctx.StopWithText(http.StatusServiceUnavailable, "no configuration yet\n")
 		return
 	}
-	_, pool, ok := modelRoute(intent, routesOf(intent, ask.Path), req.Model)
+	_, pool, ok := routeForModel(intent, routesForPath(intent, ask.Path), req.Model)
 	if !ok {
 		ctx.StopWithText(http.StatusNotFound, "no route serves this path and model\n")
 		return
@@ -136,7 +136,7 @@
 }
 
 func (a *adminServer) explainIn(ctx iris.Context, account string, pool *enginePool, req openai.Request) {
-	explained, err := pool.explain(placementOf(account, pool.modelNow(), pool.activeVersion(), req.Prompt))
+	explained, err := pool.explain(newPlacementRequest(account, pool.currentModel(), pool.activeVersion(), req.Prompt))
 	if err != nil {
 		ctx.StopWithText(http.StatusServiceUnavailable, "%s\n", err.Error())
 		return
--- a/internal/entry/breakers.go
+++ b/internal/entry/breakers.go
@@ -9,16 +9,16 @@
 )
 
 // breakers are the breakers of a pool's targets. The pool's lock guards them.
-type breakers struct {
-	cfg overload.BreakerConfig
-	of  map[string]*targetBreaker
+type breakerSet struct {
+	cfg      overload.BreakerConfig
+	byTarget map[string]*targetBreaker
 	// limited are those that are not closed: what they let through changes with
 	// time, and looking at all targets for each request would cost too much.
-	limited map[string]bool
+	notClosed map[string]bool
 }
 
-func newBreakers(cfg overload.BreakerConfig) breakers {
-	return breakers{cfg: cfg, of: make(map[string]*targetBreaker), limited: make(map[string]bool)}
+func newBreakers(cfg overload.BreakerConfig) breakerSet {
+	return breakerSet{cfg: cfg, byTarget: make(map[string]*targetBreaker), notClosed: make(map[string]bool)}
 }
 
 // targetBreaker is a breaker with where its target is reached.
@@ -26,11 +26,11 @@
 	*overload.Breaker
 	address string
 	// silent is set while the target answers no load questions.
-	silent bool
+	unresponsive bool
 }
 
 // shut reports that the target gets no request at all now, not even a probe.
-func (b *targetBreaker) shut(now time.Duration) bool {
+func (b *targetBreaker) blocked(now time.Duration) bool {
 	return b.State() == overload.Open && !b.Ready(now)
 }
 
@@ -42,34 +42,34 @@
 }
 
 // configure keeps the breakers of targets that stay at their address.
-func (b *breakers) configure(targets []config.Target) {
-	was := b.of
-	b.of = make(map[string]*targetBreaker, len(targets))
+func (b *breakerSet) configure(targets []config.Target) {
+	was := b.byTarget
+	b.byTarget = make(map[string]*targetBreaker, len(targets))
 	for _, t := range targets {
 		if kept, ok := was[t.Name]; ok && kept.address == t.Address {
-			b.of[t.Name] = kept
+			b.byTarget[t.Name] = kept
 			continue
 		}
-		b.of[t.Name] = &targetBreaker{Breaker: overload.NewBreaker(b.cfg), address: t.Address}
+		b.byTarget[t.Name] = &targetBreaker{Breaker: overload.NewBreaker(b.cfg), address: t.Address}
 	}
-	clear(b.limited)
-	for name, tb := range b.of {
-		b.note(name, tb)
+	clear(b.notClosed)
+	for name, tb := range b.byTarget {
+		b.updateNotClosed(name, tb)
 	}
 }
 
 // note keeps the list of those that are not closed.
-func (b *breakers) note(name string, tb *targetBreaker) {
+func (b *breakerSet) updateNotClosed(name string, tb *targetBreaker) {
 	if tb.State() == overload.Closed {
-		delete(b.limited, name)
+		delete(b.notClosed, name)
 	} else {
-		b.limited[name] = true
+		b.notClosed[name] = true
 	}
 }
 
 // begin counts an attempt that is sent.
-func (b *breakers) begin(name string) breakerTicket {
-	tb, ok := b.of[name]
+func (b *breakerSet) begin(name string) breakerTicket {
+	tb, ok := b.byTarget[name]
 	if !ok {
 		return breakerTicket{}
 	}
@@ -84,10 +84,10 @@
 }
 
 // begin makes the attempt on a target that was chosen. Callers hold mu.
-func (p *enginePool) begin(s sending) placed {
+func (p *enginePool) beginAttempt(s dispatchSend) placedAttempt {
 	name := s.Identity.Target
-	pl := placed{
-		sending: s, target: name, address: p.address[name], version: s.Identity.Version,
+	pl := placedAttempt{
+		dispatchSend: s, target: name, address: p.addresses[name], version: s.Identity.Version,
 		ticket: p.breakers.begin(name),
 	}
 	p.refreshBreaker(name)
@@ -95,7 +95,7 @@
 }
 
 // end takes what became of an attempt. Callers hold mu.
-func (p *enginePool) end(pl placed, r overload.Result) {
+func (p *enginePool) endAttempt(pl placedAttempt, r overload.Result) {
 	pl.ticket.end(p.clock.now(), r, p.rng)
 	p.refreshBreaker(pl.target)
 }
@@ -103,7 +103,7 @@
 // refreshBreakers lets probes through where the wait is over. It is to run
 // before each decision. Callers hold mu.
 func (p *enginePool) refreshBreakers() {
-	for name := range p.breakers.limited {
+	for name := range p.breakers.notClosed {
 		p.refreshBreaker(name)
 	}
 }
@@ -114,30 +114,30 @@
 // not wait. Callers hold mu.
 func (p *enginePool) refreshBreaker(name string) {
 	i, found := p.pool.Find(name)
-	b, ok := p.breakers.of[name]
+	b, ok := p.breakers.byTarget[name]
 	if !ok || !found {
 		return
 	}
-	p.breakers.note(name, b)
+	p.breakers.updateNotClosed(name, b)
 	t := p.pool.Target(i)
 	t.Limit, t.InFlight = b.Limit(), b.InFlight()
-	if shut := b.shut(p.clock.now()); shut != t.BreakerOpen {
+	if shut := b.blocked(p.clock.now()); shut != t.BreakerOpen {
 		t.BreakerOpen = shut
 		p.pool.ApplyFilters(i)
-		p.activate()
+		p.updateActiveVersion()
 	}
 }
 
 // open keeps new work off a target that can't be connected to, but for probes.
-func (p *enginePool) open(name string) {
+func (p *enginePool) markUnreachable(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut(name)
+	p.markUnreachableLocked(name)
 }
 
 // shut is open for callers that hold mu.
-func (p *enginePool) shut(name string) {
-	if b, ok := p.breakers.of[name]; ok {
+func (p *enginePool) markUnreachableLocked(name string) {
+	if b, ok := p.breakers.byTarget[name]; ok {
 		b.Unreachable(p.clock.now(), p.rng)
 		p.refreshBreaker(name)
 	}
@@ -147,39 +147,39 @@
 // question goes unanswered it would else count as taking work: requests would
 // wait for the version that only it served. Another process that answers there
 // by now is left alone.
-func (p *enginePool) gone(name, incarnation string) {
+func (p *enginePool) markProcessEnded(name, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i, ok := p.pool.Find(name); ok && p.pool.Target(i).Incarnation == incarnation {
-		p.shut(name)
+		p.markUnreachableLocked(name)
 	}
 }
 
 // answersNoQuestions is open for a target whose load questions stay
 // unanswered. Callers hold mu.
-func (p *enginePool) answersNoQuestions(name string) {
-	if b, ok := p.breakers.of[name]; ok {
-		b.silent = true
+func (p *enginePool) markUnresponsiveLocked(name string) {
+	if b, ok := p.breakers.byTarget[name]; ok {
+		b.unresponsive = true
 	}
-	p.shut(name)
+	p.markUnreachableLocked(name)
 }
 
 // answersQuestions takes a load report in: a target that is back, as a new
 // incarnation or after a silence, starts slowly. Whatever its requests do, one
 // that never was away stays as it is: a target may answer load questions and
 // fail every request. Callers hold mu.
-func (p *enginePool) answersQuestions(name string, newIncarnation bool) {
-	b, ok := p.breakers.of[name]
-	if !ok || (!newIncarnation && !b.silent) {
+func (p *enginePool) markResponsiveLocked(name string, newIncarnation bool) {
+	b, ok := p.breakers.byTarget[name]
+	if !ok || (!newIncarnation && !b.unresponsive) {
 		return
 	}
-	b.silent = false
+	b.unresponsive = false
 	b.Restarted()
 	p.refreshBreaker(name)
 }
 
 // resultOf is what a refusal tells of the target that gave it.
-func resultOf(notRun bool) overload.Result {
+func resultOfRejection(notRun bool) overload.Result {
 	if notRun {
 		return overload.Cancelled
 	}
--- a/internal/entry/breakers_test.go
+++ b/internal/entry/breakers_test.go
@@ -13,7 +13,7 @@
 )
 
 // breakerPool is a pool whose targets have all said what they are.
-func breakerPool(names ...string) *enginePool {
+func newBreakerTestPool(names ...string) *enginePool {
 	p := newEnginePool(newClock(), "d")
 	var targets []config.Target
 	for _, name := range names {
@@ -21,38 +21,38 @@
 	}
 	p.configure(config.Pool{Name: "p", Model: "m", PrefillTokensPerSecond: 1e6}, config.Model{Name: "m", Version: "1", PieceBytes: 1, BytesPerToken: 1}, targets, 1)
 	for _, name := range names {
-		answer(p, name, "first")
+		reportLoad(p, name, "first")
 	}
 	return p
 }
 
 // answer has a target answer a load question.
-func answer(p *enginePool, name, incarnation string) {
+func reportLoad(p *enginePool, name, incarnation string) {
 	now := p.clock.now()
-	p.observe(name, now, now, loadReport{Incarnation: incarnation, Version: "1"})
+	p.applyLoadReport(name, now, now, loadReport{Incarnation: incarnation, Version: "1"})
 }
 
 // later moves the pool's clock on.
-func later(p *enginePool, by time.Duration) { p.clock.start = p.clock.start.Add(-by) }
+func advanceClock(p *enginePool, by time.Duration) { p.clock.start = p.clock.start.Add(-by) }
 
 // A target answers its load questions and fails every request. After a few
 // requests the others get the work; else half of the callers would need a
 // second attempt for as long as the target is in this state.
 func TestTargetThatFailsItsRequestsGetsNoMoreWork(t *testing.T) {
 	is := is.New(t)
-	p := breakerPool("good", "bad")
+	p := newBreakerTestPool("good", "bad")
 	sent := map[string]int{}
 	for range 400 {
-		pl, err := p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+		pl, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 		is.NoErr(err)
 		sent[pl.target]++
 		if pl.target == "bad" {
-			p.lost(pl, overload.Failed)
+			p.recordNotPrefilled(pl, overload.Failed)
 		} else {
-			p.served(pl)
+			p.recordPrefilled(pl)
 		}
-		answer(p, "good", "first")
-		answer(p, "bad", "first")
+		reportLoad(p, "good", "first")
+		reportLoad(p, "bad", "first")
 	}
 	is.True(sent["bad"] >= 5) // it was tried
 	is.True(sent["bad"] <= 20)
@@ -62,20 +62,20 @@
 // were probes not let through, it would be lost until its process restarts.
 func TestProbeBringsATargetBack(t *testing.T) {
 	is := is.New(t)
-	p := breakerPool("only")
+	p := newBreakerTestPool("only")
 	for range 5 {
-		pl, err := p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+		pl, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 		is.NoErr(err)
-		p.lost(pl, overload.Failed)
+		p.recordNotPrefilled(pl, overload.Failed)
 	}
-	_, err := p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+	_, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.True(err != nil)
-	later(p, time.Minute)
-	probe, err := p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+	advanceClock(p, time.Minute)
+	probe, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.NoErr(err)
-	is.Equal(len(p.targets("")), 0) // one probe at a time
-	p.served(probe)
-	is.Equal(p.targets(""), []string{"only"})
+	is.Equal(len(p.availableTargets("")), 0) // one probe at a time
+	p.recordPrefilled(probe)
+	is.Equal(p.availableTargets(""), []string{"only"})
 }
 
 // The only target of a pool is back as a new process, with an empty cache. The
@@ -83,18 +83,18 @@
 // failure that nothing has.
 func TestRequestsWaitForATargetThatStartsSlowly(t *testing.T) {
 	is := is.New(t)
-	p := breakerPool("only")
-	p.open("only")
-	is.Equal(len(p.targets("")), 0)
-	answer(p, "only", "second")
-	first, err := p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+	p := newBreakerTestPool("only")
+	p.markUnreachable("only")
+	is.Equal(len(p.availableTargets("")), 0)
+	reportLoad(p, "only", "second")
+	first, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.NoErr(err)
 	gone, leave := context.WithCancel(t.Context())
 	leave()
-	_, err = p.acquire(gone, &request{Account: "a", Weight: 1})
+	_, err = p.acquire(gone, &dispatchRequest{Account: "a", Weight: 1})
 	is.True(errors.Is(err, context.Canceled)) // it waited
-	p.served(first)
-	_, err = p.acquire(t.Context(), &request{Account: "a", Weight: 1})
+	p.recordPrefilled(first)
+	_, err = p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.NoErr(err)
 }
 
@@ -102,11 +102,11 @@
 // It gets work with its first answer, also when no request has probed it.
 func TestTargetThatAnswersAgainGetsWork(t *testing.T) {
 	is := is.New(t)
-	p := breakerPool("frozen")
-	p.unanswered("frozen")
-	is.Equal(len(p.targets("")), 0)
-	answer(p, "frozen", "first")
-	is.Equal(p.targets(""), []string{"frozen"})
+	p := newBreakerTestPool("frozen")
+	p.markUnresponsive("frozen")
+	is.Equal(len(p.availableTargets("")), 0)
+	reportLoad(p, "frozen", "first")
+	is.Equal(p.availableTargets(""), []string{"frozen"})
 }
 
 // A plain service answers every request with a server error. The answers go to
@@ -120,11 +120,11 @@
 		pl, err := p.acquire("")
 		is.NoErr(err)
 		sent[pl.target]++
-		ans := serviceAnswer{status: 200}
+		ans := serviceResponse{status: 200}
 		if pl.target == "bad" {
 			ans.status = 500
 		}
-		p.release(pl, serviceResult(nil, ans, nil), false)
+		p.release(pl, resultOfServiceAttempt(nil, ans, nil), false)
 	}
 	is.True(sent["bad"] >= 5) // it was tried
 	is.True(sent["bad"] <= 20)
--- a/internal/entry/cacheevents_test.go
+++ b/internal/entry/cacheevents_test.go
@@ -21,15 +21,15 @@
 	chain := []prefix.Hash{0xaa}
 	known := func() int {
 		i, _ := p.pool.Find("t")
-		return p.index.Cached(p.pool.Target(i).Cache, chain)
+		return p.cacheIndex.Cached(p.pool.Target(i).Cache, chain)
 	}
 
-	p.observe("t", time.Second, time.Second, loadReport{Incarnation: "old", Version: "1"})
-	is.True(p.cached("t", "old", stored))
+	p.applyLoadReport("t", time.Second, time.Second, loadReport{Incarnation: "old", Version: "1"})
+	is.True(p.applyCacheEvents("t", "old", stored))
 	is.Equal(known(), 1)
 
-	p.observe("t", 2*time.Second, 2*time.Second, loadReport{Incarnation: "new", Version: "1"})
+	p.applyLoadReport("t", 2*time.Second, 2*time.Second, loadReport{Incarnation: "new", Version: "1"})
 	is.Equal(known(), 0)
-	is.True(!p.cached("t", "old", stored))
+	is.True(!p.applyCacheEvents("t", "old", stored))
 	is.Equal(known(), 0)
 }
--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -17,13 +17,13 @@
 
 // callerServer is the HTTP server that callers reach.
 type callerServer struct {
-	http *http.Server
-	open atomic.Int64
-	max  int64
+	http      *http.Server
+	openConns atomic.Int64
+	maxConns  int64
 }
 
 func newCallerServer(s *settings.Settings, h http.Handler, tlsConfig *tls.Config) *callerServer {
-	c := &callerServer{max: int64(s.MaxConnections)}
+	c := &callerServer{maxConns: int64(s.MaxConnections)}
 	c.http = &http.Server{
 		Handler:           h,
 		TLSConfig:         tlsConfig,
@@ -31,25 +31,25 @@
 		ReadTimeout:       s.ReadTimeout,
 		IdleTimeout:       s.IdleTimeout,
 		MaxHeaderBytes:    s.MaxHeaderBytes,
-		ConnState:         c.track,
+		ConnState:         c.countConnection,
 		ErrorLog:          discardLogger(),
 	}
 	return c
 }
 
 // track counts open connections.
-func (c *callerServer) track(_ net.Conn, state http.ConnState) {
+func (c *callerServer) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		c.open.Add(1)
+		c.openConns.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		c.open.Add(-1)
+		c.openConns.Add(-1)
 	}
 }
 
 // full says that a request came on a connection over the limit. It is refused
 // with an answer rather than a reset, so that its caller knows why.
-func (c *callerServer) full() bool { return c.open.Load() > c.max }
+func (c *callerServer) overConnectionLimit() bool { return c.openConns.Load() > c.maxConns }
 
 func (c *callerServer) serve(l net.Listener) error {
 	if c.http.TLSConfig != nil {
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -15,59 +15,59 @@
 
 // Headers between the router and its targets; see docs/PROTOCOLS.md.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerAccount     = "X-Client-Account"
-	headerVersion     = "X-Weights-Version"
-	headerPriority    = "X-Priority"
-	headerIncarnation = "X-Engine-Incarnation"
-	headerLastEvent   = "Last-Event-ID"
-	headerIdempotency = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
+	headerAccount        = "X-Client-Account"
+	headerVersion        = "X-Weights-Version"
+	headerPriority       = "X-Priority"
+	headerIncarnation    = "X-Engine-Incarnation"
+	headerLastEventID    = "Last-Event-ID"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	targetDialTimeout  = 500 * time.Millisecond
-	maxIdlePerTarget   = 256
-	targetIdleTimeout  = 60 * time.Second
-	maxErrorBodyBytes  = 16 << 10
-	maxAnswerBodyBytes = 64 << 20
+	targetDialTimeout     = 500 * time.Millisecond
+	maxIdleConnsPerTarget = 256
+	targetIdleConnTimeout = 60 * time.Second
+	maxErrorBodyBytes     = 16 << 10
+	maxResponseBodyBytes  = 64 << 20
 )
 
 // sendError is a failed exchange with a target, with what is known of whether
 // the request ran there.
 type sendError struct {
-	step    string
+	op      string
 	target  string
 	outcome openai.Outcome
 	cause   error
 }
 
 func (e *sendError) Error() string {
-	return e.step + " target=" + e.target + ": " + e.cause.Error()
+	return e.op + " target=" + e.target + ": " + e.cause.Error()
 }
 
 func (e *sendError) Unwrap() error { return e.cause }
 
 // attemptRequest is one try of a request at one target.
 type attemptRequest struct {
-	attempt  string
-	target   string
-	address  string
-	method   string
-	path     string
-	query    string
-	account  string
-	version  string
-	priority int
-	header   http.Header
-	body     []byte
+	attemptID string
+	target    string
+	address   string
+	method    string
+	path      string
+	query     string
+	account   string
+	version   string
+	priority  int
+	header    http.Header
+	body      []byte
 	// once forbids every second sending of the request's bytes.
-	once bool
+	sendOnce bool
 }
 
 // targetClient sends requests to targets.
 type targetClient struct {
-	pooled *http.Client
-	fresh  *http.Client
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
 // newTargetClient returns a client with two transports. Requests that may run
@@ -80,11 +80,11 @@
 	return &targetClient{
 		pooled: &http.Client{Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: maxIdlePerTarget,
-			IdleConnTimeout:     targetIdleTimeout,
+			MaxIdleConnsPerHost: maxIdleConnsPerTarget,
+			IdleConnTimeout:     targetIdleConnTimeout,
 			DisableCompression:  true,
 		}},
-		fresh: &http.Client{Transport: &http.Transport{
+		unpooled: &http.Client{Transport: &http.Transport{
 			DialContext:        dialer.DialContext,
 			DisableKeepAlives:  true,
 			DisableCompression: true,
@@ -102,32 +102,32 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.method, url, bytes.NewReader(r.body))
 	if err != nil {
-		return nil, &sendError{step: "build request", target: r.target, outcome: openai.NotRun, cause: err}
+		return nil, &sendError{op: "build request", target: r.target, outcome: openai.NotRun, cause: err}
 	}
 	req.GetBody = nil
 	for k, v := range r.header {
 		req.Header[k] = v
 	}
-	req.Header.Set(headerRequestID, r.attempt)
+	req.Header.Set(headerRequestID, r.attemptID)
 	req.Header.Set(headerAccount, r.account)
 	req.Header.Set(headerPriority, strconv.Itoa(r.priority))
 	if r.version != "" {
 		req.Header.Set(headerVersion, r.version)
 	}
 	client := c.pooled
-	if r.once {
-		client = c.fresh
+	if r.sendOnce {
+		client = c.unpooled
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, &sendError{step: "send", target: r.target, outcome: outcomeOfSend(err), cause: err}
+		return nil, &sendError{op: "send", target: r.target, outcome: outcomeOfSendError(err), cause: err}
 	}
 	return resp, nil
 }
 
 // outcomeOfSend says not_run only when the connection was never made: any
 // later failure may have come after the target read the request.
-func outcomeOfSend(err error) openai.Outcome {
+func outcomeOfSendError(err error) openai.Outcome {
 	if platform.NotConnected(err) {
 		return openai.NotRun
 	}
@@ -136,14 +136,14 @@
 
 // resume asks the same process for the rest of a stream it has begun.
 func (c *targetClient) resume(ctx context.Context, r attemptRequest, lastSeq int64) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+"/v1/streams/"+r.attempt, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+"/v1/streams/"+r.attemptID, nil)
 	if err != nil {
-		return nil, &sendError{step: "build resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
+		return nil, &sendError{op: "build resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
 	}
-	req.Header.Set(headerLastEvent, strconv.FormatInt(lastSeq, 10))
+	req.Header.Set(headerLastEventID, strconv.FormatInt(lastSeq, 10))
 	resp, err := c.pooled.Do(req)
 	if err != nil {
-		return nil, &sendError{step: "resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
+		return nil, &sendError{op: "resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
 	}
 	return resp, nil
 }
--- a/internal/entry/enginecrash.go
+++ b/internal/entry/enginecrash.go
@@ -14,26 +14,26 @@
 
 const (
 	// crashProbe bounds the questions to a target that broke an answer off.
-	crashProbe = 300 * time.Millisecond
+	crashProbeTimeout = 300 * time.Millisecond
 	// crashProbeEvery is the wait before the next question.
-	crashProbeEvery = 10 * time.Millisecond
+	crashProbeInterval = 10 * time.Millisecond
 )
 
 // vet asks whether the request may be dispatched. The error is the answer to a
 // request that has crashed too many targets, or that is suspected to and found
 // nobody to allow it another one.
-func (r *engineRun) vet() error {
-	r.unvetted = r.s.poison.quiet()
-	if r.unvetted {
+func (r *engineRun) checkPoison() error {
+	r.unregistered = r.server.poison.noSuspects()
+	if r.unregistered {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.e.r.Context(), max(r.e.due-r.s.clock.now(), permitWait/2))
+	ctx, cancel := context.WithTimeout(r.call.r.Context(), max(r.call.deadline-r.server.clock.now(), permitTimeout/2))
 	defer cancel()
-	d := r.s.poison.admit(ctx, r.e.id, r.e.fingerprint(), r.e.pool.Name, r.pool.targets(r.e.place.Exclude))
-	r.isolated = d.Target
+	d := r.server.poison.admit(ctx, r.call.id, r.call.fingerprint(), r.call.pool.Name, r.pool.availableTargets(r.call.placement.Exclude))
+	r.isolatedTarget = d.Target
 	switch d.Verdict {
 	case poison.Quarantined:
-		return quarantined()
+		return quarantineError()
 	case poison.Refused:
 		return &openai.Error{
 			Status: http.StatusServiceUnavailable, Code: openai.CodeOverloaded, Outcome: r.outcome(),
@@ -44,7 +44,7 @@
 }
 
 // quarantined is the final answer to a request that crashes its targets.
-func quarantined() *openai.Error {
+func quarantineError() *openai.Error {
 	return &openai.Error{
 		Status: http.StatusUnprocessableEntity, Code: openai.CodeQuarantined, Outcome: openai.MayHaveRun,
 		Message: "this request has crashed the targets that ran it and is not run again",
@@ -55,13 +55,13 @@
 // it out from then on. Targets that crash next to each other are given out
 // before all instances know: without another target the stream of an innocent
 // request would end there.
-func (r *engineRun) release() {
-	if r.isolated == "" {
+func (r *engineRun) releaseIsolatedTarget() {
+	if r.isolatedTarget == "" {
 		return
 	}
-	r.s.poison.ended(r.e.id, false)
-	r.e.place.Exclude = r.isolated
-	r.isolated, r.vetted = "", false
+	r.server.poison.ended(r.call.id, false)
+	r.call.placement.Exclude = r.isolatedTarget
+	r.isolatedTarget, r.admitted = "", false
 }
 
 // outcome is whether the request has run so far.
@@ -71,32 +71,32 @@
 // returns when the peers know, so that the caller cannot send a request that
 // crashes targets to an instance that has not heard of it. The error is the
 // final answer to such a request.
-func (r *engineRun) afterLoss() error {
-	if !r.sent {
+func (r *engineRun) reportTargetLoss() error {
+	if !r.mayBeRunning {
 		return nil
 	}
-	r.sent = false
+	r.mayBeRunning = false
 	if !r.targetLost() {
 		return nil
 	}
-	r.pool.gone(r.at.target, r.incarnation)
-	crash := poison.CrashID{Target: r.at.target, Incarnation: r.incarnation}
-	if r.unvetted {
-		r.s.poison.running(r.e.id, r.e.fingerprint(), r.e.pool.Name, r.at.target, r.pool.targets(r.at.target))
+	r.pool.markProcessEnded(r.placed.target, r.incarnation)
+	crash := poison.CrashID{Target: r.placed.target, Incarnation: r.incarnation}
+	if r.unregistered {
+		r.server.poison.registerRunning(r.call.id, r.call.fingerprint(), r.call.pool.Name, r.placed.target, r.pool.availableTargets(r.placed.target))
 	}
-	r.vetted = false
-	if d := r.s.poison.crashed(r.e.r.Context(), r.e.id, crash); d.Verdict == poison.Quarantined {
-		return quarantined()
+	r.admitted = false
+	if d := r.server.poison.reportCrash(r.call.r.Context(), r.call.id, crash); d.Verdict == poison.Quarantined {
+		return quarantineError()
 	}
 	return nil
 }
 
 // fingerprint names what the request asks for.
 func (e *engineCall) fingerprint() poison.Fingerprint {
-	if !e.printed {
-		e.printed, e.print = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
+	if !e.fingerprinted {
+		e.fingerprinted, e.cachedFingerprint = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
 	}
-	return e.print
+	return e.cachedFingerprint
 }
 
 // targetLost reports that the process which ran the request is gone: nothing
@@ -105,14 +105,14 @@
 // which process ran it, the last report may still be of the one before. A
 // target that does not answer in time may be paused; that is no crash.
 func (r *engineRun) targetLost() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), crashProbe)
+	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
 	// The sockets of a process that ends are closed one by one: a question to
 	// it may be cut off rather than refused. Taken for a sign of life, its
 	// crash would count for nobody, and the request take one target more. So
 	// only an answer, a refusal or the time ends the asking.
 	for ctx.Err() == nil {
-		report, err := r.s.pools.poller.ask(ctx, r.at.address)
+		report, err := r.server.pools.poller.fetchLoad(ctx, r.placed.address)
 		if err == nil {
 			return report.Incarnation != r.incarnation
 		}
@@ -120,7 +120,7 @@
 		if errors.As(err, &op) && op.Op == "dial" && !op.Timeout() {
 			return true
 		}
-		sleep(ctx, crashProbeEvery)
+		sleep(ctx, crashProbeInterval)
 	}
 	return false
 }
--- a/internal/entry/engineleg.go
+++ b/internal/entry/engineleg.go
@@ -14,12 +14,12 @@
 	"github.com/mastictray/mastictray/internal/sse"
 )
 
-func (r *engineRun) request() attemptRequest {
-	e := r.e
+func (r *engineRun) newAttemptRequest() attemptRequest {
+	e := r.call
 	return attemptRequest{
-		attempt: r.id, target: r.at.target, address: r.at.address, method: http.MethodPost,
-		path: e.r.URL.Path, account: e.account.Name, version: r.at.version, priority: e.route.Priority,
-		header: http.Header{"Content-Type": {"application/json"}}, body: e.req.Body, once: !e.route.Idempotent,
+		attemptID: r.attemptID, target: r.placed.target, address: r.placed.address, method: http.MethodPost,
+		path: e.r.URL.Path, account: e.account.Name, version: r.placed.version, priority: e.route.Priority,
+		header: http.Header{"Content-Type": {"application/json"}}, body: e.req.Body, sendOnce: !e.route.Idempotent,
 	}
 }
 
@@ -27,26 +27,26 @@
 // a silence, and when the target is found to answer no questions any more.
 func (r *engineRun) openLeg() {
 	r.closeLeg()
-	ctx, cancel := context.WithCancelCause(r.e.r.Context())
-	stop := r.pool.watch(r.at.target, func() { cancel(errTargetDown) })
+	ctx, cancel := context.WithCancelCause(r.call.r.Context())
+	stop := r.pool.onUnresponsive(r.placed.target, func() { cancel(errTargetUnresponsive) })
 	r.ctx, r.cancel = ctx, func(err error) { stop(); cancel(err) }
-	r.idle = time.AfterFunc(r.patience(), func() { cancel(context.DeadlineExceeded) })
+	r.idleTimer = time.AfterFunc(r.readTimeout(), func() { cancel(context.DeadlineExceeded) })
 }
 
 // patience is the longest wait for the next part of the answer: for the first
 // one until the deadline.
-func (r *engineRun) patience() time.Duration {
-	if r.e.wrote {
-		return chunkIdle
+func (r *engineRun) readTimeout() time.Duration {
+	if r.call.headSent {
+		return chunkIdleTimeout
 	}
-	return max(r.e.due-r.s.clock.now(), time.Millisecond)
+	return max(r.call.deadline-r.server.clock.now(), time.Millisecond)
 }
 
 func (r *engineRun) closeLeg() {
 	if r.cancel == nil {
 		return
 	}
-	r.idle.Stop()
+	r.idleTimer.Stop()
 	r.cancel(nil)
 	if r.resp != nil {
 		r.resp.Body.Close()
@@ -56,34 +56,34 @@
 }
 
 // sendFailed tells the state machine that no answer came.
-func (r *engineRun) sendFailed(err error) attempt.Action {
-	logline.Error(err, "attempt_failed", "request", r.e.id, "attempt", r.id, "target", r.at.target)
-	r.s.metrics.attempt(r.e.pool.Name, "unreachable")
-	r.lost(r.brokenResult())
-	if r.e.r.Context().Err() != nil {
+func (r *engineRun) handleSendError(err error) attempt.Action {
+	logline.Error(err, "attempt_failed", "request", r.call.id, "attempt", r.attemptID, "target", r.placed.target)
+	r.server.metrics.attempt(r.call.pool.Name, "unreachable")
+	r.recordNotPrefilled(r.resultOfBrokenExchange())
+	if r.call.r.Context().Err() != nil {
 		return r.stream.Abort()
 	}
-	r.unreachable(err)
+	r.reportUnreachable(err)
 	var se *sendError
 	if errors.As(err, &se) && se.outcome == openai.NotRun {
 		return r.stream.ConnectionFailed(r.leg, attempt.CauseDial)
 	}
 	r.stream.SendStarted(r.leg)
-	r.sent = true
+	r.mayBeRunning = true
 	return r.stream.ConnectionFailed(r.leg, attempt.CauseReset)
 }
 
 // opened takes the head of an answer.
-func (r *engineRun) opened(resp *http.Response) attempt.Action {
+func (r *engineRun) handleResponseHead(resp *http.Response) attempt.Action {
 	r.resp = resp
 	if inc := resp.Header.Get(headerIncarnation); inc != "" {
 		r.incarnation = inc
 	}
 	if resp.StatusCode != http.StatusOK {
-		return r.rejected(resp)
+		return r.handleRejection(resp)
 	}
 	r.events = sse.NewReader(resp.Body, 0, 0)
-	return r.stream.ResponseStarted(r.s.clock.now(), r.leg, attempt.ResponseHead{
+	return r.stream.ResponseStarted(r.server.clock.now(), r.leg, attempt.ResponseHead{
 		Attempt:     resp.Header.Get(headerRequestID),
 		Incarnation: resp.Header.Get(headerIncarnation),
 		Version:     resp.Header.Get(headerVersion),
@@ -91,13 +91,13 @@
 }
 
 // rejected takes an answer other than 200.
-func (r *engineRun) rejected(resp *http.Response) attempt.Action {
-	r.s.metrics.attempt(r.e.pool.Name, "refused")
-	r.sent = false
-	r.refused = targetRefusal(resp)
+func (r *engineRun) handleRejection(resp *http.Response) attempt.Action {
+	r.server.metrics.attempt(r.call.pool.Name, "refused")
+	r.mayBeRunning = false
+	r.lastRejection = rejectionError(resp)
 	var refused *openai.Error
-	notRun := errors.As(r.refused, &refused) && refused.Outcome == openai.NotRun
-	r.lost(resultOf(notRun))
+	notRun := errors.As(r.lastRejection, &refused) && refused.Outcome == openai.NotRun
+	r.recordNotPrefilled(resultOfRejection(notRun))
 	if notRun {
 		return r.stream.Rejected(r.leg)
 	}
@@ -105,40 +105,40 @@
 }
 
 // read takes the next part of the answer.
-func (r *engineRun) read() attempt.Action {
-	if !r.e.req.Stream {
-		return r.readWhole()
+func (r *engineRun) readNext() attempt.Action {
+	if !r.call.req.Stream {
+		return r.readFullResponse()
 	}
 	// The timer runs only while the target is waited for. A caller that reads
 	// slowly would else have its stream broken off for the target's silence.
-	r.idle.Reset(r.patience())
+	r.idleTimer.Reset(r.readTimeout())
 	ev, err := r.events.Next()
-	r.idle.Stop()
+	r.idleTimer.Stop()
 	if err != nil {
-		return r.broke(err)
+		return r.handleReadError(err)
 	}
-	r.prefilled()
+	r.recordPrefilled()
 	if u, ok := openai.ParseUsage(ev.Data); ok {
-		r.e.usage = u
+		r.call.usage = u
 	}
-	return r.stream.Event(r.s.clock.now(), r.leg, ev)
+	return r.stream.Event(r.server.clock.now(), r.leg, ev)
 }
 
 // readWhole reads an answer without a stream. Nothing of it goes out before
 // it is whole.
-func (r *engineRun) readWhole() attempt.Action {
-	body, err := io.ReadAll(io.LimitReader(r.resp.Body, maxAnswerBodyBytes))
+func (r *engineRun) readFullResponse() attempt.Action {
+	body, err := io.ReadAll(io.LimitReader(r.resp.Body, maxResponseBodyBytes))
 	if err != nil {
-		return r.broke(err)
+		return r.handleReadError(err)
 	}
-	r.e.usage, _ = openai.ParseUsage(body)
+	r.call.usage, _ = openai.ParseUsage(body)
 	return r.stream.FullResponse(r.leg, body)
 }
 
 // broke tells the state machine that the leg ended early.
-func (r *engineRun) broke(err error) attempt.Action {
-	r.lost(r.brokenResult())
-	if r.e.r.Context().Err() != nil {
+func (r *engineRun) handleReadError(err error) attempt.Action {
+	r.recordNotPrefilled(r.resultOfBrokenExchange())
+	if r.call.r.Context().Err() != nil {
 		return r.stream.Abort()
 	}
 	cause := attempt.CauseReset
@@ -150,34 +150,34 @@
 	case errors.IsAny(err, sse.ErrMalformed, sse.ErrTooLarge):
 		cause = attempt.CauseMalformed
 	}
-	logline.Error(err, "stream_broke", "request", r.e.id, "attempt", r.id, "target", r.at.target, "cause", cause)
-	r.s.metrics.attempt(r.e.pool.Name, "broken")
+	logline.Error(err, "stream_broke", "request", r.call.id, "attempt", r.attemptID, "target", r.placed.target, "cause", cause)
+	r.server.metrics.attempt(r.call.pool.Name, "broken")
 	return r.stream.ConnectionFailed(r.leg, cause)
 }
 
 // resume asks the same target to go on with the stream.
 func (r *engineRun) resume(act attempt.Action) attempt.Action {
 	r.openLeg()
-	r.leg = r.stream.BeginResume(r.s.clock.now())
-	resp, err := r.s.targets.resume(r.ctx, r.request(), act.LastSeq)
+	r.leg = r.stream.BeginResume(r.server.clock.now())
+	resp, err := r.server.targetClient.resume(r.ctx, r.newAttemptRequest(), act.LastSeq)
 	if err != nil {
-		r.lost(r.brokenResult())
-		r.unreachable(err)
+		r.recordNotPrefilled(r.resultOfBrokenExchange())
+		r.reportUnreachable(err)
 		return r.stream.ConnectionFailed(r.leg, attempt.CauseReset)
 	}
 	if resp.StatusCode != http.StatusOK {
 		r.resp = resp
-		r.lost(r.brokenResult())
+		r.recordNotPrefilled(r.resultOfBrokenExchange())
 		return r.stream.ConnectionFailed(r.leg, attempt.CauseUnknownStream)
 	}
-	return r.opened(resp)
+	return r.handleResponseHead(resp)
 }
 
 // cancelAttempt tells a target to stop working on an attempt.
 func (r *engineRun) cancelAttempt(ref attempt.Ref) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelAttemptTimeout)
 	defer cancel()
 	if address, ok := r.pool.addressOf(ref.Target); ok {
-		r.s.targets.cancel(ctx, address, ref.Attempt)
+		r.server.targetClient.cancel(ctx, address, ref.Attempt)
 	}
 }
--- a/internal/entry/engineleg_test.go
+++ b/internal/entry/engineleg_test.go
@@ -18,14 +18,14 @@
 func TestTargetTimerRestsWhileTheCallerReads(t *testing.T) {
 	is := is.New(t)
 	r := &engineRun{
-		s:       &server{clock: newClock()},
-		e:       &engineCall{call: &call{wrote: true}, req: openai.Request{Stream: true}},
-		stream:  attempt.NewStream(attempt.Policy{RequestID: "r"}),
-		events:  sse.NewReader(strings.NewReader("id: 0\ndata: {}\n\n"), 0, 0),
-		idle:    time.AfterFunc(time.Hour, func() {}),
-		counted: true,
+		server:         &server{clock: newClock()},
+		call:           &engineCall{call: &call{headSent: true}, req: openai.Request{Stream: true}},
+		stream:         attempt.NewStream(attempt.Policy{RequestID: "r"}),
+		events:         sse.NewReader(strings.NewReader("id: 0\ndata: {}\n\n"), 0, 0),
+		idleTimer:      time.AfterFunc(time.Hour, func() {}),
+		resultRecorded: true,
 	}
 	r.leg = r.stream.Dispatch(0, "r.1", "t")
-	r.read()
-	is.True(!r.idle.Stop()) // it was stopped before
+	r.readNext()
+	is.True(!r.idleTimer.Stop()) // it was stopped before
 }
--- a/internal/entry/enginepool.go
+++ b/internal/entry/enginepool.go
@@ -21,28 +21,28 @@
 const (
 	cacheIndexBytes   = 16 << 20
 	maxQueuedRequests = 4096
-	stepEvery         = 5 * time.Millisecond
+	dispatchInterval  = 5 * time.Millisecond
 	// crossDomainDelay is what placement counts for a target elsewhere.
 	crossDomainDelay = 1500 * time.Microsecond
 )
 
 type (
-	request = dispatch.Request[chan placedOrError]
-	sending = dispatch.Send[chan placedOrError]
+	dispatchRequest = dispatch.Request[chan placementResult]
+	dispatchSend    = dispatch.Send[chan placementResult]
 )
 
 // placed is a target chosen for one attempt.
-type placed struct {
-	sending
+type placedAttempt struct {
+	dispatchSend
 	target  string
 	address string
 	version string
 	ticket  breakerTicket
 }
 
-type placedOrError struct {
-	placed placed
-	err    error
+type placementResult struct {
+	attempt placedAttempt
+	err     error
 }
 
 // enginePool decides for the requests of one engine pool. Its lock is held for
@@ -54,37 +54,37 @@
 	mu         sync.Mutex
 	cfg        config.Pool
 	model      config.Model
-	address    map[string]string
-	breakers   breakers
+	addresses  map[string]string
+	breakers   breakerSet
 	pool       *placement.Pool
 	picker     *placement.Picker
-	index      *cacheindex.Index
-	dispatcher *dispatch.Dispatcher[chan placedOrError]
+	cacheIndex *cacheindex.Index
+	dispatcher *dispatch.Dispatcher[chan placementResult]
 	rng        *rand.Rand
 	// followed are the targets whose retained cache events have been read.
-	followed map[string]bool
+	eventsRead map[string]bool
 	// active is the weights version that new requests count on.
 	active string
 	// returned is when a target came back as a new incarnation.
-	returned map[string]time.Duration
-	nextID   uint64
+	restartedAt map[string]time.Duration
+	nextID      uint64
 	// watchers are called when a target is found to answer no questions.
-	watchers map[string]map[uint64]func()
+	unresponsiveCallbacks map[string]map[uint64]func()
 	// started is set once run is going; the pools' lock guards it.
 	started bool
 }
 
 func newEnginePool(c clock, domain string) *enginePool {
 	return &enginePool{
-		clock:    c,
-		domain:   domain,
-		address:  make(map[string]string),
-		breakers: newBreakers(overload.BreakerConfig{}),
-		returned: make(map[string]time.Duration),
-		followed: make(map[string]bool),
-		watchers: make(map[string]map[uint64]func()),
-		index:    cacheindex.New(cacheIndexBytes),
-		rng:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		clock:                 c,
+		domain:                domain,
+		addresses:             make(map[string]string),
+		breakers:              newBreakers(overload.BreakerConfig{}),
+		restartedAt:           make(map[string]time.Duration),
+		eventsRead:            make(map[string]bool),
+		unresponsiveCallbacks: make(map[string]map[uint64]func()),
+		cacheIndex:            cacheindex.New(cacheIndexBytes),
+		rng:                   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
@@ -97,17 +97,17 @@
 	address := make(map[string]string, len(targets))
 	for _, t := range targets {
 		address[t.Name] = t.Address
-		list = append(list, p.keep(t, cfg, model))
+		list = append(list, p.carryOverTarget(t, cfg, model))
 	}
-	p.cfg, p.model, p.address = cfg, model, address
+	p.cfg, p.model, p.addresses = cfg, model, address
 	p.pool = placement.NewPool(list, model.Version, placement.DefaultFilters())
 	place := placement.DefaultOptions()
 	place.Domain, place.CrossDomainDelay = p.domain, crossDomainDelay
-	p.picker = placement.NewPicker(p.pool, p.index, place)
+	p.picker = placement.NewPicker(p.pool, p.cacheIndex, place)
 	p.breakers.configure(targets)
 	p.refreshBreakers()
-	p.activate()
-	p.checkFollowed()
+	p.updateActiveVersion()
+	p.updateCacheStateKnown()
 	if p.dispatcher != nil {
 		p.dispatcher.ReplacePool(p.pool, p.picker)
 		return
@@ -115,20 +115,20 @@
 	o := dispatch.DefaultOptions()
 	o.Queue.MaxItems = maxQueuedRequests
 	o.Queue.MinRate = cfg.PrefillTokensPerSecond * float64(len(targets)) / float64(max(routers, 1))
-	p.dispatcher = dispatch.New[chan placedOrError](p.pool, p.index, p.picker, o)
+	p.dispatcher = dispatch.New[chan placementResult](p.pool, p.cacheIndex, p.picker, o)
 }
 
 // keep carries a target's observed state over a change of configuration. A
 // target at another address is a new one: nothing is known of it. A target
 // not heard of yet counts as serving the wanted version: the target itself
 // refuses a request that counts on another.
-func (p *enginePool) keep(t config.Target, cfg config.Pool, model config.Model) placement.Target {
+func (p *enginePool) carryOverTarget(t config.Target, cfg config.Pool, model config.Model) placement.Target {
 	fresh := placement.Target{
 		Name: t.Name, Domain: t.Domain, Version: model.Version,
 		PrefillTokensPerSecond: cfg.PrefillTokensPerSecond,
 	}
-	if p.pool == nil || p.address[t.Name] != t.Address {
-		p.index.RemoveTarget(t.Name)
+	if p.pool == nil || p.addresses[t.Name] != t.Address {
+		p.cacheIndex.RemoveTarget(t.Name)
 		return fresh
 	}
 	i, ok := p.pool.Find(t.Name)
@@ -144,7 +144,7 @@
 // every change of who takes work: when the only target of a version is lost,
 // requests that wait for that version would wait until their deadline. Callers
 // hold mu.
-func (p *enginePool) activate() {
+func (p *enginePool) updateActiveVersion() {
 	served := make(map[string]int)
 	for i := range p.pool.Len() {
 		if t := p.pool.Target(i); !t.Draining && !t.BreakerOpen {
@@ -163,7 +163,7 @@
 }
 
 // modelNow is the model as configured.
-func (p *enginePool) modelNow() config.Model {
+func (p *enginePool) currentModel() config.Model {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.model
@@ -171,44 +171,44 @@
 
 // acquire waits in the fair queue and returns the chosen target. The error is
 // an *openai.Error: the request has not run.
-func (p *enginePool) acquire(ctx context.Context, r *request) (placed, error) {
-	r.Value = make(chan placedOrError, 1)
+func (p *enginePool) acquire(ctx context.Context, r *dispatchRequest) (placedAttempt, error) {
+	r.Value = make(chan placementResult, 1)
 	p.mu.Lock()
 	p.nextID++
 	r.ID = p.nextID
 	p.refreshBreakers()
-	p.perform(p.dispatcher.Push(p.clock.now(), r, p.rng))
+	p.deliverStep(p.dispatcher.Push(p.clock.now(), r, p.rng))
 	p.mu.Unlock()
 	select {
 	case x := <-r.Value:
-		return x.placed, x.err
+		return x.attempt, x.err
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.dispatcher.Cancel(r.Account, r.ID) {
 		if x := <-r.Value; x.err == nil {
-			p.fail(x.placed, overload.Cancelled)
+			p.recordNotPrefilledLocked(x.attempt, overload.Cancelled)
 		}
 	}
-	return placed{}, ctx.Err()
+	return placedAttempt{}, ctx.Err()
 }
 
 // acquireOn takes a given target, for a request that may go nowhere else. The
 // error is an *openai.Error: the request has not run.
-func (p *enginePool) acquireOn(name string, r *request) (placed, error) {
+func (p *enginePool) acquireOn(name string, r *dispatchRequest) (placedAttempt, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refreshBreakers()
 	s, ok := p.dispatcher.SendTo(p.clock.now(), r, name)
 	if !ok {
-		return placed{}, queueRefusal(dispatch.ReasonNoTarget, time.Second)
+		return placedAttempt{}, queueRefusal(dispatch.ReasonNoTarget, time.Second)
 	}
-	return p.begin(s), nil
+	return p.beginAttempt(s), nil
 }
 
 // targets names the targets that take new work, without the excluded one.
-func (p *enginePool) targets(exclude string) []string {
+func (p *enginePool) availableTargets(exclude string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refreshBreakers()
@@ -223,7 +223,7 @@
 
 // run steps the dispatcher while requests wait, until ctx ends.
 func (p *enginePool) run(ctx context.Context) {
-	tick := time.NewTicker(stepEvery)
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -234,7 +234,7 @@
 		p.mu.Lock()
 		if p.dispatcher.Waiting() > 0 {
 			p.refreshBreakers()
-			p.perform(p.dispatcher.Step(p.clock.now(), p.rng))
+			p.deliverStep(p.dispatcher.Step(p.clock.now(), p.rng))
 		}
 		p.mu.Unlock()
 	}
@@ -242,12 +242,12 @@
 
 // perform hands a step's decisions to the requests that wait for them. Callers
 // hold mu.
-func (p *enginePool) perform(step dispatch.Step[chan placedOrError]) {
+func (p *enginePool) deliverStep(step dispatch.Step[chan placementResult]) {
 	for _, x := range step.Refusals {
-		x.Request.Value <- placedOrError{err: queueRefusal(x.Reason, x.RetryAfter)}
+		x.Request.Value <- placementResult{err: queueRefusal(x.Reason, x.RetryAfter)}
 	}
 	for _, s := range step.Sends {
-		s.Request.Value <- placedOrError{placed: p.begin(s)}
+		s.Request.Value <- placementResult{attempt: p.beginAttempt(s)}
 	}
 }
 
@@ -267,31 +267,31 @@
 
 // served takes in the first token of an answer: the target holds the whole
 // chain and has done the work.
-func (p *enginePool) served(pl placed) {
+func (p *enginePool) recordPrefilled(pl placedAttempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.Answered(&pl.sending)
-	p.end(pl, overload.Succeeded)
+	p.dispatcher.Answered(&pl.dispatchSend)
+	p.endAttempt(pl, overload.Succeeded)
 }
 
 // lost takes in an attempt that the target did not prefill.
-func (p *enginePool) lost(pl placed, r overload.Result) {
+func (p *enginePool) recordNotPrefilled(pl placedAttempt, r overload.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fail(pl, r)
+	p.recordNotPrefilledLocked(pl, r)
 }
 
 // fail is lost for callers that hold mu.
-func (p *enginePool) fail(pl placed, r overload.Result) {
-	p.dispatcher.Failed(&pl.sending)
-	p.end(pl, r)
+func (p *enginePool) recordNotPrefilledLocked(pl placedAttempt, r overload.Result) {
+	p.dispatcher.Failed(&pl.dispatchSend)
+	p.endAttempt(pl, r)
 }
 
 // addressOf is where a target is reached.
 func (p *enginePool) addressOf(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	address, ok := p.address[name]
+	address, ok := p.addresses[name]
 	return address, ok
 }
 
--- a/internal/entry/enginepool_test.go
+++ b/internal/entry/enginepool_test.go
@@ -15,9 +15,9 @@
 // their callers would get no answer.
 func TestActiveVersionFollowsLostTargets(t *testing.T) {
 	lose := map[string]func(*enginePool){
-		"crashed":     func(p *enginePool) { p.open("new") },
-		"gone":        func(p *enginePool) { p.gone("new", "i") },
-		"unanswering": func(p *enginePool) { p.unanswered("new") },
+		"crashed":     func(p *enginePool) { p.markUnreachable("new") },
+		"gone":        func(p *enginePool) { p.markProcessEnded("new", "i") },
+		"unanswering": func(p *enginePool) { p.markUnresponsive("new") },
 		"leaving":     func(p *enginePool) { p.setDraining(func(name string) bool { return name == "new" }) },
 	}
 	for name, lost := range lose {
@@ -31,7 +31,7 @@
 				if target.Name == "new" {
 					version = "2"
 				}
-				p.observe(target.Name, time.Second, time.Second, loadReport{Incarnation: "i", Version: version})
+				p.applyLoadReport(target.Name, time.Second, time.Second, loadReport{Incarnation: "i", Version: version})
 			}
 			is.Equal(p.activeVersion(), "2")
 			lost(p)
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -15,61 +15,61 @@
 
 const (
 	// chunkIdle breaks a stream that brings nothing for so long.
-	chunkIdle     = 10 * time.Second
-	cancelTimeout = time.Second
+	chunkIdleTimeout     = 10 * time.Second
+	cancelAttemptTimeout = time.Second
 )
 
 // errTargetDown ends the answers of a target that answers no load questions.
-var errTargetDown = errors.New("target answers no questions")
+var errTargetUnresponsive = errors.New("target answers no questions")
 
 // engineRun carries one request through its attempts: it does the I/O that
 // the attempt state machine asks for.
 type engineRun struct {
-	s      *server
-	e      *engineCall
+	server *server
+	call   *engineCall
 	pool   *enginePool
 	stream *attempt.Stream
 
 	// The present leg: one connection to one target.
-	at     placed
-	id     string
-	leg    int
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	resp   *http.Response
-	events *sse.Reader
-	idle   *time.Timer
+	placed    placedAttempt
+	attemptID string
+	leg       int
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	resp      *http.Response
+	events    *sse.Reader
+	idleTimer *time.Timer
 	// counted is set once the pool knows what became of the leg's attempt.
-	counted bool
+	resultRecorded bool
 	// sent is set while the leg's target may be running the request, and
 	// incarnation is the process that does, as far as is known.
-	sent        bool
-	incarnation string
+	mayBeRunning bool
+	incarnation  string
 	// vetted is set while the request counts as admitted, and isolated is
 	// the only target that it may go to then; empty for any.
-	vetted bool
+	admitted bool
 	// unvetted is set when nothing was suspected at that time, and the
 	// registry does not know the request.
-	unvetted bool
-	isolated string
+	unregistered   bool
+	isolatedTarget string
 	// refused is the last refusal of a target, for the caller.
-	refused error
+	lastRejection error
 }
 
 func (s *server) runEngine(e *engineCall) error {
-	r := &engineRun{s: s, e: e, pool: s.pools.engine(e.pool.Name)}
+	r := &engineRun{server: s, call: e, pool: s.pools.engine(e.pool.Name)}
 	r.stream = attempt.NewStream(attempt.Policy{
-		RequestID: e.id, Idempotent: e.route.Idempotent, MaxDispatches: maxAttempts, IdleTimeout: chunkIdle,
+		RequestID: e.id, Idempotent: e.route.Idempotent, MaxDispatches: maxAttempts, IdleTimeout: chunkIdleTimeout,
 	})
 	defer r.closeLeg()
-	defer r.abandon()
-	err := r.loop()
+	defer r.closeAttempt()
+	err := r.runAttempts()
 	s.poison.ended(e.id, err == nil)
 	return err
 }
 
-func (r *engineRun) loop() error {
-	r.s.budget.AddRequest()
+func (r *engineRun) runAttempts() error {
+	r.server.retryBudget.AddRequest()
 	act, err := r.dispatch()
 	for err == nil {
 		if act.Cancel != nil {
@@ -77,22 +77,22 @@
 		}
 		switch act.Kind {
 		case attempt.Relay:
-			r.write(act)
+			r.writeEvent(act)
 			if act.Done {
-				return r.finished()
+				return r.recordSuccess()
 			}
-			act = r.read()
+			act = r.readNext()
 		case attempt.None:
-			act = r.read()
+			act = r.readNext()
 		case attempt.Resume:
 			act = r.resume(act)
 		case attempt.Redispatch:
 			act, err = r.redispatch()
 		case attempt.EndOK:
-			r.writeWhole(act.Data)
-			return r.finished()
+			r.writeFullResponse(act.Data)
+			return r.recordSuccess()
 		case attempt.EndError:
-			return r.failed(act)
+			return r.endWithError(act)
 		}
 	}
 	return err
@@ -101,71 +101,71 @@
 // dispatch places the request and sends it. An error is a refusal before any
 // byte reached a target in this attempt.
 func (r *engineRun) dispatch() (attempt.Action, error) {
-	pl, err := r.choose()
+	pl, err := r.chooseTarget()
 	if err != nil {
 		return attempt.Action{}, err
 	}
-	if err := r.s.recheck(r.e); err != nil {
-		r.pool.lost(pl, overload.Cancelled)
+	if err := r.server.recheckBeforeDispatch(r.call); err != nil {
+		r.pool.recordNotPrefilled(pl, overload.Cancelled)
 		return attempt.Action{}, err
 	}
-	r.abandon()
-	r.e.attempts++
-	r.at, r.id, r.counted = pl, attemptID(r.e.call), false
+	r.closeAttempt()
+	r.call.attempts++
+	r.placed, r.attemptID, r.resultRecorded = pl, attemptID(r.call.call), false
 	r.incarnation = pl.Identity.Incarnation
-	r.leg = r.stream.Dispatch(r.s.clock.now(), r.id, pl.target)
+	r.leg = r.stream.Dispatch(r.server.clock.now(), r.attemptID, pl.target)
 	r.openLeg()
-	r.s.poison.started(r.e.id, pl.target)
-	resp, err := r.s.targets.send(r.ctx, r.request())
+	r.server.poison.started(r.call.id, pl.target)
+	resp, err := r.server.targetClient.send(r.ctx, r.newAttemptRequest())
 	if err != nil {
-		return r.sendFailed(err), nil
+		return r.handleSendError(err), nil
 	}
 	r.stream.SendStarted(r.leg)
-	r.sent = true
-	return r.opened(resp), nil
+	r.mayBeRunning = true
+	return r.handleResponseHead(resp), nil
 }
 
 // choose vets the request and waits for a target.
-func (r *engineRun) choose() (placed, error) {
+func (r *engineRun) chooseTarget() (placedAttempt, error) {
 	for tries := 1; ; tries++ {
-		if !r.vetted {
-			if err := r.vet(); err != nil {
-				return placed{}, err
+		if !r.admitted {
+			if err := r.checkPoison(); err != nil {
+				return placedAttempt{}, err
 			}
-			r.vetted = true
+			r.admitted = true
 		}
-		if r.isolated == "" {
+		if r.isolatedTarget == "" {
 			break
 		}
-		pl, err := r.pool.acquireOn(r.isolated, r.e.queued())
+		pl, err := r.pool.acquireOn(r.isolatedTarget, r.call.newDispatchRequest())
 		if err == nil || tries >= maxAttempts {
 			return pl, err
 		}
-		r.release()
+		r.releaseIsolatedTarget()
 	}
-	pl, err := r.pool.acquire(r.e.r.Context(), r.e.queued())
+	pl, err := r.pool.acquire(r.call.r.Context(), r.call.newDispatchRequest())
 	if err != nil {
-		return placed{}, placeError(err)
+		return placedAttempt{}, acquireError(err)
 	}
 	return pl, nil
 }
 
 // redispatch tries another target, or ends the request when there is none.
 func (r *engineRun) redispatch() (attempt.Action, error) {
-	if err := r.afterLoss(); err != nil {
-		return attempt.Action{}, r.final(err)
+	if err := r.reportTargetLoss(); err != nil {
+		return attempt.Action{}, r.sendFinalError(err)
 	}
-	r.e.place.Exclude = r.at.target
-	r.release()
-	if (r.s.clock.now() >= r.e.due && !r.e.wrote) || !r.s.budget.TakeRetry() {
+	r.call.placement.Exclude = r.placed.target
+	r.releaseIsolatedTarget()
+	if (r.server.clock.now() >= r.call.deadline && !r.call.headSent) || !r.server.retryBudget.TakeRetry() {
 		return r.stream.NoTarget(), nil
 	}
 	act, err := r.dispatch()
 	var e *openai.Error
 	if errors.As(err, &e) && e.Code == openai.CodeQuarantined {
-		return act, r.final(err)
+		return act, r.sendFinalError(err)
 	}
-	if err != nil && (r.e.wrote || r.stream.Outcome() != attempt.NotRun) {
+	if err != nil && (r.call.headSent || r.stream.Outcome() != attempt.NotRun) {
 		return r.stream.NoTarget(), nil
 	}
 	return act, err
@@ -173,86 +173,86 @@
 
 // prefilled tells the pool that the first token came: the target has done the
 // work and holds the prompt's pieces.
-func (r *engineRun) prefilled() {
-	if !r.counted {
-		r.counted = true
-		r.pool.served(r.at)
+func (r *engineRun) recordPrefilled() {
+	if !r.resultRecorded {
+		r.resultRecorded = true
+		r.pool.recordPrefilled(r.placed)
 	}
 }
 
 // lost tells the pool that the attempt ended before its first token, and what
 // that says of the target.
-func (r *engineRun) lost(result overload.Result) {
-	if !r.counted {
-		r.counted = true
-		r.pool.lost(r.at, result)
+func (r *engineRun) recordNotPrefilled(result overload.Result) {
+	if !r.resultRecorded {
+		r.resultRecorded = true
+		r.pool.recordNotPrefilled(r.placed, result)
 	}
 }
 
 // brokenResult is what an exchange that broke says of the target: nothing when
 // the caller left.
-func (r *engineRun) brokenResult() overload.Result {
-	if r.e.r.Context().Err() != nil {
+func (r *engineRun) resultOfBrokenExchange() overload.Result {
+	if r.call.r.Context().Err() != nil {
 		return overload.Cancelled
 	}
 	return overload.Failed
 }
 
 // unreachable tells the pool when no connection to the target was made.
-func (r *engineRun) unreachable(err error) {
-	if r.e.r.Context().Err() == nil && outcomeOfSend(err) == openai.NotRun {
-		r.pool.open(r.at.target)
+func (r *engineRun) reportUnreachable(err error) {
+	if r.call.r.Context().Err() == nil && outcomeOfSendError(err) == openai.NotRun {
+		r.pool.markUnreachable(r.placed.target)
 	}
 }
 
 // abandon ends an attempt that ended in no other way: one left open would keep
 // a place at a target that starts slowly for ever.
-func (r *engineRun) abandon() {
-	if r.id != "" {
-		r.lost(overload.Cancelled)
+func (r *engineRun) closeAttempt() {
+	if r.attemptID != "" {
+		r.recordNotPrefilled(overload.Cancelled)
 	}
 }
 
-func (r *engineRun) finished() error {
-	r.s.metrics.attempt(r.e.pool.Name, "answered")
-	r.s.metrics.answered(r.e.account.Name, r.e.pool.Name)
-	r.prefilled()
-	if r.e.usage.PromptTokens > 0 {
-		r.pool.counted(r.at, r.e.usage.PromptTokensDetails.CachedTokens)
+func (r *engineRun) recordSuccess() error {
+	r.server.metrics.attempt(r.call.pool.Name, "answered")
+	r.server.metrics.answered(r.call.account.Name, r.call.pool.Name)
+	r.recordPrefilled()
+	if r.call.usage.PromptTokens > 0 {
+		r.pool.recordCachedTokens(r.placed, r.call.usage.PromptTokensDetails.CachedTokens)
 	}
 	return nil
 }
 
 // failed ends the request with an error: an event when a part of the answer
 // is out, else a whole answer.
-func (r *engineRun) failed(act attempt.Action) error {
-	if err := r.afterLoss(); err != nil {
-		return r.final(err)
+func (r *engineRun) endWithError(act attempt.Action) error {
+	if err := r.reportTargetLoss(); err != nil {
+		return r.sendFinalError(err)
 	}
 	e := &openai.Error{
 		Status: http.StatusBadGateway, Code: openai.CodeTargetFailed, Outcome: openai.Outcome(act.Outcome),
-		Message: "no target gave the whole answer: " + string(act.Cause), RetryAfter: time.Second, RequestID: r.e.id,
+		Message: "no target gave the whole answer: " + string(act.Cause), RetryAfter: time.Second, RequestID: r.call.id,
 	}
 	var refused *openai.Error
-	if errors.As(r.refused, &refused) && act.Cause == attempt.CauseRejected {
+	if errors.As(r.lastRejection, &refused) && act.Cause == attempt.CauseRejected {
 		e = refused
 	}
 	if act.Cause == attempt.CauseIdle {
 		e.Status, e.Code = http.StatusGatewayTimeout, openai.CodeDeadline
 	}
-	if r.e.wrote {
+	if r.call.headSent {
 		e.Code = openai.CodeStreamBroken
 	}
-	return r.final(e)
+	return r.sendFinalError(e)
 }
 
 // final ends a stream whose head is out with an error event.
-func (r *engineRun) final(err error) error {
+func (r *engineRun) sendFinalError(err error) error {
 	var e *openai.Error
-	if r.e.wrote && errors.As(err, &e) {
+	if r.call.headSent && errors.As(err, &e) {
 		answer := *e
-		answer.RequestID = r.e.id
-		r.writeError(&answer)
+		answer.RequestID = r.call.id
+		r.writeErrorEvent(&answer)
 	}
 	return err
 }
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -22,44 +22,44 @@
 // engineCall is a call to a model with what was decided about it.
 type engineCall struct {
 	*call
-	pool  config.Pool
-	model config.Model
-	req   openai.Request
-	place placement.Request
+	pool      config.Pool
+	model     config.Model
+	req       openai.Request
+	placement placement.Request
 	// print is the request's fingerprint once printed is set.
-	print    poison.Fingerprint
-	printed  bool
-	cost     float64
-	reserved rate.Reservation
-	usage    openai.Usage
+	cachedFingerprint poison.Fingerprint
+	fingerprinted     bool
+	cost              float64
+	reservation       rate.Reservation
+	usage             openai.Usage
 	// buf is reused for the events of the answer.
-	buf []byte
+	eventBuf []byte
 }
 
 func (s *server) serveEngine(c *call, route config.Route, pool config.Pool, model config.Model, req openai.Request) error {
 	c.route = route
-	c.due = c.began + route.Deadline
+	c.deadline = c.startedAt + route.Deadline
 	e := &engineCall{call: c, pool: pool, model: model, req: req}
-	e.describe(s.pools.engine(pool.Name).activeVersion())
-	if err := s.admit(c, e.cost, &e.reserved); err != nil {
+	e.computePlacementAndCost(s.pools.engine(pool.Name).activeVersion())
+	if err := s.reserveRate(c, e.cost, &e.reservation); err != nil {
 		return err
 	}
 	used := 0.0
-	defer func() { s.rates.settle(&e.reserved, used) }()
+	defer func() { s.rates.settle(&e.reservation, used) }()
 	err := s.runEngine(e)
-	used = e.used(err)
+	used = e.chargedTokens(err)
 	if err == nil {
 		s.metrics.usage(c.account.Name, pool.Name, e.usage)
 		logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", route.Name,
 			"attempts", c.attempts, "prompt_tokens", e.usage.PromptTokens,
 			"cached_tokens", e.usage.PromptTokensDetails.CachedTokens, "completion_tokens", e.usage.CompletionTokens,
-			"ms", (s.clock.now() - c.began).Milliseconds())
+			"ms", (s.clock.now() - c.startedAt).Milliseconds())
 	}
 	return err
 }
 
 // placementOf describes a prompt to placement.
-func placementOf(account string, m config.Model, version string, prompt []byte) placement.Request {
+func newPlacementRequest(account string, m config.Model, version string, prompt []byte) placement.Request {
 	scope := prefix.Scope{Account: account, Model: m.Name, Version: version}
 	return placement.Request{
 		Chain:        prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
@@ -69,18 +69,18 @@
 }
 
 // describe works out the pieces of the prompt and the charge.
-func (e *engineCall) describe(version string) {
-	e.place = placementOf(e.account.Name, e.model, version, e.req.Prompt)
+func (e *engineCall) computePlacementAndCost(version string) {
+	e.placement = newPlacementRequest(e.account.Name, e.model, version, e.req.Prompt)
 	output := e.req.MaxTokens
 	if output == 0 {
 		output = e.model.DefaultMaxTokens
 	}
-	e.cost = float64(e.place.PromptTokens + output)
+	e.cost = float64(e.placement.PromptTokens + output)
 }
 
 // used is what the request is charged in the end. What did not run costs
 // nothing; what may have run without a count costs its whole charge.
-func (e *engineCall) used(err error) float64 {
+func (e *engineCall) chargedTokens(err error) float64 {
 	var refused *openai.Error
 	if errors.As(err, &refused) && refused.Outcome == openai.NotRun {
 		return 0
@@ -92,8 +92,8 @@
 }
 
 // admit debits the account's rate.
-func (s *server) admit(c *call, cost float64, into *rate.Reservation) error {
-	o := s.rates.admit(c.r.Context(), c.account.Name, cost, c.due)
+func (s *server) reserveRate(c *call, cost float64, into *rate.Reservation) error {
+	o := s.rates.admit(c.r.Context(), c.account.Name, cost, c.deadline)
 	if o.Err == nil {
 		*into = o.Reservation
 		return nil
@@ -111,15 +111,15 @@
 }
 
 // queued is the request as it waits for a target.
-func (e *engineCall) queued() *request {
-	return &request{
+func (e *engineCall) newDispatchRequest() *dispatchRequest {
+	return &dispatchRequest{
 		Account: e.account.Name, Weight: e.account.Weight, Priority: e.route.Priority,
-		Deadline: e.due, Placement: e.place,
+		Deadline: e.deadline, Placement: e.placement,
 	}
 }
 
 // placeError passes refusals on; what remains is a caller that left.
-func placeError(err error) error {
+func acquireError(err error) error {
 	var e *openai.Error
 	if errors.As(err, &e) {
 		return e
@@ -130,19 +130,19 @@
 // recheck is the last look before dispatch: the key may have been withdrawn
 // and the debit may have lapsed while the request waited or the process was
 // paused.
-func (s *server) recheck(e *engineCall) error {
+func (s *server) recheckBeforeDispatch(e *engineCall) error {
 	if err := s.authorize(e.call); err != nil {
 		return err
 	}
-	if e.attempts == 0 && !s.rates.confirm(e.reserved) {
-		s.rates.settle(&e.reserved, 0)
-		return s.admit(e.call, e.cost, &e.reserved)
+	if e.attempts == 0 && !s.rates.confirm(e.reservation) {
+		s.rates.settle(&e.reservation, 0)
+		return s.reserveRate(e.call, e.cost, &e.reservation)
 	}
 	return nil
 }
 
 // attemptError turns a failed exchange into what the caller is told.
-func attemptError(err error) error {
+func exchangeError(err error) error {
 	var se *sendError
 	if !errors.As(err, &se) {
 		return err
@@ -155,7 +155,7 @@
 
 // targetRefusal turns a target's answer other than 200 into what the caller is
 // told. 409, 429 and 503 are refusals before the request ran.
-func targetRefusal(resp *http.Response) error {
+func rejectionError(resp *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	switch resp.StatusCode {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secure, err := newSecurity(s)
+	secure, err := newListenerSecurity(s)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 
 const platformConns = 8
 
-func (e *Entry) build(secure security) {
+func (e *Entry) build(secure listenerSecurity) {
 	s := e.settings
 	var list platform.InstanceLister
 	if s.InstancesURL != "" {
@@ -96,13 +96,13 @@
 	e.members.changed = e.pools.setDraining
 	e.poison = newPoisonDriver(e.clock, e.node)
 	e.members.poison, e.members.claims, e.members.replaced = e.poison, e.claims, e.Drain
-	e.pools.poller.observed = e.members.observed
+	e.pools.poller.onIncarnation = e.members.observed
 	e.server = &server{
-		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
-		targets: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
+		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, retryBudget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
+		targetClient: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
 	}
 	e.callers = newCallerServer(s, e.server, secure.callers)
-	e.server.full = e.callers.full
+	e.server.overConnectionLimit = e.callers.overConnectionLimit
 	e.admin = newAdminServer(e, secure.admin)
 }
 
@@ -188,7 +188,7 @@
 	e.admin.close()
 	e.node.Close()
 	e.wg.Wait()
-	for _, c := range []*http.Client{e.platform, e.pools.poller.client, e.pools.poller.events, e.rollouts.http, e.server.targets.pooled} {
+	for _, c := range []*http.Client{e.platform, e.pools.poller.loadClient, e.pools.poller.eventsClient, e.rollouts.http, e.server.targetClient.pooled} {
 		c.CloseIdleConnections()
 	}
 	logline.Info("entry_stopped", "instance", e.settings.InstanceID)
@@ -197,7 +197,7 @@
 func (e *Entry) drainCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout)
 	defer cancel()
-	e.server.closing.Store(true)
+	e.server.shuttingDown.Store(true)
 	if err := e.callers.shutdown(ctx); err != nil {
 		logline.Error(err, "drain_incomplete")
 	}
--- a/internal/entry/loadpoller.go
+++ b/internal/entry/loadpoller.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	loadEvery   = 250 * time.Millisecond
-	loadTimeout = time.Second
+	loadPollInterval = 250 * time.Millisecond
+	loadPollTimeout  = time.Second
 	// loadMisses is how many questions in a row may stay unanswered.
-	loadMisses   = 2
-	maxReportAge = 10 * time.Second
+	maxMissedPolls = 2
+	maxReportAge   = 10 * time.Second
 )
 
 // loadPoller asks every target of the engine pools for its load, one question
 // after the other for each target.
 type loadPoller struct {
-	clock  clock
-	client *http.Client
-	events *http.Client
+	clock        clock
+	loadClient   *http.Client
+	eventsClient *http.Client
 	// observed is told the incarnation in each answer.
-	observed func(target, incarnation string)
+	onIncarnation func(target, incarnation string)
 
 	mu      sync.Mutex
-	running map[string]polled
+	running map[string]polledTarget
 }
 
 // polled is one target that is being asked.
-type polled struct {
+type polledTarget struct {
 	address string
 	pool    *enginePool
 	stop    context.CancelFunc
@@ -39,15 +39,15 @@
 
 func newLoadPoller(c clock) *loadPoller {
 	return &loadPoller{
-		clock:   c,
-		client:  &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		events:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		running: make(map[string]polled),
+		clock:        c,
+		loadClient:   &http.Client{Timeout: loadPollTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		eventsClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		running:      make(map[string]polledTarget),
 	}
 }
 
 // follow asks exactly these targets from now on.
-func (l *loadPoller) follow(ctx context.Context, targets []config.Target, poolOf func(string) *enginePool) {
+func (l *loadPoller) setTargets(ctx context.Context, targets []config.Target, poolOf func(string) *enginePool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wanted := make(map[string]bool, len(targets))
@@ -64,9 +64,9 @@
 			was.stop()
 		}
 		own, stop := context.WithCancel(ctx)
-		l.running[t.Name] = polled{address: t.Address, pool: pool, stop: stop}
+		l.running[t.Name] = polledTarget{address: t.Address, pool: pool, stop: stop}
 		go l.poll(own, t.Name, t.Address, pool)
-		events := &eventReader{client: l.events, address: t.Address, target: t.Name, pool: pool}
+		events := &cacheEventReader{client: l.eventsClient, address: t.Address, target: t.Name, pool: pool}
 		go events.run(own)
 	}
 	for name, was := range l.running {
@@ -81,30 +81,30 @@
 	missed := 0
 	for ctx.Err() == nil {
 		asked := l.clock.now()
-		r, err := l.ask(ctx, address)
+		r, err := l.fetchLoad(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
 			missed = 0
-			pool.observe(name, asked, l.asOf(asked, r), r)
-			l.observed(name, r.Incarnation)
-		} else if missed++; missed >= loadMisses {
-			pool.unanswered(name)
+			pool.applyLoadReport(name, asked, l.reportTime(asked, r), r)
+			l.onIncarnation(name, r.Incarnation)
+		} else if missed++; missed >= maxMissedPolls {
+			pool.markUnresponsive(name)
 		}
-		sleep(ctx, loadEvery)
+		sleep(ctx, loadPollInterval)
 	}
 }
 
-func (l *loadPoller) ask(ctx context.Context, address string) (loadReport, error) {
+func (l *loadPoller) fetchLoad(ctx context.Context, address string) (loadReport, error) {
 	var r loadReport
-	err := getJSON(ctx, l.client, "http://"+address+"/load", &r)
+	err := getJSON(ctx, l.loadClient, "http://"+address+"/load", &r)
 	return r, err
 }
 
 // asOf turns the target's wall clock into this process's time. A clock that is
 // far off cannot make a report newer than its answer or very old.
-func (l *loadPoller) asOf(asked time.Duration, r loadReport) time.Duration {
+func (l *loadPoller) reportTime(asked time.Duration, r loadReport) time.Duration {
 	now := l.clock.now()
 	age := time.Duration(l.clock.wallMillis()-r.AsOfMS) * time.Millisecond
 	age = min(max(age, 0), maxReportAge)
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	poisonTick        = 50 * time.Millisecond
-	poisonSendTimeout = 200 * time.Millisecond
+	poisonTickInterval = 50 * time.Millisecond
+	poisonSendTimeout  = 200 * time.Millisecond
 	// crashGather is how long the requests that a crash broke are gathered
 	// before the peers are told of all of them at once.
-	crashGather = 20 * time.Millisecond
+	crashBatchDelay = 20 * time.Millisecond
 	// permitWait bounds the wait of a suspect for a target to run on alone.
 	// Innocent requests that shared a crashed target wait their turn in it.
-	permitWait = 30 * time.Second
+	permitTimeout = 30 * time.Second
 )
 
 // poisonDriver runs the registry of requests that crash their targets.
@@ -28,20 +28,20 @@
 	clock clock
 	node  *peer.Node
 
-	mu       sync.Mutex
-	registry *poison.Registry
-	waiting  map[string]chan poison.Decision
-	crashes  map[poison.CrashID][]string // gathered requests
-	address  map[string]string           // of a peer's incarnation
+	mu           sync.Mutex
+	registry     *poison.Registry
+	waiting      map[string]chan poison.Decision
+	crashBatches map[poison.CrashID][]string // gathered requests
+	addresses    map[string]string           // of a peer's incarnation
 }
 
 func newPoisonDriver(c clock, node *peer.Node) *poisonDriver {
 	d := &poisonDriver{
 		clock: c, node: node,
-		registry: poison.New(poison.Config{Self: node.Self().Incarnation, AskTimeout: permitWait}),
-		waiting:  make(map[string]chan poison.Decision),
-		crashes:  make(map[poison.CrashID][]string),
-		address:  make(map[string]string),
+		registry:     poison.New(poison.Config{Self: node.Self().Incarnation, AskTimeout: permitTimeout}),
+		waiting:      make(map[string]chan poison.Decision),
+		crashBatches: make(map[poison.CrashID][]string),
+		addresses:    make(map[string]string),
 	}
 	for _, kind := range []wire.Kind{
 		wire.KindPoisonNotice, wire.KindPoisonAck, wire.KindPoisonPermitRequest,
@@ -59,32 +59,32 @@
 	ids := make([]string, 0, len(peers))
 	for _, p := range peers {
 		ids = append(ids, p.Incarnation)
-		if d.address[p.Incarnation] == "" {
-			d.address[p.Incarnation] = p.Address
-			d.introduce(p.Incarnation)
+		if d.addresses[p.Incarnation] == "" {
+			d.addresses[p.Incarnation] = p.Address
+			d.sendState(p.Incarnation)
 		}
 	}
 	d.registry.SetPeers(d.clock.now(), ids)
-	d.work()
-	d.forgetOthers(ids)
+	d.processReady()
+	d.removeOtherAddresses(ids)
 }
 
 // forgetOthers drops the addresses of processes that are gone: there is a new
 // one with each restart in the fleet. Callers hold mu.
-func (d *poisonDriver) forgetOthers(ids []string) {
-	for id := range d.address {
+func (d *poisonDriver) removeOtherAddresses(ids []string) {
+	for id := range d.addresses {
 		if !slices.Contains(ids, id) {
-			delete(d.address, id)
+			delete(d.addresses, id)
 		}
 	}
 }
 
 // introduce gives a peer that was not known all that is known here. Callers
 // hold mu.
-func (d *poisonDriver) introduce(incarnation string) {
+func (d *poisonDriver) sendState(incarnation string) {
 	state := d.registry.State(d.clock.now())
 	if len(state.Crashes)+len(state.Quarantines) > 0 {
-		go d.send(poison.Message{To: incarnation, Kind: wire.KindPoisonNotice, Body: state}, d.address[incarnation])
+		go d.send(poison.Message{To: incarnation, Kind: wire.KindPoisonNotice, Body: state}, d.addresses[incarnation])
 	}
 }
 
@@ -96,20 +96,20 @@
 		d.mu.Unlock()
 		return poison.Decision{Request: id, Verdict: v}
 	}
-	ch := d.await(id)
-	d.work()
+	ch := d.addWaiter(id)
+	d.processReady()
 	d.mu.Unlock()
-	return d.decision(ctx, id, ch)
+	return d.waitForDecision(ctx, id, ch)
 }
 
 // await registers a request for its next decision. Callers hold mu.
-func (d *poisonDriver) await(id string) chan poison.Decision {
+func (d *poisonDriver) addWaiter(id string) chan poison.Decision {
 	ch := make(chan poison.Decision, 1)
 	d.waiting[id] = ch
 	return ch
 }
 
-func (d *poisonDriver) decision(ctx context.Context, id string, ch chan poison.Decision) poison.Decision {
+func (d *poisonDriver) waitForDecision(ctx context.Context, id string, ch chan poison.Decision) poison.Decision {
 	select {
 	case x := <-ch:
 		return x
@@ -122,14 +122,14 @@
 }
 
 // quiet reports that no request is suspected or quarantined.
-func (d *poisonDriver) quiet() bool {
+func (d *poisonDriver) noSuspects() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.registry.SuspectCount() == 0
 }
 
 // running registers a request that was sent while all was quiet.
-func (d *poisonDriver) running(id string, fp poison.Fingerprint, pool, target string, targets []string) {
+func (d *poisonDriver) registerRunning(id string, fp poison.Fingerprint, pool, target string, targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.registry.RegisterRunning(id, fp, pool, target, targets)
@@ -144,26 +144,26 @@
 
 // crashed tells that a request's target was lost with it, and waits until the
 // peers know.
-func (d *poisonDriver) crashed(ctx context.Context, id string, crash poison.CrashID) poison.Decision {
+func (d *poisonDriver) reportCrash(ctx context.Context, id string, crash poison.CrashID) poison.Decision {
 	d.mu.Lock()
-	ch := d.await(id)
-	d.crashes[crash] = append(d.crashes[crash], id)
-	if len(d.crashes[crash]) == 1 {
-		time.AfterFunc(crashGather, func() { d.blame(crash) })
+	ch := d.addWaiter(id)
+	d.crashBatches[crash] = append(d.crashBatches[crash], id)
+	if len(d.crashBatches[crash]) == 1 {
+		time.AfterFunc(crashBatchDelay, func() { d.flushCrashBatch(crash) })
 	}
 	d.mu.Unlock()
-	return d.decision(ctx, id, ch)
+	return d.waitForDecision(ctx, id, ch)
 }
 
 // blame reports a crash with all requests gathered.
-func (d *poisonDriver) blame(crash poison.CrashID) {
+func (d *poisonDriver) flushCrashBatch(crash poison.CrashID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lost := d.crashes[crash]
-	delete(d.crashes, crash)
+	lost := d.crashBatches[crash]
+	delete(d.crashBatches, crash)
 	logline.Info("target_crashed", "target", crash.Target, "incarnation", crash.Incarnation, "requests", len(lost))
 	d.registry.TargetCrashed(d.clock.now(), crash.Target, crash.Incarnation, lost)
-	d.work()
+	d.processReady()
 }
 
 // ended tells that a request is over.
@@ -171,21 +171,21 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.registry.Ended(d.clock.now(), id, completed)
-	d.work()
+	d.processReady()
 }
 
 func (d *poisonDriver) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, poisonTick)
+		sleep(ctx, poisonTickInterval)
 		d.mu.Lock()
 		d.registry.Tick(d.clock.now())
-		d.work()
+		d.processReady()
 		d.mu.Unlock()
 	}
 }
 
 // work does what the registry has ready. Callers hold mu.
-func (d *poisonDriver) work() {
+func (d *poisonDriver) processReady() {
 	ready := d.registry.Ready()
 	for _, x := range ready.Decisions {
 		if ch := d.waiting[x.Request]; ch != nil {
@@ -194,7 +194,7 @@
 		}
 	}
 	for _, m := range ready.Messages {
-		go d.send(m, d.address[m.To])
+		go d.send(m, d.addresses[m.To])
 	}
 }
 
@@ -216,11 +216,11 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.address[from.Incarnation] == "" {
-		d.address[from.Incarnation] = from.Address
+	if d.addresses[from.Incarnation] == "" {
+		d.addresses[from.Incarnation] = from.Address
 	}
 	d.registry.Receive(d.clock.now(), from.Incarnation, body)
-	d.work()
+	d.processReady()
 	return nil, nil
 }
 
--- a/internal/entry/poolreports.go
+++ b/internal/entry/poolreports.go
@@ -21,11 +21,11 @@
 			p.pool.ApplyFilters(i)
 		}
 	}
-	p.activate()
+	p.updateActiveVersion()
 }
 
 // identity is what the i-th target is now. Callers hold mu.
-func (p *enginePool) identity(i int) cacheindex.Identity {
+func (p *enginePool) cacheIdentity(i int) cacheindex.Identity {
 	t := p.pool.Target(i)
 	return cacheindex.Identity{Target: t.Name, Incarnation: t.Incarnation, Version: t.Version}
 }
@@ -40,7 +40,7 @@
 
 // observe takes a load report in. asked is when the question was sent, asOf
 // when the report was true.
-func (p *enginePool) observe(name string, asked, asOf time.Duration, r loadReport) {
+func (p *enginePool) applyLoadReport(name string, asked, asOf time.Duration, r loadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i, ok := p.pool.Find(name)
@@ -49,30 +49,30 @@
 	}
 	t := p.pool.Target(i)
 	back := t.Incarnation != "" && t.Incarnation != r.Incarnation
-	t.Cache = p.index.Observe(asked, cacheindex.Identity{Target: name, Incarnation: r.Incarnation, Version: r.Version})
+	t.Cache = p.cacheIndex.Observe(asked, cacheindex.Identity{Target: name, Incarnation: r.Incarnation, Version: r.Version})
 	if t.Incarnation != r.Incarnation || t.Version != r.Version {
 		if t.Incarnation != "" {
-			p.returned[name] = asked
+			p.restartedAt[name] = asked
 		}
 		t.Load.Reset(asOf)
 		t.Incarnation, t.Version = r.Incarnation, r.Version
 		p.pool.ApplyFilters(i)
-		p.activate()
+		p.updateActiveVersion()
 	}
-	if at, ok := p.returned[name]; ok {
+	if at, ok := p.restartedAt[name]; ok {
 		t.SlowStartFactor = placement.SlowStartFactor(asked - at)
 	}
 	t.Load.Report(asOf, r.QueuedPrefillTokens)
-	p.answersQuestions(name, back)
+	p.markResponsiveLocked(name, back)
 }
 
 // unanswered takes in that a target answers no load questions: it gets no new
 // work, and the answers that it still owes are given up.
-func (p *enginePool) unanswered(name string) {
+func (p *enginePool) markUnresponsive(name string) {
 	p.mu.Lock()
-	p.answersNoQuestions(name)
-	list := make([]func(), 0, len(p.watchers[name]))
-	for _, down := range p.watchers[name] {
+	p.markUnresponsiveLocked(name)
+	list := make([]func(), 0, len(p.unresponsiveCallbacks[name]))
+	for _, down := range p.unresponsiveCallbacks[name] {
 		list = append(list, down)
 	}
 	p.mu.Unlock()
@@ -83,18 +83,18 @@
 
 // watch calls down when the target is found to answer no questions, until stop
 // is called.
-func (p *enginePool) watch(name string, down func()) (stop func()) {
+func (p *enginePool) onUnresponsive(name string, down func()) (stop func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextID++
 	id := p.nextID
-	if p.watchers[name] == nil {
-		p.watchers[name] = make(map[uint64]func())
+	if p.unresponsiveCallbacks[name] == nil {
+		p.unresponsiveCallbacks[name] = make(map[uint64]func())
 	}
-	p.watchers[name][id] = down
+	p.unresponsiveCallbacks[name][id] = down
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.watchers[name], id)
+		delete(p.unresponsiveCallbacks[name], id)
 	}
 }
--- a/internal/entry/pools.go
+++ b/internal/entry/pools.go
@@ -40,17 +40,17 @@
 	}
 	p.mu.Lock()
 	for name, cfg := range intent.Pools {
-		p.configureOne(cfg, intent.Models[cfg.Model], byPool[name], routers)
+		p.configurePool(cfg, intent.Models[cfg.Model], byPool[name], routers)
 	}
 	p.mu.Unlock()
 	all := make([]config.Target, 0, len(intent.Targets))
 	for _, t := range intent.Targets {
 		all = append(all, t)
 	}
-	p.poller.follow(p.ctx, all, p.engine)
+	p.poller.setTargets(p.ctx, all, p.engine)
 }
 
-func (p *pools) configureOne(cfg config.Pool, model config.Model, targets []config.Target, routers int) {
+func (p *pools) configurePool(cfg config.Pool, model config.Model, targets []config.Target, routers int) {
 	if cfg.Kind == config.KindService {
 		if p.services[cfg.Name] == nil {
 			p.services[cfg.Name] = newServicePool(p.clock, p.domain)
--- a/internal/entry/security.go
+++ b/internal/entry/security.go
@@ -10,17 +10,17 @@
 
 // security is the TLS of the process's listeners, nil where none is set, and
 // the operators' tokens.
-type security struct {
+type listenerSecurity struct {
 	callers, peers *tls.Config
 	admin          adminTokens
 }
 
-func newSecurity(s *settings.Settings) (security, error) {
+func newListenerSecurity(s *settings.Settings) (listenerSecurity, error) {
 	tokens, err := loadAdminTokens(s.AdminTokenFile)
 	if err != nil {
-		return security{}, err
+		return listenerSecurity{}, err
 	}
-	sec := security{admin: tokens}
+	sec := listenerSecurity{admin: tokens}
 	if s.CallerTLSCert != "" {
 		pair, err := certs.NewKeyPair(s.CallerTLSCert, s.CallerTLSKey, time.Now)
 		if err != nil {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -22,47 +22,47 @@
 
 // server answers callers.
 type server struct {
-	clock   clock
-	config  *configDriver
-	rates   *rateDriver
-	claims  *claimDriver
-	pools   *pools
-	poison  *poisonDriver
-	budget  *overload.SharedRetryBudget
-	targets *targetClient
-	metrics *entryMetrics
-	maxBody int64
+	clock        clock
+	config       *configDriver
+	rates        *rateDriver
+	claims       *claimDriver
+	pools        *pools
+	poison       *poisonDriver
+	retryBudget  *overload.SharedRetryBudget
+	targetClient *targetClient
+	metrics      *entryMetrics
+	maxBody      int64
 
 	// full reports whether too many connections are open.
-	full func() bool
+	overConnectionLimit func() bool
 	// closing is set when the process no longer takes requests.
-	closing atomic.Bool
-	running sync.WaitGroup
+	shuttingDown atomic.Bool
+	inFlight     sync.WaitGroup
 }
 
 // call is one request of a caller on its way through.
 type call struct {
-	id      string
-	w       http.ResponseWriter
-	r       *http.Request
-	began   time.Duration
-	due     time.Duration
-	key     string
-	keyID   string
-	account config.Account
-	route   config.Route
-	body    []byte
+	id        string
+	w         http.ResponseWriter
+	r         *http.Request
+	startedAt time.Duration
+	deadline  time.Duration
+	apiKey    string
+	keyID     string
+	account   config.Account
+	route     config.Route
+	body      []byte
 	// attempts counts the tries at targets.
 	attempts int
 	// wrote is set once the head of the answer went to the caller.
-	wrote bool
+	headSent bool
 }
 
 // ServeHTTP implements http.Handler.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.running.Add(1)
-	defer s.running.Done()
-	c := &call{id: uuid.Must(uuid.NewV7()).String(), w: w, r: r, began: s.clock.now()}
+	s.inFlight.Add(1)
+	defer s.inFlight.Done()
+	c := &call{id: uuid.Must(uuid.NewV7()).String(), w: w, r: r, startedAt: s.clock.now()}
 	w.Header().Set(headerRequestID, c.id)
 	if err := s.serve(c); err != nil {
 		s.refuse(c, err)
@@ -71,10 +71,10 @@
 
 // serve runs one request. A returned error has not been written yet.
 func (s *server) serve(c *call) error {
-	if s.closing.Load() {
+	if s.shuttingDown.Load() {
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "this instance is shutting down", time.Second)
 	}
-	if s.full() {
+	if s.overConnectionLimit() {
 		c.w.Header().Set("Connection", "close")
 		return refusal(http.StatusServiceUnavailable, openai.CodeTooManyConnections, "too many connections", time.Second)
 	}
@@ -82,7 +82,7 @@
 	if intent == nil {
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "no configuration yet", time.Second)
 	}
-	c.key = bearer(c.r)
+	c.apiKey = bearerToken(c.r)
 	if err := s.authorize(c); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 // authorize checks the call's key against the configuration in force now.
 func (s *server) authorize(c *call) error {
 	s.config.thaw.wait(c.r.Context())
-	account, keyID, err := s.config.authorize(c.key)
+	account, keyID, err := s.config.authorize(c.apiKey)
 	c.account, c.keyID = account, keyID
 	if err == nil {
 		return nil
@@ -109,7 +109,7 @@
 	return refusal(http.StatusUnauthorized, openai.CodeInvalidKey, "the key is not valid", 0)
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
@@ -140,7 +140,7 @@
 // dispatchByRoute finds the route of a request. Several routes may share an
 // OpenAI path; the model named in the body chooses between them.
 func (s *server) dispatchByRoute(c *call, intent *config.Intent) error {
-	routes := routesOf(intent, c.r.URL.Path)
+	routes := routesForPath(intent, c.r.URL.Path)
 	if len(routes) == 0 {
 		return refusal(http.StatusNotFound, openai.CodeNotFound, "no route has this path", 0)
 	}
@@ -150,11 +150,11 @@
 	if c.r.Method != http.MethodPost {
 		return refusal(http.StatusMethodNotAllowed, openai.CodeBadRequest, "expected POST", 0)
 	}
-	req, err := parseBody(c.r.URL.Path, c.body)
+	req, err := parseRequestBody(c.r.URL.Path, c.body)
 	if err != nil {
 		return refusal(http.StatusBadRequest, openai.CodeBadRequest, err.Error(), 0)
 	}
-	route, pool, ok := modelRoute(intent, routes, req.Model)
+	route, pool, ok := routeForModel(intent, routes, req.Model)
 	if !ok {
 		return refusal(http.StatusNotFound, openai.CodeNotFound, "no route serves this model", 0)
 	}
@@ -162,7 +162,7 @@
 }
 
 // modelRoute is the first of the routes whose pool serves the model.
-func modelRoute(intent *config.Intent, routes []config.Route, model string) (config.Route, config.Pool, bool) {
+func routeForModel(intent *config.Intent, routes []config.Route, model string) (config.Route, config.Pool, bool) {
 	for _, route := range routes {
 		if pool := intent.Pools[route.Pool]; pool.Model == model {
 			return route, pool, true
@@ -171,7 +171,7 @@
 	return config.Route{}, config.Pool{}, false
 }
 
-func parseBody(path string, body []byte) (openai.Request, error) {
+func parseRequestBody(path string, body []byte) (openai.Request, error) {
 	if path == completionPath {
 		return openai.ParseCompletion(body)
 	}
@@ -179,7 +179,7 @@
 }
 
 // routesOf returns the routes of a path, in the order of their names.
-func routesOf(intent *config.Intent, path string) []config.Route {
+func routesForPath(intent *config.Intent, path string) []config.Route {
 	var routes []config.Route
 	for _, r := range intent.Routes {
 		if r.Path == path {
@@ -221,7 +221,7 @@
 	}
 	answer := *e
 	answer.RequestID = c.id
-	if !c.wrote {
+	if !c.headSent {
 		answer.Write(c.w)
 	}
 	s.metrics.refused(c.account.Name, answer.Code)
--- a/internal/entry/servicepool.go
+++ b/internal/entry/servicepool.go
@@ -17,7 +17,7 @@
 	serviceRetryAfter = time.Second
 	// serviceMaxWait bounds the wait between probes. Plain services answer no
 	// load questions: only a probe finds out that one is back.
-	serviceMaxWait = time.Second
+	serviceMaxProbeWait = time.Second
 )
 
 // servicePool decides for the requests of one pool of plain services.
@@ -25,17 +25,17 @@
 	clock  clock
 	domain string
 
-	mu       sync.Mutex
-	cfg      config.Pool
-	targets  []placement.ServiceTarget
-	address  map[string]string
-	breakers breakers
-	draining map[string]bool
-	rng      *rand.Rand
+	mu        sync.Mutex
+	cfg       config.Pool
+	targets   []placement.ServiceTarget
+	addresses map[string]string
+	breakers  breakerSet
+	draining  map[string]bool
+	rng       *rand.Rand
 }
 
 // servicePlaced is a target chosen for one attempt.
-type servicePlaced struct {
+type servicePlacedAttempt struct {
 	target  string
 	address string
 	ticket  breakerTicket
@@ -45,7 +45,7 @@
 	return &servicePool{
 		clock:    c,
 		domain:   domain,
-		breakers: newBreakers(overload.BreakerConfig{MaxWait: serviceMaxWait}),
+		breakers: newBreakers(overload.BreakerConfig{MaxWait: serviceMaxProbeWait}),
 		draining: make(map[string]bool),
 		rng:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
@@ -60,47 +60,47 @@
 	}
 	p.breakers.configure(targets)
 	p.cfg, p.targets = cfg, p.targets[:0]
-	p.address = make(map[string]string, len(targets))
+	p.addresses = make(map[string]string, len(targets))
 	for _, t := range targets {
-		p.address[t.Name] = t.Address
+		p.addresses[t.Name] = t.Address
 		p.targets = append(p.targets, placement.ServiceTarget{Name: t.Name, Domain: t.Domain, Outstanding: outstanding[t.Name]})
 	}
 }
 
 // acquire chooses a target and counts the request there until release. The
 // error is an *openai.Error: the request has not run.
-func (p *servicePool) acquire(exclude string) (servicePlaced, error) {
+func (p *servicePool) acquire(exclude string) (servicePlacedAttempt, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	i, ok := p.choose(exclude, func(b *targetBreaker) bool { return b.Ready(p.clock.now()) })
+	i, ok := p.chooseTarget(exclude, func(b *targetBreaker) bool { return b.Ready(p.clock.now()) })
 	if !ok {
 		// A pool that was lost as a whole starts slowly as a whole. There is no
 		// queue here: what is over the limits would be refused.
-		i, ok = p.choose(exclude, func(b *targetBreaker) bool { return b.State() != overload.Open })
+		i, ok = p.chooseTarget(exclude, func(b *targetBreaker) bool { return b.State() != overload.Open })
 	}
 	if !ok {
-		return servicePlaced{}, &openai.Error{
+		return servicePlacedAttempt{}, &openai.Error{
 			Status: http.StatusServiceUnavailable, Code: openai.CodeNoTarget, Outcome: openai.NotRun,
 			Message: "no target can take the request", RetryAfter: serviceRetryAfter,
 		}
 	}
 	p.targets[i].Outstanding++
 	name := p.targets[i].Name
-	return servicePlaced{target: name, address: p.address[name], ticket: p.breakers.begin(name)}, nil
+	return servicePlacedAttempt{target: name, address: p.addresses[name], ticket: p.breakers.begin(name)}, nil
 }
 
 // choose picks one of the targets whose breakers are taken. Callers hold mu.
-func (p *servicePool) choose(exclude string, takes func(*targetBreaker) bool) (int, bool) {
+func (p *servicePool) chooseTarget(exclude string, takes func(*targetBreaker) bool) (int, bool) {
 	for i := range p.targets {
 		t := &p.targets[i]
-		t.Usable = !p.draining[t.Name] && takes(p.breakers.of[t.Name])
+		t.Usable = !p.draining[t.Name] && takes(p.breakers.byTarget[t.Name])
 	}
 	return placement.LeastOutstanding(p.targets, p.domain, exclude, p.cfg.MaxConcurrent, p.rng)
 }
 
 // release ends an attempt and takes in what it says of the target. One that
 // can't be connected to gets probes only, at once.
-func (p *servicePool) release(pl servicePlaced, r overload.Result, unreachable bool) {
+func (p *servicePool) release(pl servicePlacedAttempt, r overload.Result, unreachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.targets {
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -18,13 +18,13 @@
 
 // forwardedHeaders go from a caller to a plain service. Everything else stays
 // here, above all the caller's key.
-var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", headerIdempotency}
+var forwardedRequestHeaders = []string{"Content-Type", "Accept", "Accept-Language", headerIdempotencyKey}
 
 // answeredHeaders go back from a plain service to the caller.
-var answeredHeaders = []string{"Content-Type", "Content-Language", "Location", "Retry-After"}
+var forwardedResponseHeaders = []string{"Content-Type", "Content-Language", "Location", "Retry-After"}
 
 // serviceAnswer is the whole answer of a plain service.
-type serviceAnswer struct {
+type serviceResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -32,9 +32,9 @@
 
 func (s *server) serveService(c *call, route config.Route, pool config.Pool) error {
 	c.route = route
-	c.due = c.began + route.Deadline
+	c.deadline = c.startedAt + route.Deadline
 	var reserved rate.Reservation
-	if err := s.admit(c, route.CostTokens, &reserved); err != nil {
+	if err := s.reserveRate(c, route.CostTokens, &reserved); err != nil {
 		return err
 	}
 	used := route.CostTokens
@@ -50,13 +50,13 @@
 // runService sends the request, under a claim when it may run only once and
 // carries an Idempotency-Key.
 func (s *server) runService(c *call, pool config.Pool) error {
-	key := c.r.Header.Get(headerIdempotency)
+	key := c.r.Header.Get(headerIdempotencyKey)
 	if c.route.Idempotent || key == "" {
 		ans, err := s.sendService(c, pool, nil)
 		if err != nil {
 			return err
 		}
-		s.answerService(c, pool, ans)
+		s.writeServiceResponse(c, pool, ans)
 		return nil
 	}
 	return s.runClaimed(c, pool, key)
@@ -64,26 +64,26 @@
 
 // sendService tries targets until one answers. before runs right before the
 // first byte goes out.
-func (s *server) sendService(c *call, pool config.Pool, before func() error) (serviceAnswer, error) {
-	s.budget.AddRequest()
+func (s *server) sendService(c *call, pool config.Pool, before func() error) (serviceResponse, error) {
+	s.retryBudget.AddRequest()
 	sp := s.pools.service(pool.Name)
 	exclude := ""
 	for {
 		pl, err := sp.acquire(exclude)
 		if err != nil {
-			return serviceAnswer{}, err
+			return serviceResponse{}, err
 		}
 		ans, err := s.tryService(c, pl.target, pl.address, before)
 		before = nil
-		res := serviceResult(c, ans, err)
-		sp.release(pl, res, res == overload.Failed && unreachable(err))
+		res := resultOfServiceAttempt(c, ans, err)
+		sp.release(pl, res, res == overload.Failed && isUnreachableError(err))
 		if err == nil {
 			s.metrics.attempt(pool.Name, "answered")
 			return ans, nil
 		}
 		s.metrics.attempt(pool.Name, "failed")
-		if !s.mayRepeat(c, err) {
-			return serviceAnswer{}, err
+		if !s.mayRetry(c, err) {
+			return serviceResponse{}, err
 		}
 		exclude = pl.target
 	}
@@ -92,7 +92,7 @@
 // serviceResult is what an attempt says of its target. An answer with a server
 // error goes to the caller as it is, and counts against the target all the
 // same.
-func serviceResult(c *call, ans serviceAnswer, err error) overload.Result {
+func resultOfServiceAttempt(c *call, ans serviceResponse, err error) overload.Result {
 	var failed *openai.Error
 	switch {
 	case err == nil && ans.status < http.StatusInternalServerError:
@@ -107,64 +107,64 @@
 }
 
 // unreachable reports that no connection to the target was made.
-func unreachable(err error) bool {
+func isUnreachableError(err error) bool {
 	var failed *openai.Error
 	return errors.As(err, &failed) && failed.Code == openai.CodeTargetFailed && failed.Outcome == openai.NotRun
 }
 
-func (s *server) mayRepeat(c *call, err error) bool {
+func (s *server) mayRetry(c *call, err error) bool {
 	var failed *openai.Error
 	if !errors.As(err, &failed) || failed.Code != openai.CodeTargetFailed {
 		return false
 	}
-	if c.attempts >= maxAttempts || c.r.Context().Err() != nil || s.clock.now() >= c.due {
+	if c.attempts >= maxAttempts || c.r.Context().Err() != nil || s.clock.now() >= c.deadline {
 		return false
 	}
-	return (c.route.Idempotent || failed.Outcome == openai.NotRun) && s.budget.TakeRetry()
+	return (c.route.Idempotent || failed.Outcome == openai.NotRun) && s.retryBudget.TakeRetry()
 }
 
-func (s *server) tryService(c *call, name, address string, before func() error) (serviceAnswer, error) {
+func (s *server) tryService(c *call, name, address string, before func() error) (serviceResponse, error) {
 	if err := s.authorize(c); err != nil {
-		return serviceAnswer{}, err
+		return serviceResponse{}, err
 	}
 	if before != nil {
 		if err := before(); err != nil {
-			return serviceAnswer{}, err
+			return serviceResponse{}, err
 		}
 	}
 	c.attempts++
-	ctx, cancel := s.serviceContext(c)
+	ctx, cancel := s.serviceAttemptContext(c)
 	defer cancel()
-	resp, err := s.targets.send(ctx, attemptRequest{
-		attempt: attemptID(c), target: name, address: address, method: c.r.Method, path: c.r.URL.Path,
+	resp, err := s.targetClient.send(ctx, attemptRequest{
+		attemptID: attemptID(c), target: name, address: address, method: c.r.Method, path: c.r.URL.Path,
 		query: c.r.URL.RawQuery, account: c.account.Name, priority: c.route.Priority,
-		header: forwarded(c.r.Header), body: c.body, once: !c.route.Idempotent,
+		header: filterRequestHeaders(c.r.Header), body: c.body, sendOnce: !c.route.Idempotent,
 	})
 	if err != nil {
-		return serviceAnswer{}, attemptError(err)
+		return serviceResponse{}, exchangeError(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBodyBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBodyBytes))
 	if err != nil {
-		return serviceAnswer{}, attemptError(&sendError{step: "read answer", target: name, outcome: openai.MayHaveRun, cause: err})
+		return serviceResponse{}, exchangeError(&sendError{op: "read answer", target: name, outcome: openai.MayHaveRun, cause: err})
 	}
-	return serviceAnswer{status: resp.StatusCode, header: resp.Header, body: body}, nil
+	return serviceResponse{status: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
 // serviceContext bounds an attempt by the deadline. A request that may run
 // only once is not cut off when its caller leaves: its answer has to be
 // recorded for the caller's repeat.
-func (s *server) serviceContext(c *call) (context.Context, context.CancelFunc) {
+func (s *server) serviceAttemptContext(c *call) (context.Context, context.CancelFunc) {
 	parent := c.r.Context()
 	if !c.route.Idempotent {
 		parent = context.WithoutCancel(parent)
 	}
-	return context.WithTimeout(parent, c.due-s.clock.now())
+	return context.WithTimeout(parent, c.deadline-s.clock.now())
 }
 
-func forwarded(from http.Header) http.Header {
+func filterRequestHeaders(from http.Header) http.Header {
 	to := http.Header{}
-	for _, name := range forwardedHeaders {
+	for _, name := range forwardedRequestHeaders {
 		if v := from.Values(name); len(v) > 0 {
 			to[http.CanonicalHeaderKey(name)] = v
 		}
@@ -172,8 +172,8 @@
 	return to
 }
 
-func (s *server) answerService(c *call, pool config.Pool, ans serviceAnswer) {
-	for _, name := range answeredHeaders {
+func (s *server) writeServiceResponse(c *call, pool config.Pool, ans serviceResponse) {
+	for _, name := range forwardedResponseHeaders {
 		if v := ans.header.Get(name); v != "" {
 			c.w.Header().Set(name, v)
 		}
@@ -182,7 +182,7 @@
 	_, _ = c.w.Write(ans.body)
 	s.metrics.answered(c.account.Name, pool.Name)
 	logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", c.route.Name,
-		"attempts", c.attempts, "status", ans.status, "ms", (s.clock.now() - c.began).Milliseconds())
+		"attempts", c.attempts, "status", ans.status, "ms", (s.clock.now() - c.startedAt).Milliseconds())
 }
 
 // runClaimed runs a request at most once over all instances.
@@ -190,25 +190,25 @@
 	answer, err := s.claims.begin(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
 		RequestHash: claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
-		Deadline:    c.due, RunWhenLogDown: c.route.RunWhenLogDown,
+		Deadline:    c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
 	})
 	if err != nil {
 		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller left before the request ran", time.Second)
 	}
 	if answer.State != claim.Run {
-		return s.answerRepeat(c, pool, answer)
+		return s.answerDuplicate(c, pool, answer)
 	}
 	ans, err := s.sendService(c, pool, func() error { return s.claims.dispatch(c.id) })
 	if err == nil {
 		s.claims.finish(c.id, claim.Result{Status: ans.status, ContentType: ans.header.Get("Content-Type"), Body: ans.body})
-		s.answerService(c, pool, ans)
+		s.writeServiceResponse(c, pool, ans)
 		return nil
 	}
-	return s.claimedFailure(c, err)
+	return s.settleFailedClaim(c, err)
 }
 
 // claimedFailure settles the claim of a request that got no answer.
-func (s *server) claimedFailure(c *call, err error) error {
+func (s *server) settleFailedClaim(c *call, err error) error {
 	var failed *openai.Error
 	if errors.As(err, &failed) && failed.Outcome != openai.NotRun {
 		s.claims.finish(c.id, claim.Result{Unknown: true})
@@ -222,14 +222,14 @@
 }
 
 // answerRepeat answers a request whose key is another request's.
-func (s *server) answerRepeat(c *call, pool config.Pool, a claim.Answer) error {
+func (s *server) answerDuplicate(c *call, pool config.Pool, a claim.Answer) error {
 	switch a.State {
 	case claim.Replay:
-		return s.replay(c, pool, *a.Result)
+		return s.replayResult(c, pool, *a.Result)
 	case claim.InProgress:
 		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeInProgress, Outcome: openai.MayHaveRun, Message: "the first request with this key is still running", RetryAfter: time.Second}
 	case claim.MayHaveRun, claim.TooOld:
-		return unknownOutcome()
+		return unknownOutcomeError()
 	case claim.BodyMismatch:
 		return refusal(http.StatusUnprocessableEntity, openai.CodeKeyReused, "the key belongs to a different request", 0)
 	default:
@@ -238,7 +238,7 @@
 }
 
 // unknownOutcome is the answer to a repeat whose first request may have run.
-func unknownOutcome() *openai.Error {
+func unknownOutcomeError() *openai.Error {
 	return &openai.Error{
 		Status: http.StatusConflict, Code: openai.CodeUnknownOutcome, Outcome: openai.MayHaveRun,
 		Message: "a request with this key may have run; its outcome is not known",
@@ -246,14 +246,14 @@
 }
 
 // replay gives the first request's answer to its repeat.
-func (s *server) replay(c *call, pool config.Pool, res claim.Result) error {
+func (s *server) replayResult(c *call, pool config.Pool, res claim.Result) error {
 	if res.Unknown {
-		return unknownOutcome()
+		return unknownOutcomeError()
 	}
 	if res.BodyDropped {
 		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeUnknownOutcome, Outcome: openai.Ran, Message: "the request ran; its answer was too large to keep"}
 	}
 	c.w.Header().Set("Idempotent-Replayed", "true")
-	s.answerService(c, pool, serviceAnswer{status: res.Status, header: http.Header{"Content-Type": {res.ContentType}}, body: res.Body})
+	s.writeServiceResponse(c, pool, serviceResponse{status: res.Status, header: http.Header{"Content-Type": {res.ContentType}}, body: res.Body})
 	return nil
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -156,7 +156,7 @@
 	for i := range p.pool.Len() {
 		t := p.pool.Target(i)
 		list = append(list, targetView{
-			Name: t.Name, Pool: p.cfg.Name, Domain: t.Domain, Address: p.address[t.Name],
+			Name: t.Name, Pool: p.cfg.Name, Domain: t.Domain, Address: p.addresses[t.Name],
 			Incarnation: t.Incarnation, Version: t.Version, RejectedBy: p.pool.RejectedBy(i),
 		})
 	}
@@ -168,11 +168,11 @@
 	defer p.mu.Unlock()
 	var list []targetView
 	for _, t := range p.targets {
-		v := targetView{Name: t.Name, Pool: p.cfg.Name, Domain: t.Domain, Address: p.address[t.Name]}
+		v := targetView{Name: t.Name, Pool: p.cfg.Name, Domain: t.Domain, Address: p.addresses[t.Name]}
 		if p.draining[t.Name] {
 			v.RejectedBy = append(v.RejectedBy, "draining")
 		}
-		if b := p.breakers.of[t.Name]; b.shut(p.clock.now()) {
+		if b := p.breakers.byTarget[t.Name]; b.blocked(p.clock.now()) {
 			v.RejectedBy = append(v.RejectedBy, "breaker")
 		}
 		list = append(list, v)
