--- a/internal/entry/attemptid.go
+++ b/internal/entry/attemptid.go
@@ -2,6 +2,7 @@
 
 import "strconv"
 
-// attemptID is unique to one try of one request. Targets repeat it, so that
-// an answer to an earlier try is never taken for the present one's.
+// attemptID returns the id of the call's current attempt. Targets return it in
+// their responses, so that a response to an earlier attempt is not mistaken for
+// one to the current attempt.
 func attemptID(c *call) string { return c.id + "." + strconv.Itoa(c.attempts) }
--- a/internal/entry/breakers.go
+++ b/internal/entry/breakers.go
@@ -8,12 +8,14 @@
 	"github.com/mastictray/mastictray/internal/overload"
 )
 
-// breakers are the breakers of a pool's targets. The pool's lock guards them.
+// breakerSet holds the circuit breakers of a pool's targets. The pool's lock
+// guards it.
 type breakerSet struct {
 	cfg      overload.BreakerConfig
 	byTarget map[string]*targetBreaker
-	// limited are those that are not closed: what they let through changes with
-	// time, and looking at all targets for each request would cost too much.
+	// notClosed names the targets whose breakers are not closed. What these
+	// breakers allow changes with time, so they are updated before each decision;
+	// updating all targets for each request would cost too much.
 	notClosed map[string]bool
 }
 
@@ -21,32 +23,35 @@
 	return breakerSet{cfg: cfg, byTarget: make(map[string]*targetBreaker), notClosed: make(map[string]bool)}
 }
 
-// targetBreaker is a breaker with where its target is reached.
+// targetBreaker is the circuit breaker of one target.
 type targetBreaker struct {
 	*overload.Breaker
 	address string
-	// silent is set while the target answers no load questions.
+	// unresponsive is set while the target does not answer load queries.
 	unresponsive bool
 }
 
-// shut reports that the target gets no request at all now, not even a probe.
+// blocked reports whether the target may receive no request now, not even a
+// probe.
 func (b *targetBreaker) blocked(now time.Duration) bool {
 	return b.State() == overload.Open && !b.Ready(now)
 }
 
-// breakerTicket is one attempt at one target. It holds the breaker itself: one
-// that was replaced since takes no results of another.
+// breakerTicket records that one attempt was sent to a target. It refers to the
+// breaker rather than the target's name, so that a breaker that has since
+// replaced it does not count the result.
 type breakerTicket struct {
 	breaker *targetBreaker
 	ticket  overload.Ticket
 }
 
-// configure keeps the breakers of targets that stay at their address.
+// configure sets the targets. Targets whose address is unchanged keep their
+// breakers.
 func (b *breakerSet) configure(targets []config.Target) {
-	was := b.byTarget
+	previous := b.byTarget
 	b.byTarget = make(map[string]*targetBreaker, len(targets))
 	for _, t := range targets {
-		if kept, ok := was[t.Name]; ok && kept.address == t.Address {
+		if kept, ok := previous[t.Name]; ok && kept.address == t.Address {
 			b.byTarget[t.Name] = kept
 			continue
 		}
@@ -58,7 +63,8 @@
 	}
 }
 
-// note keeps the list of those that are not closed.
+// updateNotClosed adds the target to notClosed or removes it, depending on the
+// state of its breaker.
 func (b *breakerSet) updateNotClosed(name string, tb *targetBreaker) {
 	if tb.State() == overload.Closed {
 		delete(b.notClosed, name)
@@ -67,7 +73,7 @@
 	}
 }
 
-// begin counts an attempt that is sent.
+// begin records that an attempt is sent to the target.
 func (b *breakerSet) begin(name string) breakerTicket {
 	tb, ok := b.byTarget[name]
 	if !ok {
@@ -76,14 +82,15 @@
 	return breakerTicket{breaker: tb, ticket: tb.Begin()}
 }
 
-// end takes what became of the attempt.
+// end records the result of the attempt.
 func (t breakerTicket) end(now time.Duration, r overload.Result, rng *rand.Rand) {
 	if t.breaker != nil {
 		t.breaker.End(now, t.ticket, r, rng)
 	}
 }
 
-// begin makes the attempt on a target that was chosen. Callers hold mu.
+// beginAttempt records the start of an attempt at the chosen target. p.mu must
+// be held.
 func (p *enginePool) beginAttempt(s dispatchSend) placedAttempt {
 	name := s.Identity.Target
 	pl := placedAttempt{
@@ -94,24 +101,24 @@
 	return pl
 }
 
-// end takes what became of an attempt. Callers hold mu.
+// endAttempt records the result of an attempt. p.mu must be held.
 func (p *enginePool) endAttempt(pl placedAttempt, r overload.Result) {
 	pl.ticket.end(p.clock.now(), r, p.rng)
 	p.refreshBreaker(pl.target)
 }
 
-// refreshBreakers lets probes through where the wait is over. It is to run
-// before each decision. Callers hold mu.
+// refreshBreakers allows probes of targets whose wait is over. It must run
+// before each decision. p.mu must be held.
 func (p *enginePool) refreshBreakers() {
 	for name := range p.breakers.notClosed {
 		p.refreshBreaker(name)
 	}
 }
 
-// refreshBreaker puts the present state of a target's breaker into force. A
-// target that starts slowly stays in the pool while it is full: were it
-// rejected, the requests to a pool that restarted as a whole would be refused,
-// not wait. Callers hold mu.
+// refreshBreaker copies the state of a target's breaker to the pool. A target in
+// slow start that has reached its limit is not rejected: otherwise, after all
+// targets of a pool restarted, requests would be refused instead of waiting.
+// p.mu must be held.
 func (p *enginePool) refreshBreaker(name string) {
 	i, found := p.pool.Find(name)
 	b, ok := p.breakers.byTarget[name]
@@ -121,21 +128,22 @@
 	p.breakers.updateNotClosed(name, b)
 	t := p.pool.Target(i)
 	t.Limit, t.InFlight = b.Limit(), b.InFlight()
-	if shut := b.blocked(p.clock.now()); shut != t.BreakerOpen {
-		t.BreakerOpen = shut
+	if blocked := b.blocked(p.clock.now()); blocked != t.BreakerOpen {
+		t.BreakerOpen = blocked
 		p.pool.ApplyFilters(i)
 		p.updateActiveVersion()
 	}
 }
 
-// open keeps new work off a target that can't be connected to, but for probes.
+// markUnreachable opens the breaker of a target that refuses connections. It
+// then receives only probes.
 func (p *enginePool) markUnreachable(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.markUnreachableLocked(name)
 }
 
-// shut is open for callers that hold mu.
+// markUnreachableLocked is markUnreachable with p.mu held.
 func (p *enginePool) markUnreachableLocked(name string) {
 	if b, ok := p.breakers.byTarget[name]; ok {
 		b.Unreachable(p.clock.now(), p.rng)
@@ -143,10 +151,10 @@
 	}
 }
 
-// gone is open for a target whose process is known to be gone. Until a load
-// question goes unanswered it would else count as taking work: requests would
-// wait for the version that only it served. Another process that answers there
-// by now is left alone.
+// markProcessEnded opens the breaker of a target whose process has ended.
+// Otherwise the target would count as available until load queries to it fail,
+// and requests would wait for a version that only it served. It has no effect
+// if the target already runs as another incarnation.
 func (p *enginePool) markProcessEnded(name, incarnation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,8 +163,8 @@
 	}
 }
 
-// answersNoQuestions is open for a target whose load questions stay
-// unanswered. Callers hold mu.
+// markUnresponsiveLocked opens the breaker of a target that does not answer load
+// queries. p.mu must be held.
 func (p *enginePool) markUnresponsiveLocked(name string) {
 	if b, ok := p.breakers.byTarget[name]; ok {
 		b.unresponsive = true
@@ -164,10 +172,10 @@
 	p.markUnreachableLocked(name)
 }
 
-// answersQuestions takes a load report in: a target that is back, as a new
-// incarnation or after a silence, starts slowly. Whatever its requests do, one
-// that never was away stays as it is: a target may answer load questions and
-// fail every request. Callers hold mu.
+// markResponsiveLocked records that a target answered a load query. A target
+// that restarted as a new incarnation or was unresponsive begins a slow start.
+// The breaker of any other target does not change, as a target may answer load
+// queries and still fail every request. p.mu must be held.
 func (p *enginePool) markResponsiveLocked(name string, newIncarnation bool) {
 	b, ok := p.breakers.byTarget[name]
 	if !ok || (!newIncarnation && !b.unresponsive) {
@@ -178,7 +186,8 @@
 	p.refreshBreaker(name)
 }
 
-// resultOf is what a refusal tells of the target that gave it.
+// resultOfRejection returns what a target's rejection of a request means for its
+// breaker.
 func resultOfRejection(notRun bool) overload.Result {
 	if notRun {
 		return overload.Cancelled
--- a/internal/entry/breakers_test.go
+++ b/internal/entry/breakers_test.go
@@ -12,7 +12,7 @@
 	"github.com/mastictray/mastictray/internal/overload"
 )
 
-// breakerPool is a pool whose targets have all said what they are.
+// newBreakerTestPool returns a pool whose targets have all reported their load.
 func newBreakerTestPool(names ...string) *enginePool {
 	p := newEnginePool(newClock(), "d")
 	var targets []config.Target
@@ -26,19 +26,19 @@
 	return p
 }
 
-// answer has a target answer a load question.
+// reportLoad applies a load report of the target with the given incarnation.
 func reportLoad(p *enginePool, name, incarnation string) {
 	now := p.clock.now()
 	p.applyLoadReport(name, now, now, loadReport{Incarnation: incarnation, Version: "1"})
 }
 
-// later moves the pool's clock on.
+// advanceClock advances the pool's clock.
 func advanceClock(p *enginePool, by time.Duration) { p.clock.start = p.clock.start.Add(-by) }
 
-// A target answers its load questions and fails every request. After a few
-// requests the others get the work; else half of the callers would need a
-// second attempt for as long as the target is in this state.
-func TestTargetThatFailsItsRequestsGetsNoMoreWork(t *testing.T) {
+// A target that answers load queries but fails every request must receive no
+// more work after a few failures. Otherwise half of the requests to a pool of two
+// targets would need a second attempt for as long as the fault lasts.
+func TestBreakerOpensForTargetThatFailsRequests(t *testing.T) {
 	is := is.New(t)
 	p := newBreakerTestPool("good", "bad")
 	sent := map[string]int{}
@@ -58,9 +58,10 @@
 	is.True(sent["bad"] <= 20)
 }
 
-// The same target works again. A probe finds out, and it gets its work back;
-// were probes not let through, it would be lost until its process restarts.
-func TestProbeBringsATargetBack(t *testing.T) {
+// A target that has recovered must be available again after a successful probe.
+// If probes were not allowed, it would receive no work until its process
+// restarts.
+func TestTargetIsAvailableAfterSuccessfulProbe(t *testing.T) {
 	is := is.New(t)
 	p := newBreakerTestPool("only")
 	for range 5 {
@@ -78,10 +79,10 @@
 	is.Equal(p.availableTargets(""), []string{"only"})
 }
 
-// The only target of a pool is back as a new process, with an empty cache. The
-// requests over its limit wait for it; refused, their callers would see a
-// failure that nothing has.
-func TestRequestsWaitForATargetThatStartsSlowly(t *testing.T) {
+// The only target of a pool has restarted with an empty cache and is in slow
+// start. Requests over its limit must wait: refusing them would return errors
+// although the pool works.
+func TestRequestsQueueForTargetInSlowStart(t *testing.T) {
 	is := is.New(t)
 	p := newBreakerTestPool("only")
 	p.markUnreachable("only")
@@ -89,18 +90,19 @@
 	reportLoad(p, "only", "second")
 	first, err := p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.NoErr(err)
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	_, err = p.acquire(gone, &dispatchRequest{Account: "a", Weight: 1})
-	is.True(errors.Is(err, context.Canceled)) // it waited
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err = p.acquire(cancelled, &dispatchRequest{Account: "a", Weight: 1})
+	is.True(errors.Is(err, context.Canceled)) // it was queued
 	p.recordPrefilled(first)
 	_, err = p.acquire(t.Context(), &dispatchRequest{Account: "a", Weight: 1})
 	is.NoErr(err)
 }
 
-// A frozen target answers no load questions, then goes on as the same process.
-// It gets work with its first answer, also when no request has probed it.
-func TestTargetThatAnswersAgainGetsWork(t *testing.T) {
+// A process is paused, so that it does not answer load queries, and then
+// continues as the same incarnation. It must be available from its next load
+// report on, even if no request has probed it.
+func TestUnresponsiveTargetIsAvailableAfterNextLoadReport(t *testing.T) {
 	is := is.New(t)
 	p := newBreakerTestPool("frozen")
 	p.markUnresponsive("frozen")
@@ -109,9 +111,10 @@
 	is.Equal(p.availableTargets(""), []string{"frozen"})
 }
 
-// A plain service answers every request with a server error. The answers go to
-// the callers as they are, and after a few the other target gets the work.
-func TestServiceThatFailsItsRequestsGetsNoMoreWork(t *testing.T) {
+// A plain service that answers every request with a server error must receive no
+// more work after a few failures, although its responses are forwarded to the
+// callers.
+func TestBreakerOpensForServiceThatReturnsServerErrors(t *testing.T) {
 	is := is.New(t)
 	p := newServicePool(newClock(), "d")
 	p.configure(config.Pool{Name: "p", MaxConcurrent: 1}, []config.Target{{Name: "good"}, {Name: "bad"}})
@@ -120,11 +123,11 @@
 		pl, err := p.acquire("")
 		is.NoErr(err)
 		sent[pl.target]++
-		ans := serviceResponse{status: 200}
+		resp := serviceResponse{status: 200}
 		if pl.target == "bad" {
-			ans.status = 500
+			resp.status = 500
 		}
-		p.release(pl, resultOfServiceAttempt(nil, ans, nil), false)
+		p.release(pl, resultOfServiceAttempt(nil, resp, nil), false)
 	}
 	is.True(sent["bad"] >= 5) // it was tried
 	is.True(sent["bad"] <= 20)
--- a/internal/entry/cacheevents.go
+++ b/internal/entry/cacheevents.go
@@ -12,19 +12,22 @@
 )
 
 const (
+	// eventsPollWait is how long a target may hold a query open while it has no
+	// new events.
 	eventsPollWait    = 5 * time.Second
 	eventsPollTimeout = 8 * time.Second
 	eventsRetryDelay  = time.Second
 )
 
-// cacheEvents is a target's answer to a question for its cache events.
+// cacheEventsResponse is a target's response to a query for its cache events.
 type cacheEventsResponse struct {
 	Incarnation string       `json:"incarnation"`
 	Next        int64        `json:"next"`
 	Events      []cacheEvent `json:"events"`
 }
 
-// cacheEvent says that a target stored or evicted pieces.
+// cacheEvent reports that a target stored or evicted pieces, or cleared its
+// cache.
 type cacheEvent struct {
 	Seq    int64    `json:"seq"`
 	Op     string   `json:"op"`
@@ -38,9 +41,9 @@
 	opCleared = "cleared"
 )
 
-// eventReader follows one target's cache events. It begins with those that the
-// target still retains, so a restarted instance knows at once what is cached.
-// A lost event costs hit rate only, so gaps are passed over.
+// cacheEventReader reads one target's cache events. It begins with the oldest
+// events that the target retains, so that a restarted instance soon knows what
+// is cached. Gaps are ignored, as a lost event only lowers the hit rate.
 type cacheEventReader struct {
 	client  *http.Client
 	address string
@@ -51,39 +54,39 @@
 func (r *cacheEventReader) run(ctx context.Context) {
 	from, incarnation := int64(0), ""
 	for ctx.Err() == nil {
-		got, err := r.fetch(ctx, from)
+		resp, err := r.fetch(ctx, from)
 		if err != nil {
 			sleep(ctx, eventsRetryDelay)
 			continue
 		}
-		if got.Incarnation != incarnation {
-			// Offsets of another incarnation mean nothing here.
-			incarnation = got.Incarnation
+		if resp.Incarnation != incarnation {
+			// Offsets of different incarnations are not comparable.
+			incarnation = resp.Incarnation
 			if from != 0 {
 				from = 0
 				continue
 			}
 		}
-		if !r.pool.applyCacheEvents(r.target, got.Incarnation, got.Events) {
-			// The load question has not told of this incarnation yet.
+		if !r.pool.applyCacheEvents(r.target, resp.Incarnation, resp.Events) {
+			// The load poller has not seen this incarnation yet.
 			sleep(ctx, loadPollInterval)
 			continue
 		}
-		from = got.Next
+		from = resp.Next
 	}
 }
 
 func (r *cacheEventReader) fetch(ctx context.Context, from int64) (cacheEventsResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, eventsPollTimeout)
 	defer cancel()
-	var got cacheEventsResponse
+	var resp cacheEventsResponse
 	url := fmt.Sprintf("http://%s/events?from=%d&wait_ms=%d", r.address, from, eventsPollWait.Milliseconds())
-	err := getJSON(ctx, r.client, url, &got)
-	return got, err
+	err := getJSON(ctx, r.client, url, &resp)
+	return resp, err
 }
 
-// cached takes a target's cache events in. False when they are not from the
-// incarnation that the target is known by: nothing is known of another.
+// applyCacheEvents adds a target's cache events to the index. It returns false
+// and ignores them if they are not from the target's known incarnation.
 func (p *enginePool) applyCacheEvents(name, incarnation string, events []cacheEvent) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,9 +115,9 @@
 	return true
 }
 
-// checkFollowed tells the picker once the retained events of all targets that
-// answer have been read: until then rendezvous order is the better guide.
-// Callers hold mu.
+// updateCacheStateKnown notifies the picker once the retained events of all
+// available targets have been read. Until then, rendezvous order predicts the
+// cached prefixes better than the index. p.mu must be held.
 func (p *enginePool) updateCacheStateKnown() {
 	for i := range p.pool.Len() {
 		if t := p.pool.Target(i); !p.eventsRead[t.Name] && !t.BreakerOpen {
@@ -124,16 +127,16 @@
 	p.picker.SetCacheStateKnown()
 }
 
-// counted takes in the cached-token count at the end of an answer.
+// recordCachedTokens records the cached-token count at the end of a response.
 func (p *enginePool) recordCachedTokens(pl placedAttempt, cachedTokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dispatcher.RecordCachedTokens(&pl.dispatchSend, cachedTokens)
 }
 
-func parsePieceHashes(list []string) ([]prefix.Hash, error) {
-	pieces := make([]prefix.Hash, 0, len(list))
-	for _, s := range list {
+func parsePieceHashes(encoded []string) ([]prefix.Hash, error) {
+	pieces := make([]prefix.Hash, 0, len(encoded))
+	for _, s := range encoded {
 		h, err := strconv.ParseUint(s, 16, 64)
 		if err != nil {
 			return nil, err
--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -11,11 +11,11 @@
 	"github.com/mastictray/mastictray/internal/settings"
 )
 
-// headerReadTimeout bounds reading a request's header: without it a caller
-// that sends one byte a minute holds a connection for ever.
+// headerReadTimeout bounds the time to read a request's header. Without it, a
+// caller that sends one byte a minute could hold a connection indefinitely.
 const headerReadTimeout = 10 * time.Second
 
-// callerServer is the HTTP server that callers reach.
+// callerServer is the HTTP server for the callers' requests.
 type callerServer struct {
 	http      *http.Server
 	openConns atomic.Int64
@@ -37,7 +37,7 @@
 	return c
 }
 
-// track counts open connections.
+// countConnection is the ConnState hook that counts open connections.
 func (c *callerServer) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -47,8 +47,10 @@
 	}
 }
 
-// full says that a request came on a connection over the limit. It is refused
-// with an answer rather than a reset, so that its caller knows why.
+// overConnectionLimit reports whether more than the maximum number of
+// connections are open. Excess connections are accepted and their requests
+// refused with an error response, so that the caller learns the reason; a reset
+// connection would not tell it.
 func (c *callerServer) overConnectionLimit() bool { return c.openConns.Load() > c.maxConns }
 
 func (c *callerServer) serve(l net.Listener) error {
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Headers between the router and its targets; see docs/PROTOCOLS.md.
+// Headers of requests to targets and of their responses; see docs/PROTOCOLS.md.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerAccount        = "X-Client-Account"
@@ -32,8 +32,8 @@
 	maxResponseBodyBytes  = 64 << 20
 )
 
-// sendError is a failed exchange with a target, with what is known of whether
-// the request ran there.
+// sendError is a failed exchange with a target. outcome tells whether the
+// request may have run there.
 type sendError struct {
 	op      string
 	target  string
@@ -47,7 +47,7 @@
 
 func (e *sendError) Unwrap() error { return e.cause }
 
-// attemptRequest is one try of a request at one target.
+// attemptRequest is the HTTP request of one attempt at one target.
 type attemptRequest struct {
 	attemptID string
 	target    string
@@ -60,7 +60,7 @@
 	priority  int
 	header    http.Header
 	body      []byte
-	// once forbids every second sending of the request's bytes.
+	// sendOnce prevents net/http from sending the request again by itself.
 	sendOnce bool
 }
 
@@ -71,10 +71,10 @@
 }
 
 // newTargetClient returns a client with two transports. Requests that may run
-// only once go through the one without kept connections: on a kept
-// connection that turns out closed, net/http sends some requests a second
-// time by itself (an Idempotency-Key header is enough), which would book
-// twice. On a fresh connection it never does.
+// only once use the one without keep-alive connections. When a reused connection
+// turns out to be closed, net/http retries some requests by itself, for example
+// those with an Idempotency-Key header, and a target could run them twice. It
+// never does so on a new connection.
 func newTargetClient() *targetClient {
 	dialer := &net.Dialer{Timeout: targetDialTimeout}
 	return &targetClient{
@@ -92,9 +92,8 @@
 	}
 }
 
-// send makes one attempt and returns the answer with its body open. A status
-// of 4xx or 5xx is returned as an answer too; only a failed exchange is an
-// error.
+// send makes one attempt and returns the response with its body open. A response
+// with a status of 4xx or 5xx is not an error; only a failed exchange is.
 func (c *targetClient) send(ctx context.Context, r attemptRequest) (*http.Response, error) {
 	url := "http://" + r.address + r.path
 	if r.query != "" {
@@ -125,8 +124,8 @@
 	return resp, nil
 }
 
-// outcomeOfSend says not_run only when the connection was never made: any
-// later failure may have come after the target read the request.
+// outcomeOfSendError returns NotRun only if no connection was established. After
+// any later failure the target may have read the request.
 func outcomeOfSendError(err error) openai.Outcome {
 	if platform.NotConnected(err) {
 		return openai.NotRun
@@ -134,7 +133,8 @@
 	return openai.MayHaveRun
 }
 
-// resume asks the same process for the rest of a stream it has begun.
+// resume requests the rest of a stream from the process that began it, after the
+// chunk with the sequence number lastSeq.
 func (c *targetClient) resume(ctx context.Context, r attemptRequest, lastSeq int64) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+"/v1/streams/"+r.attemptID, nil)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return resp, nil
 }
 
-// cancel tells the target that nobody waits for the stream any more.
+// cancel tells the target to stop an attempt whose response is no longer needed.
 func (c *targetClient) cancel(ctx context.Context, address, attempt string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+attempt, nil)
 	if err != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// drainBody reads a little of the rest so that the connection can be kept,
-// and closes.
+// drainBody closes the body after reading up to maxErrorBodyBytes of what is
+// left, so that the connection can be reused.
 func drainBody(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBodyBytes)
 	resp.Body.Close()
--- a/internal/entry/enginecrash.go
+++ b/internal/entry/enginecrash.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// crashProbe bounds the questions to a target that broke an answer off.
+	// crashProbeTimeout bounds the time spent on finding out whether a target
+	// whose connection broke has crashed.
 	crashProbeTimeout = 300 * time.Millisecond
-	// crashProbeEvery is the wait before the next question.
+	// crashProbeInterval is the wait between two probes.
 	crashProbeInterval = 10 * time.Millisecond
 )
 
-// vet asks whether the request may be dispatched. The error is the answer to a
-// request that has crashed too many targets, or that is suspected to and found
-// nobody to allow it another one.
+// checkPoison asks the poison registry whether the request may be dispatched.
+// It returns an error if the request is quarantined, or if it is a suspect and
+// got no permit to run on a target in time.
 func (r *engineRun) checkPoison() error {
 	r.unregistered = r.server.poison.noSuspects()
 	if r.unregistered {
@@ -37,13 +38,13 @@
 	case poison.Refused:
 		return &openai.Error{
 			Status: http.StatusServiceUnavailable, Code: openai.CodeOverloaded, Outcome: r.outcome(),
-			Message: "this request may crash its target and found none to run on alone", RetryAfter: time.Second,
+			Message: "this request may crash its target and no target was available to run it in isolation", RetryAfter: time.Second,
 		}
 	}
 	return nil
 }
 
-// quarantined is the final answer to a request that crashes its targets.
+// quarantineError is the final error of a quarantined request.
 func quarantineError() *openai.Error {
 	return &openai.Error{
 		Status: http.StatusUnprocessableEntity, Code: openai.CodeQuarantined, Outcome: openai.MayHaveRun,
@@ -51,10 +52,11 @@
 	}
 }
 
-// release gives a target back that the request was to run on alone, and leaves
-// it out from then on. Targets that crash next to each other are given out
-// before all instances know: without another target the stream of an innocent
-// request would end there.
+// releaseIsolatedTarget returns the permit for the target on which the request
+// was to run in isolation, and excludes that target from further attempts. When
+// several targets crash at about the same time, permits may still be granted
+// for targets that are already down. Without a second choice, a harmless
+// request would fail in that case.
 func (r *engineRun) releaseIsolatedTarget() {
 	if r.isolatedTarget == "" {
 		return
@@ -64,13 +66,14 @@
 	r.isolatedTarget, r.admitted = "", false
 }
 
-// outcome is whether the request has run so far.
+// outcome returns what is known so far about whether the request has run.
 func (r *engineRun) outcome() openai.Outcome { return openai.Outcome(r.stream.Outcome()) }
 
-// afterLoss finds out whether the leg's target was lost with the request. It
-// returns when the peers know, so that the caller cannot send a request that
-// crashes targets to an instance that has not heard of it. The error is the
-// final answer to such a request.
+// reportTargetLoss checks whether the current target crashed while it may have
+// been running the request, and if so reports the crash. It returns once the
+// peers have acknowledged the crash, so that the caller cannot resend a poison
+// request to an instance that does not know of the crash yet. It returns an
+// error if the request is now quarantined.
 func (r *engineRun) reportTargetLoss() error {
 	if !r.mayBeRunning {
 		return nil
@@ -91,7 +94,7 @@
 	return nil
 }
 
-// fingerprint names what the request asks for.
+// fingerprint returns the fingerprint of the request's content.
 func (e *engineCall) fingerprint() poison.Fingerprint {
 	if !e.fingerprinted {
 		e.fingerprinted, e.cachedFingerprint = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
@@ -99,18 +102,21 @@
 	return e.cachedFingerprint
 }
 
-// targetLost reports that the process which ran the request is gone: nothing
-// listens at its address, or another incarnation answers there. One that was
-// gone before the request came is not blamed on it: the head of the answer says
-// which process ran it, the last report may still be of the one before. A
-// target that does not answer in time may be paused; that is no crash.
+// targetLost reports whether the process that ran the request has ended: nothing
+// listens at its address, or another incarnation answers there. The incarnation
+// is taken from the head of the response if there is one, since the last load
+// report may be from an earlier process, whose end must not be blamed on this
+// request. A target that does not answer in time may only be paused, and does
+// not count as crashed.
 func (r *engineRun) targetLost() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	// The sockets of a process that ends are closed one by one: a question to
-	// it may be cut off rather than refused. Taken for a sign of life, its
-	// crash would count for nobody, and the request take one target more. So
-	// only an answer, a refusal or the time ends the asking.
+	// While a process ends, its sockets are closed one by one, so the connection
+	// of a probe may be reset instead of refused. If a reset counted as a sign
+	// that the process is alive, the crash would not be attributed to any
+	// request, and a poison request could crash one more target. Probes are
+	// therefore repeated until there is a response, a refused connection or the
+	// timeout.
 	for ctx.Err() == nil {
 		report, err := r.server.pools.poller.fetchLoad(ctx, r.placed.address)
 		if err == nil {
--- a/internal/entry/engineleg.go
+++ b/internal/entry/engineleg.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// openLeg prepares the context of a connection: it ends with the caller, after
-// a silence, and when the target is found to answer no questions any more.
+// openLeg creates the context of a new connection. It is cancelled when the
+// caller disconnects, when no data arrives for the read timeout, and when the
+// target stops answering load queries.
 func (r *engineRun) openLeg() {
 	r.closeLeg()
 	ctx, cancel := context.WithCancelCause(r.call.r.Context())
@@ -33,8 +34,8 @@
 	r.idleTimer = time.AfterFunc(r.readTimeout(), func() { cancel(context.DeadlineExceeded) })
 }
 
-// patience is the longest wait for the next part of the answer: for the first
-// one until the deadline.
+// readTimeout returns the longest wait for the next part of the response; the
+// first part may take until the deadline.
 func (r *engineRun) readTimeout() time.Duration {
 	if r.call.headSent {
 		return chunkIdleTimeout
@@ -55,7 +56,7 @@
 	r.cancel = nil
 }
 
-// sendFailed tells the state machine that no answer came.
+// handleSendError tells the state machine that no response arrived.
 func (r *engineRun) handleSendError(err error) attempt.Action {
 	logline.Error(err, "attempt_failed", "request", r.call.id, "attempt", r.attemptID, "target", r.placed.target)
 	r.server.metrics.attempt(r.call.pool.Name, "unreachable")
@@ -73,7 +74,7 @@
 	return r.stream.ConnectionFailed(r.leg, attempt.CauseReset)
 }
 
-// opened takes the head of an answer.
+// handleResponseHead handles the head of a response.
 func (r *engineRun) handleResponseHead(resp *http.Response) attempt.Action {
 	r.resp = resp
 	if inc := resp.Header.Get(headerIncarnation); inc != "" {
@@ -90,13 +91,13 @@
 	})
 }
 
-// rejected takes an answer other than 200.
+// handleRejection handles a response with a status other than 200.
 func (r *engineRun) handleRejection(resp *http.Response) attempt.Action {
 	r.server.metrics.attempt(r.call.pool.Name, "refused")
 	r.mayBeRunning = false
 	r.lastRejection = rejectionError(resp)
-	var refused *openai.Error
-	notRun := errors.As(r.lastRejection, &refused) && refused.Outcome == openai.NotRun
+	var rejection *openai.Error
+	notRun := errors.As(r.lastRejection, &rejection) && rejection.Outcome == openai.NotRun
 	r.recordNotPrefilled(resultOfRejection(notRun))
 	if notRun {
 		return r.stream.Rejected(r.leg)
@@ -104,13 +105,13 @@
 	return r.stream.ConnectionFailed(r.leg, attempt.CauseRejected)
 }
 
-// read takes the next part of the answer.
+// readNext reads the next part of the response.
 func (r *engineRun) readNext() attempt.Action {
 	if !r.call.req.Stream {
 		return r.readFullResponse()
 	}
-	// The timer runs only while the target is waited for. A caller that reads
-	// slowly would else have its stream broken off for the target's silence.
+	// The timer runs only during the read. Otherwise the stream of a caller
+	// that reads slowly would be closed as if the target were idle.
 	r.idleTimer.Reset(r.readTimeout())
 	ev, err := r.events.Next()
 	r.idleTimer.Stop()
@@ -124,8 +125,8 @@
 	return r.stream.Event(r.server.clock.now(), r.leg, ev)
 }
 
-// readWhole reads an answer without a stream. Nothing of it goes out before
-// it is whole.
+// readFullResponse reads a response that is not a stream. Nothing is relayed
+// before it is complete.
 func (r *engineRun) readFullResponse() attempt.Action {
 	body, err := io.ReadAll(io.LimitReader(r.resp.Body, maxResponseBodyBytes))
 	if err != nil {
@@ -135,7 +136,8 @@
 	return r.stream.FullResponse(r.leg, body)
 }
 
-// broke tells the state machine that the leg ended early.
+// handleReadError tells the state machine that the leg ended before the
+// response was complete.
 func (r *engineRun) handleReadError(err error) attempt.Action {
 	r.recordNotPrefilled(r.resultOfBrokenExchange())
 	if r.call.r.Context().Err() != nil {
@@ -155,7 +157,7 @@
 	return r.stream.ConnectionFailed(r.leg, cause)
 }
 
-// resume asks the same target to go on with the stream.
+// resume asks the same target to continue the stream.
 func (r *engineRun) resume(act attempt.Action) attempt.Action {
 	r.openLeg()
 	r.leg = r.stream.BeginResume(r.server.clock.now())
@@ -173,7 +175,7 @@
 	return r.handleResponseHead(resp)
 }
 
-// cancelAttempt tells a target to stop working on an attempt.
+// cancelAttempt tells a target to stop an attempt.
 func (r *engineRun) cancelAttempt(ref attempt.Ref) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelAttemptTimeout)
 	defer cancel()
--- a/internal/entry/engineleg_test.go
+++ b/internal/entry/engineleg_test.go
@@ -12,10 +12,10 @@
 	"github.com/mastictray/mastictray/internal/sse"
 )
 
-// A caller reads its stream slowly, so that writing to it takes longer than a
-// target may be silent. The target has sent everything in time. Were its timer
-// still running during the write, the stream would be broken off as idle.
-func TestTargetTimerRestsWhileTheCallerReads(t *testing.T) {
+// The idle timer must not run while a chunk is written to the caller. If a caller
+// reads so slowly that a write takes longer than the idle timeout, the stream
+// would be closed as idle although the target sent everything in time.
+func TestIdleTimerStopsBetweenReads(t *testing.T) {
 	is := is.New(t)
 	r := &engineRun{
 		server:         &server{clock: newClock()},
@@ -27,5 +27,5 @@
 	}
 	r.leg = r.stream.Dispatch(0, "r.1", "t")
 	r.readNext()
-	is.True(!r.idleTimer.Stop()) // it was stopped before
+	is.True(!r.idleTimer.Stop()) // it was stopped already
 }
--- a/internal/entry/enginepool.go
+++ b/internal/entry/enginepool.go
@@ -22,7 +22,8 @@
 	cacheIndexBytes   = 16 << 20
 	maxQueuedRequests = 4096
 	dispatchInterval  = 5 * time.Millisecond
-	// crossDomainDelay is what placement counts for a target elsewhere.
+	// crossDomainDelay is the network delay that placement adds for targets in
+	// other failure domains.
 	crossDomainDelay = 1500 * time.Microsecond
 )
 
@@ -31,7 +32,7 @@
 	dispatchSend    = dispatch.Send[chan placementResult]
 )
 
-// placed is a target chosen for one attempt.
+// placedAttempt is an attempt and the target chosen for it.
 type placedAttempt struct {
 	dispatchSend
 	target  string
@@ -45,8 +46,8 @@
 	err     error
 }
 
-// enginePool decides for the requests of one engine pool. Its lock is held for
-// decisions only, never over I/O.
+// enginePool queues and places the requests of one engine pool. mu is never
+// held during I/O.
 type enginePool struct {
 	clock  clock
 	domain string
@@ -61,16 +62,19 @@
 	cacheIndex *cacheindex.Index
 	dispatcher *dispatch.Dispatcher[chan placementResult]
 	rng        *rand.Rand
-	// followed are the targets whose retained cache events have been read.
+	// eventsRead has the targets whose retained cache events have been read.
 	eventsRead map[string]bool
-	// active is the weights version that new requests count on.
+	// active is the weights version that new requests require.
 	active string
-	// returned is when a target came back as a new incarnation.
-	restartedAt map[string]time.Duration
-	nextID      uint64
-	// watchers are called when a target is found to answer no questions.
+	// slowStartSince is when each target was first seen with a new incarnation
+	// or version, whose cache is empty.
+	slowStartSince map[string]time.Duration
+	nextID         uint64
+	// unresponsiveCallbacks are called when a target stops answering load
+	// queries, by target and callback id.
 	unresponsiveCallbacks map[string]map[uint64]func()
-	// started is set once run is going; the pools' lock guards it.
+	// started is set once run has been started. It is guarded by the lock of
+	// pools, not by mu.
 	started bool
 }
 
@@ -80,7 +84,7 @@
 		domain:                domain,
 		addresses:             make(map[string]string),
 		breakers:              newBreakers(overload.BreakerConfig{}),
-		restartedAt:           make(map[string]time.Duration),
+		slowStartSince:        make(map[string]time.Duration),
 		eventsRead:            make(map[string]bool),
 		unresponsiveCallbacks: make(map[string]map[uint64]func()),
 		cacheIndex:            cacheindex.New(cacheIndexBytes),
@@ -88,9 +92,9 @@
 	}
 }
 
-// configure puts a pool's configuration into force and keeps what is known of
-// the targets that stay.
-func (p *enginePool) configure(cfg config.Pool, model config.Model, targets []config.Target, routers int) {
+// configure applies a pool's configuration. State observed of targets that
+// remain is kept.
+func (p *enginePool) configure(cfg config.Pool, model config.Model, targets []config.Target, instanceCount int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]placement.Target, 0, len(targets))
@@ -101,9 +105,9 @@
 	}
 	p.cfg, p.model, p.addresses = cfg, model, address
 	p.pool = placement.NewPool(list, model.Version, placement.DefaultFilters())
-	place := placement.DefaultOptions()
-	place.Domain, place.CrossDomainDelay = p.domain, crossDomainDelay
-	p.picker = placement.NewPicker(p.pool, p.cacheIndex, place)
+	placementOptions := placement.DefaultOptions()
+	placementOptions.Domain, placementOptions.CrossDomainDelay = p.domain, crossDomainDelay
+	p.picker = placement.NewPicker(p.pool, p.cacheIndex, placementOptions)
 	p.breakers.configure(targets)
 	p.refreshBreakers()
 	p.updateActiveVersion()
@@ -112,16 +116,16 @@
 		p.dispatcher.ReplacePool(p.pool, p.picker)
 		return
 	}
-	o := dispatch.DefaultOptions()
-	o.Queue.MaxItems = maxQueuedRequests
-	o.Queue.MinRate = cfg.PrefillTokensPerSecond * float64(len(targets)) / float64(max(routers, 1))
-	p.dispatcher = dispatch.New[chan placementResult](p.pool, p.cacheIndex, p.picker, o)
+	dispatchOptions := dispatch.DefaultOptions()
+	dispatchOptions.Queue.MaxItems = maxQueuedRequests
+	dispatchOptions.Queue.MinRate = cfg.PrefillTokensPerSecond * float64(len(targets)) / float64(max(instanceCount, 1))
+	p.dispatcher = dispatch.New[chan placementResult](p.pool, p.cacheIndex, p.picker, dispatchOptions)
 }
 
-// keep carries a target's observed state over a change of configuration. A
-// target at another address is a new one: nothing is known of it. A target
-// not heard of yet counts as serving the wanted version: the target itself
-// refuses a request that counts on another.
+// carryOverTarget returns a target for the new configuration, with the state
+// observed so far. A target with a new address starts without any. Until its
+// first load report, a target is assumed to serve the desired version; if it
+// does not, it refuses the request itself.
 func (p *enginePool) carryOverTarget(t config.Target, cfg config.Pool, model config.Model) placement.Target {
 	fresh := placement.Target{
 		Name: t.Name, Domain: t.Domain, Version: model.Version,
@@ -140,10 +144,10 @@
 	return kept
 }
 
-// activate chooses the version that new requests count on. It is to run after
-// every change of who takes work: when the only target of a version is lost,
-// requests that wait for that version would wait until their deadline. Callers
-// hold mu.
+// updateActiveVersion chooses the version that new requests require. It must
+// run after every change to the set of available targets: when the only target
+// of a version is lost, requests for that version would otherwise wait until
+// their deadline. p.mu must be held.
 func (p *enginePool) updateActiveVersion() {
 	served := make(map[string]int)
 	for i := range p.pool.Len() {
@@ -155,22 +159,22 @@
 	p.pool.SetDesiredVersion(p.active)
 }
 
-// activeVersion is the version that a new request counts on.
+// activeVersion returns the weights version that a new request requires.
 func (p *enginePool) activeVersion() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.active
 }
 
-// modelNow is the model as configured.
+// currentModel returns the model's current configuration.
 func (p *enginePool) currentModel() config.Model {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.model
 }
 
-// acquire waits in the fair queue and returns the chosen target. The error is
-// an *openai.Error: the request has not run.
+// acquire waits in the fair queue until a target is chosen. If it returns an
+// *openai.Error or the context's error, the request has not run.
 func (p *enginePool) acquire(ctx context.Context, r *dispatchRequest) (placedAttempt, error) {
 	r.Value = make(chan placementResult, 1)
 	p.mu.Lock()
@@ -180,22 +184,22 @@
 	p.deliverStep(p.dispatcher.Push(p.clock.now(), r, p.rng))
 	p.mu.Unlock()
 	select {
-	case x := <-r.Value:
-		return x.attempt, x.err
+	case result := <-r.Value:
+		return result.attempt, result.err
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.dispatcher.Cancel(r.Account, r.ID) {
-		if x := <-r.Value; x.err == nil {
-			p.recordNotPrefilledLocked(x.attempt, overload.Cancelled)
+		if result := <-r.Value; result.err == nil {
+			p.recordNotPrefilledLocked(result.attempt, overload.Cancelled)
 		}
 	}
 	return placedAttempt{}, ctx.Err()
 }
 
-// acquireOn takes a given target, for a request that may go nowhere else. The
-// error is an *openai.Error: the request has not run.
+// acquireOn places a request on the named target without queueing. If it
+// returns an error, which is an *openai.Error, the request has not run.
 func (p *enginePool) acquireOn(name string, r *dispatchRequest) (placedAttempt, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +211,8 @@
 	return p.beginAttempt(s), nil
 }
 
-// targets names the targets that take new work, without the excluded one.
+// availableTargets returns the names of the targets that accept new work,
+// without the excluded one.
 func (p *enginePool) availableTargets(exclude string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +226,8 @@
 	return names
 }
 
-// run steps the dispatcher while requests wait, until ctx ends.
+// run lets the dispatcher make a step at every interval while requests wait,
+// until ctx ends.
 func (p *enginePool) run(ctx context.Context) {
 	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
@@ -240,11 +246,11 @@
 	}
 }
 
-// perform hands a step's decisions to the requests that wait for them. Callers
-// hold mu.
+// deliverStep passes a step's decisions to the waiting requests. p.mu must be
+// held.
 func (p *enginePool) deliverStep(step dispatch.Step[chan placementResult]) {
-	for _, x := range step.Refusals {
-		x.Request.Value <- placementResult{err: queueRefusal(x.Reason, x.RetryAfter)}
+	for _, refusal := range step.Refusals {
+		refusal.Request.Value <- placementResult{err: queueRefusal(refusal.Reason, refusal.RetryAfter)}
 	}
 	for _, s := range step.Sends {
 		s.Request.Value <- placementResult{attempt: p.beginAttempt(s)}
@@ -265,8 +271,8 @@
 	return e
 }
 
-// served takes in the first token of an answer: the target holds the whole
-// chain and has done the work.
+// recordPrefilled records that the first token of a response arrived: the
+// target has prefilled the prompt and caches all its pieces.
 func (p *enginePool) recordPrefilled(pl placedAttempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,20 +280,21 @@
 	p.endAttempt(pl, overload.Succeeded)
 }
 
-// lost takes in an attempt that the target did not prefill.
+// recordNotPrefilled records an attempt that ended before the target prefilled
+// the prompt.
 func (p *enginePool) recordNotPrefilled(pl placedAttempt, r overload.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordNotPrefilledLocked(pl, r)
 }
 
-// fail is lost for callers that hold mu.
+// recordNotPrefilledLocked is recordNotPrefilled with p.mu held.
 func (p *enginePool) recordNotPrefilledLocked(pl placedAttempt, r overload.Result) {
 	p.dispatcher.Failed(&pl.dispatchSend)
 	p.endAttempt(pl, r)
 }
 
-// addressOf is where a target is reached.
+// addressOf returns a target's address.
 func (p *enginePool) addressOf(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -295,7 +302,8 @@
 	return address, ok
 }
 
-// explain says where a request would go and why, without sending it.
+// explain returns which target would be chosen for a request and why, without
+// sending it.
 func (p *enginePool) explain(req placement.Request) (placement.Explanation, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/enginepool_test.go
+++ b/internal/entry/enginepool_test.go
@@ -9,18 +9,17 @@
 	"github.com/mastictray/mastictray/internal/config"
 )
 
-// One target serves the new version, and requests count on it already. It
-// crashes, or leaves. Requests count on the old version again at once, which
-// the others serve; else they would wait for nobody until their deadline, and
-// their callers would get no answer.
+// The only target of the active version is lost. The active version must change
+// at once to the old one, which the other targets serve. Otherwise new requests
+// would wait until their deadline for a version that no target serves.
 func TestActiveVersionFollowsLostTargets(t *testing.T) {
-	lose := map[string]func(*enginePool){
+	losses := map[string]func(*enginePool){
 		"crashed":     func(p *enginePool) { p.markUnreachable("new") },
 		"gone":        func(p *enginePool) { p.markProcessEnded("new", "i") },
 		"unanswering": func(p *enginePool) { p.markUnresponsive("new") },
 		"leaving":     func(p *enginePool) { p.setDraining(func(name string) bool { return name == "new" }) },
 	}
-	for name, lost := range lose {
+	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := newEnginePool(newClock(), "d")
@@ -34,7 +33,7 @@
 				p.applyLoadReport(target.Name, time.Second, time.Second, loadReport{Incarnation: "i", Version: version})
 			}
 			is.Equal(p.activeVersion(), "2")
-			lost(p)
+			lose(p)
 			is.Equal(p.activeVersion(), "1")
 		})
 	}
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// chunkIdle breaks a stream that brings nothing for so long.
+	// chunkIdleTimeout closes a stream on which no chunk arrives for this long.
 	chunkIdleTimeout     = 10 * time.Second
 	cancelAttemptTimeout = time.Second
 )
 
-// errTargetDown ends the answers of a target that answers no load questions.
-var errTargetUnresponsive = errors.New("target answers no questions")
+// errTargetUnresponsive cancels the responses of a target that does not answer
+// load queries.
+var errTargetUnresponsive = errors.New("target does not answer load queries")
 
-// engineRun carries one request through its attempts: it does the I/O that
+// engineRun carries out the attempts of one request. It performs the I/O that
 // the attempt state machine asks for.
 type engineRun struct {
 	server *server
@@ -30,7 +31,7 @@
 	pool   *enginePool
 	stream *attempt.Stream
 
-	// The present leg: one connection to one target.
+	// The current leg, which is one connection to one target.
 	placed    placedAttempt
 	attemptID string
 	leg       int
@@ -39,20 +40,23 @@
 	resp      *http.Response
 	events    *sse.Reader
 	idleTimer *time.Timer
-	// counted is set once the pool knows what became of the leg's attempt.
+	// resultRecorded is set once the result of the current attempt has been
+	// recorded in the pool.
 	resultRecorded bool
-	// sent is set while the leg's target may be running the request, and
-	// incarnation is the process that does, as far as is known.
+	// mayBeRunning is set while the target of the current leg may be running
+	// the request. incarnation is the target's incarnation as last reported.
 	mayBeRunning bool
 	incarnation  string
-	// vetted is set while the request counts as admitted, and isolated is
-	// the only target that it may go to then; empty for any.
+	// admitted is set while the poison registry's admission is valid.
+	// isolatedTarget is then the only target on which the request may run;
+	// empty means any.
 	admitted bool
-	// unvetted is set when nothing was suspected at that time, and the
-	// registry does not know the request.
+	// unregistered is set if there were no suspects at admission, so that the
+	// request was not registered in the poison registry.
 	unregistered   bool
 	isolatedTarget string
-	// refused is the last refusal of a target, for the caller.
+	// lastRejection is the last rejection by a target, to be returned to the
+	// caller.
 	lastRejection error
 }
 
@@ -98,8 +102,8 @@
 	return err
 }
 
-// dispatch places the request and sends it. An error is a refusal before any
-// byte reached a target in this attempt.
+// dispatch chooses a target and sends the request. If it returns an error, no
+// byte of this attempt was sent.
 func (r *engineRun) dispatch() (attempt.Action, error) {
 	pl, err := r.chooseTarget()
 	if err != nil {
@@ -125,7 +129,8 @@
 	return r.handleResponseHead(resp), nil
 }
 
-// choose vets the request and waits for a target.
+// chooseTarget checks the request against the poison registry and waits for a
+// target.
 func (r *engineRun) chooseTarget() (placedAttempt, error) {
 	for tries := 1; ; tries++ {
 		if !r.admitted {
@@ -150,7 +155,7 @@
 	return pl, nil
 }
 
-// redispatch tries another target, or ends the request when there is none.
+// redispatch tries another target. If there is none, it ends the request.
 func (r *engineRun) redispatch() (attempt.Action, error) {
 	if err := r.reportTargetLoss(); err != nil {
 		return attempt.Action{}, r.sendFinalError(err)
@@ -171,8 +176,8 @@
 	return act, err
 }
 
-// prefilled tells the pool that the first token came: the target has done the
-// work and holds the prompt's pieces.
+// recordPrefilled records in the pool that the target has prefilled the prompt
+// and caches its pieces, once per attempt.
 func (r *engineRun) recordPrefilled() {
 	if !r.resultRecorded {
 		r.resultRecorded = true
@@ -180,8 +185,8 @@
 	}
 }
 
-// lost tells the pool that the attempt ended before its first token, and what
-// that says of the target.
+// recordNotPrefilled records in the pool that the attempt ended before its
+// first token, and with which result for the target's breaker.
 func (r *engineRun) recordNotPrefilled(result overload.Result) {
 	if !r.resultRecorded {
 		r.resultRecorded = true
@@ -189,8 +194,8 @@
 	}
 }
 
-// brokenResult is what an exchange that broke says of the target: nothing when
-// the caller left.
+// resultOfBrokenExchange returns what a broken exchange means for the target's
+// breaker. It means nothing if the caller disconnected.
 func (r *engineRun) resultOfBrokenExchange() overload.Result {
 	if r.call.r.Context().Err() != nil {
 		return overload.Cancelled
@@ -198,15 +203,17 @@
 	return overload.Failed
 }
 
-// unreachable tells the pool when no connection to the target was made.
+// reportUnreachable opens the target's breaker if the error shows that no
+// connection could be made.
 func (r *engineRun) reportUnreachable(err error) {
 	if r.call.r.Context().Err() == nil && outcomeOfSendError(err) == openai.NotRun {
 		r.pool.markUnreachable(r.placed.target)
 	}
 }
 
-// abandon ends an attempt that ended in no other way: one left open would keep
-// a place at a target that starts slowly for ever.
+// closeAttempt records a result for the current attempt if there is none yet.
+// Without one, the attempt would count as in flight forever and use up a place
+// at a target in slow start.
 func (r *engineRun) closeAttempt() {
 	if r.attemptID != "" {
 		r.recordNotPrefilled(overload.Cancelled)
@@ -223,19 +230,19 @@
 	return nil
 }
 
-// failed ends the request with an error: an event when a part of the answer
-// is out, else a whole answer.
+// endWithError ends the request with an error. It is sent as an event if part
+// of the response was already sent, otherwise as the whole response.
 func (r *engineRun) endWithError(act attempt.Action) error {
 	if err := r.reportTargetLoss(); err != nil {
 		return r.sendFinalError(err)
 	}
 	e := &openai.Error{
 		Status: http.StatusBadGateway, Code: openai.CodeTargetFailed, Outcome: openai.Outcome(act.Outcome),
-		Message: "no target gave the whole answer: " + string(act.Cause), RetryAfter: time.Second, RequestID: r.call.id,
+		Message: "no target returned a complete response: " + string(act.Cause), RetryAfter: time.Second, RequestID: r.call.id,
 	}
-	var refused *openai.Error
-	if errors.As(r.lastRejection, &refused) && act.Cause == attempt.CauseRejected {
-		e = refused
+	var rejection *openai.Error
+	if errors.As(r.lastRejection, &rejection) && act.Cause == attempt.CauseRejected {
+		e = rejection
 	}
 	if act.Cause == attempt.CauseIdle {
 		e.Status, e.Code = http.StatusGatewayTimeout, openai.CodeDeadline
@@ -246,13 +253,14 @@
 	return r.sendFinalError(e)
 }
 
-// final ends a stream whose head is out with an error event.
+// sendFinalError sends the error as an event if the head of the response was
+// already sent.
 func (r *engineRun) sendFinalError(err error) error {
 	var e *openai.Error
 	if r.call.headSent && errors.As(err, &e) {
-		answer := *e
-		answer.RequestID = r.call.id
-		r.writeErrorEvent(&answer)
+		response := *e
+		response.RequestID = r.call.id
+		r.writeErrorEvent(&response)
 	}
 	return err
 }
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -16,23 +16,23 @@
 	"github.com/mastictray/mastictray/internal/rate"
 )
 
-// maxAttempts bounds the targets tried for one request.
+// maxAttempts is the maximum number of targets tried for one request.
 const maxAttempts = 3
 
-// engineCall is a call to a model with what was decided about it.
+// engineCall is a call to a model, with its pool, placement and cost.
 type engineCall struct {
 	*call
 	pool      config.Pool
 	model     config.Model
 	req       openai.Request
 	placement placement.Request
-	// print is the request's fingerprint once printed is set.
+	// cachedFingerprint is the request's fingerprint if fingerprinted is set.
 	cachedFingerprint poison.Fingerprint
 	fingerprinted     bool
 	cost              float64
 	reservation       rate.Reservation
 	usage             openai.Usage
-	// buf is reused for the events of the answer.
+	// eventBuf is reused for each event of the response.
 	eventBuf []byte
 }
 
@@ -44,10 +44,10 @@
 	if err := s.reserveRate(c, e.cost, &e.reservation); err != nil {
 		return err
 	}
-	used := 0.0
-	defer func() { s.rates.settle(&e.reservation, used) }()
+	charged := 0.0
+	defer func() { s.rates.settle(&e.reservation, charged) }()
 	err := s.runEngine(e)
-	used = e.chargedTokens(err)
+	charged = e.chargedTokens(err)
 	if err == nil {
 		s.metrics.usage(c.account.Name, pool.Name, e.usage)
 		logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", route.Name,
@@ -58,7 +58,7 @@
 	return err
 }
 
-// placementOf describes a prompt to placement.
+// newPlacementRequest returns the placement parameters of a prompt.
 func newPlacementRequest(account string, m config.Model, version string, prompt []byte) placement.Request {
 	scope := prefix.Scope{Account: account, Model: m.Name, Version: version}
 	return placement.Request{
@@ -68,7 +68,8 @@
 	}
 }
 
-// describe works out the pieces of the prompt and the charge.
+// computePlacementAndCost sets the placement parameters and the tokens to
+// reserve.
 func (e *engineCall) computePlacementAndCost(version string) {
 	e.placement = newPlacementRequest(e.account.Name, e.model, version, e.req.Prompt)
 	output := e.req.MaxTokens
@@ -78,8 +79,9 @@
 	e.cost = float64(e.placement.PromptTokens + output)
 }
 
-// used is what the request is charged in the end. What did not run costs
-// nothing; what may have run without a count costs its whole charge.
+// chargedTokens returns the number of tokens that the request is charged at its
+// end. A request that did not run is not charged. One that may have run but
+// returned no usage is charged its whole estimated cost.
 func (e *engineCall) chargedTokens(err error) float64 {
 	var refused *openai.Error
 	if errors.As(err, &refused) && refused.Outcome == openai.NotRun {
@@ -91,26 +93,26 @@
 	return float64(e.usage.PromptTokens + e.usage.CompletionTokens)
 }
 
-// admit debits the account's rate.
-func (s *server) reserveRate(c *call, cost float64, into *rate.Reservation) error {
-	o := s.rates.admit(c.r.Context(), c.account.Name, cost, c.deadline)
-	if o.Err == nil {
-		*into = o.Reservation
+// reserveRate debits the cost from the account's rate limit.
+func (s *server) reserveRate(c *call, cost float64, reservation *rate.Reservation) error {
+	outcome := s.rates.admit(c.r.Context(), c.account.Name, cost, c.deadline)
+	if outcome.Err == nil {
+		*reservation = outcome.Reservation
 		return nil
 	}
 	switch {
-	case errors.Is(o.Err, rate.ErrTooLarge):
-		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more than the account's whole burst", 0)
-	case errors.Is(o.Err, rate.ErrTooManyWaiting):
+	case errors.Is(outcome.Err, rate.ErrTooLarge):
+		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more tokens than the account's burst limit", 0)
+	case errors.Is(outcome.Err, rate.ErrTooManyWaiting):
 		return refusal(http.StatusTooManyRequests, openai.CodeOverloaded, "too many requests of the account are waiting", time.Second)
-	case errors.Is(o.Err, rate.ErrOverRate):
-		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(o.RetryAfter, time.Second))
+	case errors.Is(outcome.Err, rate.ErrOverRate):
+		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(outcome.RetryAfter, time.Second))
 	default:
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "the request could not be admitted", time.Second)
 	}
 }
 
-// queued is the request as it waits for a target.
+// newDispatchRequest returns the request for the pool's dispatcher.
 func (e *engineCall) newDispatchRequest() *dispatchRequest {
 	return &dispatchRequest{
 		Account: e.account.Name, Weight: e.account.Weight, Priority: e.route.Priority,
@@ -118,18 +120,19 @@
 	}
 }
 
-// placeError passes refusals on; what remains is a caller that left.
+// acquireError returns refusals unchanged. Any other error means that the
+// caller disconnected.
 func acquireError(err error) error {
 	var e *openai.Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return refusal(http.StatusServiceUnavailable, openai.CodeDeadline, "the caller left before the request ran", 0)
+	return refusal(http.StatusServiceUnavailable, openai.CodeDeadline, "the caller disconnected before the request ran", 0)
 }
 
-// recheck is the last look before dispatch: the key may have been withdrawn
-// and the debit may have lapsed while the request waited or the process was
-// paused.
+// recheckBeforeDispatch checks the key and the reservation again. While the
+// request waited or the process was paused, the key may have been withdrawn and
+// the reservation may have expired.
 func (s *server) recheckBeforeDispatch(e *engineCall) error {
 	if err := s.authorize(e.call); err != nil {
 		return err
@@ -141,7 +144,8 @@
 	return nil
 }
 
-// attemptError turns a failed exchange into what the caller is told.
+// exchangeError converts a failed exchange with a target to the error returned
+// to the caller.
 func exchangeError(err error) error {
 	var se *sendError
 	if !errors.As(err, &se) {
@@ -153,8 +157,9 @@
 	}
 }
 
-// targetRefusal turns a target's answer other than 200 into what the caller is
-// told. 409, 429 and 503 are refusals before the request ran.
+// rejectionError converts a response with a status other than 200 to the error
+// returned to the caller. With 409, 429 and 503 the target refused the request
+// before running it.
 func rejectionError(resp *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	switch resp.StatusCode {
--- a/internal/entry/loadpoller.go
+++ b/internal/entry/loadpoller.go
@@ -12,25 +12,26 @@
 const (
 	loadPollInterval = 250 * time.Millisecond
 	loadPollTimeout  = time.Second
-	// loadMisses is how many questions in a row may stay unanswered.
+	// maxMissedPolls is the number of consecutive failed load queries after
+	// which a target counts as unresponsive.
 	maxMissedPolls = 2
 	maxReportAge   = 10 * time.Second
 )
 
-// loadPoller asks every target of the engine pools for its load, one question
-// after the other for each target.
+// loadPoller queries the load of every target of the engine pools. Each target
+// has at most one query in flight.
 type loadPoller struct {
 	clock        clock
 	loadClient   *http.Client
 	eventsClient *http.Client
-	// observed is told the incarnation in each answer.
+	// onIncarnation is called with the incarnation in each load report.
 	onIncarnation func(target, incarnation string)
 
 	mu      sync.Mutex
 	running map[string]polledTarget
 }
 
-// polled is one target that is being asked.
+// polledTarget is a target that is being polled.
 type polledTarget struct {
 	address string
 	pool    *enginePool
@@ -46,7 +47,7 @@
 	}
 }
 
-// follow asks exactly these targets from now on.
+// setTargets starts polling the given targets and stops polling all others.
 func (l *loadPoller) setTargets(ctx context.Context, targets []config.Target, poolOf func(string) *enginePool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,21 +58,21 @@
 			continue
 		}
 		wanted[t.Name] = true
-		if was, ok := l.running[t.Name]; ok {
-			if was.address == t.Address && was.pool == pool {
+		if current, ok := l.running[t.Name]; ok {
+			if current.address == t.Address && current.pool == pool {
 				continue
 			}
-			was.stop()
+			current.stop()
 		}
-		own, stop := context.WithCancel(ctx)
+		targetCtx, stop := context.WithCancel(ctx)
 		l.running[t.Name] = polledTarget{address: t.Address, pool: pool, stop: stop}
-		go l.poll(own, t.Name, t.Address, pool)
+		go l.poll(targetCtx, t.Name, t.Address, pool)
 		events := &cacheEventReader{client: l.eventsClient, address: t.Address, target: t.Name, pool: pool}
-		go events.run(own)
+		go events.run(targetCtx)
 	}
-	for name, was := range l.running {
+	for name, current := range l.running {
 		if !wanted[name] {
-			was.stop()
+			current.stop()
 			delete(l.running, name)
 		}
 	}
@@ -80,14 +81,14 @@
 func (l *loadPoller) poll(ctx context.Context, name, address string, pool *enginePool) {
 	missed := 0
 	for ctx.Err() == nil {
-		asked := l.clock.now()
+		queriedAt := l.clock.now()
 		r, err := l.fetchLoad(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
 			missed = 0
-			pool.applyLoadReport(name, asked, l.reportTime(asked, r), r)
+			pool.applyLoadReport(name, queriedAt, l.reportTime(queriedAt, r), r)
 			l.onIncarnation(name, r.Incarnation)
 		} else if missed++; missed >= maxMissedPolls {
 			pool.markUnresponsive(name)
@@ -102,11 +103,12 @@
 	return r, err
 }
 
-// asOf turns the target's wall clock into this process's time. A clock that is
-// far off cannot make a report newer than its answer or very old.
-func (l *loadPoller) reportTime(asked time.Duration, r loadReport) time.Duration {
+// reportTime converts the report's wall clock time to this process's monotonic
+// clock. The result is limited to the time between maxReportAge before the
+// query and now, in case the target's clock is wrong.
+func (l *loadPoller) reportTime(queriedAt time.Duration, r loadReport) time.Duration {
 	now := l.clock.now()
 	age := time.Duration(l.clock.wallMillis()-r.AsOfMS) * time.Millisecond
 	age = min(max(age, 0), maxReportAge)
-	return max(min(now-age, now), asked-maxReportAge)
+	return max(min(now-age, now), queriedAt-maxReportAge)
 }
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -15,24 +15,30 @@
 const (
 	poisonTickInterval = 50 * time.Millisecond
 	poisonSendTimeout  = 200 * time.Millisecond
-	// crashGather is how long the requests that a crash broke are gathered
-	// before the peers are told of all of them at once.
+	// crashBatchDelay is how long requests lost in the same crash are collected
+	// before the crash is reported to the peers.
 	crashBatchDelay = 20 * time.Millisecond
-	// permitWait bounds the wait of a suspect for a target to run on alone.
-	// Innocent requests that shared a crashed target wait their turn in it.
+	// permitTimeout bounds how long a suspect waits for a permit to run in
+	// isolation. It allows for all requests that shared a crashed target to run
+	// one after the other.
 	permitTimeout = 30 * time.Second
 )
 
-// poisonDriver runs the registry of requests that crash their targets.
+// poisonDriver runs this instance's registry of poison requests, which crash
+// their targets.
 type poisonDriver struct {
 	clock clock
 	node  *peer.Node
 
-	mu           sync.Mutex
-	registry     *poison.Registry
-	waiting      map[string]chan poison.Decision
-	crashBatches map[poison.CrashID][]string // gathered requests
-	addresses    map[string]string           // of a peer's incarnation
+	mu       sync.Mutex
+	registry *poison.Registry
+	// waiting has the requests that wait for a decision, by request id.
+	waiting map[string]chan poison.Decision
+	// crashBatches has the ids of the requests lost in each crash that has not
+	// been reported yet.
+	crashBatches map[poison.CrashID][]string
+	// addresses has the peers' addresses by incarnation.
+	addresses map[string]string
 }
 
 func newPoisonDriver(c clock, node *peer.Node) *poisonDriver {
@@ -52,7 +58,7 @@
 	return d
 }
 
-// setPeers gives the live peers.
+// setPeers sets the live peers.
 func (d *poisonDriver) setPeers(peers []wire.Identity) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,8 +75,9 @@
 	d.removeOtherAddresses(ids)
 }
 
-// forgetOthers drops the addresses of processes that are gone: there is a new
-// one with each restart in the fleet. Callers hold mu.
+// removeOtherAddresses removes the addresses of incarnations that are not
+// listed. Without it the map would grow with each restart in the fleet. d.mu
+// must be held.
 func (d *poisonDriver) removeOtherAddresses(ids []string) {
 	for id := range d.addresses {
 		if !slices.Contains(ids, id) {
@@ -79,8 +86,8 @@
 	}
 }
 
-// introduce gives a peer that was not known all that is known here. Callers
-// hold mu.
+// sendState sends all known crashes and quarantines to a new peer. d.mu must be
+// held.
 func (d *poisonDriver) sendState(incarnation string) {
 	state := d.registry.State(d.clock.now())
 	if len(state.Crashes)+len(state.Quarantines) > 0 {
@@ -88,7 +95,7 @@
 	}
 }
 
-// admit asks whether a request may be dispatched, and waits for the verdict.
+// admit asks whether a request may be dispatched and waits for the verdict.
 func (d *poisonDriver) admit(ctx context.Context, id string, fp poison.Fingerprint, pool string, targets []string) poison.Decision {
 	d.mu.Lock()
 	v := d.registry.Admit(d.clock.now(), id, fp, pool, targets)
@@ -102,17 +109,18 @@
 	return d.waitForDecision(ctx, id, ch)
 }
 
-// await registers a request for its next decision. Callers hold mu.
+// addWaiter returns a channel for the next decision on a request. d.mu must be
+// held.
 func (d *poisonDriver) addWaiter(id string) chan poison.Decision {
-	ch := make(chan poison.Decision, 1)
-	d.waiting[id] = ch
-	return ch
+	decision := make(chan poison.Decision, 1)
+	d.waiting[id] = decision
+	return decision
 }
 
 func (d *poisonDriver) waitForDecision(ctx context.Context, id string, ch chan poison.Decision) poison.Decision {
 	select {
-	case x := <-ch:
-		return x
+	case decision := <-ch:
+		return decision
 	case <-ctx.Done():
 		d.mu.Lock()
 		delete(d.waiting, id)
@@ -121,29 +129,30 @@
 	}
 }
 
-// quiet reports that no request is suspected or quarantined.
+// noSuspects reports whether there are no suspected or quarantined requests.
 func (d *poisonDriver) noSuspects() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.registry.SuspectCount() == 0
 }
 
-// running registers a request that was sent while all was quiet.
+// registerRunning registers a request that was sent without admission because
+// there were no suspects.
 func (d *poisonDriver) registerRunning(id string, fp poison.Fingerprint, pool, target string, targets []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.registry.RegisterRunning(id, fp, pool, target, targets)
 }
 
-// started tells that an admitted request goes to a target.
+// started records that an admitted request is about to be sent to a target.
 func (d *poisonDriver) started(id, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.registry.Started(id, target)
 }
 
-// crashed tells that a request's target was lost with it, and waits until the
-// peers know.
+// reportCrash reports that a target crashed while it may have been running the
+// request. It returns the verdict once the peers have acknowledged the crash.
 func (d *poisonDriver) reportCrash(ctx context.Context, id string, crash poison.CrashID) poison.Decision {
 	d.mu.Lock()
 	ch := d.addWaiter(id)
@@ -155,7 +164,8 @@
 	return d.waitForDecision(ctx, id, ch)
 }
 
-// blame reports a crash with all requests gathered.
+// flushCrashBatch passes a crash with all requests collected for it to the
+// registry.
 func (d *poisonDriver) flushCrashBatch(crash poison.CrashID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,7 +176,7 @@
 	d.processReady()
 }
 
-// ended tells that a request is over.
+// ended records that a request has ended.
 func (d *poisonDriver) ended(id string, completed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,13 +194,14 @@
 	}
 }
 
-// work does what the registry has ready. Callers hold mu.
+// processReady delivers the registry's pending decisions and sends its
+// messages. d.mu must be held.
 func (d *poisonDriver) processReady() {
 	ready := d.registry.Ready()
-	for _, x := range ready.Decisions {
-		if ch := d.waiting[x.Request]; ch != nil {
-			delete(d.waiting, x.Request)
-			ch <- x
+	for _, decision := range ready.Decisions {
+		if ch := d.waiting[decision.Request]; ch != nil {
+			delete(d.waiting, decision.Request)
+			ch <- decision
 		}
 	}
 	for _, m := range ready.Messages {
--- a/internal/entry/poolreports.go
+++ b/internal/entry/poolreports.go
@@ -7,7 +7,8 @@
 	"github.com/mastictray/mastictray/internal/placement"
 )
 
-// setDraining marks the targets that the instance list shows leaving.
+// setDraining marks the targets that are leaving according to the instance
+// list.
 func (p *enginePool) setDraining(leaving func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -24,13 +25,14 @@
 	p.updateActiveVersion()
 }
 
-// identity is what the i-th target is now. Callers hold mu.
+// cacheIdentity returns the current identity of the i-th target. p.mu must be
+// held.
 func (p *enginePool) cacheIdentity(i int) cacheindex.Identity {
 	t := p.pool.Target(i)
 	return cacheindex.Identity{Target: t.Name, Incarnation: t.Incarnation, Version: t.Version}
 }
 
-// loadReport is a target's answer to a load question.
+// loadReport is a target's response to a load query.
 type loadReport struct {
 	Incarnation         string  `json:"incarnation"`
 	Version             string  `json:"version"`
@@ -38,9 +40,9 @@
 	AsOfMS              int64   `json:"as_of_ms"`
 }
 
-// observe takes a load report in. asked is when the question was sent, asOf
-// when the report was true.
-func (p *enginePool) applyLoadReport(name string, asked, asOf time.Duration, r loadReport) {
+// applyLoadReport applies a target's load report. queriedAt is when the query
+// was sent, asOf when the report was made.
+func (p *enginePool) applyLoadReport(name string, queriedAt, asOf time.Duration, r loadReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i, ok := p.pool.Find(name)
@@ -48,42 +50,43 @@
 		return
 	}
 	t := p.pool.Target(i)
-	back := t.Incarnation != "" && t.Incarnation != r.Incarnation
-	t.Cache = p.cacheIndex.Observe(asked, cacheindex.Identity{Target: name, Incarnation: r.Incarnation, Version: r.Version})
+	restarted := t.Incarnation != "" && t.Incarnation != r.Incarnation
+	t.Cache = p.cacheIndex.Observe(queriedAt, cacheindex.Identity{Target: name, Incarnation: r.Incarnation, Version: r.Version})
 	if t.Incarnation != r.Incarnation || t.Version != r.Version {
 		if t.Incarnation != "" {
-			p.restartedAt[name] = asked
+			p.slowStartSince[name] = queriedAt
 		}
 		t.Load.Reset(asOf)
 		t.Incarnation, t.Version = r.Incarnation, r.Version
 		p.pool.ApplyFilters(i)
 		p.updateActiveVersion()
 	}
-	if at, ok := p.restartedAt[name]; ok {
-		t.SlowStartFactor = placement.SlowStartFactor(asked - at)
+	if since, ok := p.slowStartSince[name]; ok {
+		t.SlowStartFactor = placement.SlowStartFactor(queriedAt - since)
 	}
 	t.Load.Report(asOf, r.QueuedPrefillTokens)
-	p.markResponsiveLocked(name, back)
+	p.markResponsiveLocked(name, restarted)
 }
 
-// unanswered takes in that a target answers no load questions: it gets no new
-// work, and the answers that it still owes are given up.
+// markUnresponsive records that a target does not answer load queries. It
+// receives no new work except probes, and responses still expected from it are
+// cancelled.
 func (p *enginePool) markUnresponsive(name string) {
 	p.mu.Lock()
 	p.markUnresponsiveLocked(name)
-	list := make([]func(), 0, len(p.unresponsiveCallbacks[name]))
-	for _, down := range p.unresponsiveCallbacks[name] {
-		list = append(list, down)
+	callbacks := make([]func(), 0, len(p.unresponsiveCallbacks[name]))
+	for _, callback := range p.unresponsiveCallbacks[name] {
+		callbacks = append(callbacks, callback)
 	}
 	p.mu.Unlock()
-	for _, down := range list {
-		down()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// watch calls down when the target is found to answer no questions, until stop
-// is called.
-func (p *enginePool) onUnresponsive(name string, down func()) (stop func()) {
+// onUnresponsive registers a callback that is called when the target stops
+// answering load queries, until stop is called.
+func (p *enginePool) onUnresponsive(name string, callback func()) (stop func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextID++
@@ -91,7 +94,7 @@
 	if p.unresponsiveCallbacks[name] == nil {
 		p.unresponsiveCallbacks[name] = make(map[uint64]func())
 	}
-	p.unresponsiveCallbacks[name][id] = down
+	p.unresponsiveCallbacks[name][id] = callback
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/entry/pools.go
+++ b/internal/entry/pools.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/config"
 )
 
-// pools are the engine and service pools of the configuration in force.
+// pools holds the engine and service pools of the configuration in force.
 type pools struct {
 	clock  clock
 	domain string
@@ -30,9 +30,9 @@
 	}
 }
 
-// configure puts a configuration into force. routers is the number of entry
-// instances that share the targets.
-func (p *pools) configure(s *config.State, routers int) {
+// configure applies a configuration. instanceCount is the number of entry instances
+// that share the targets.
+func (p *pools) configure(s *config.State, instanceCount int) {
 	intent := s.Intent()
 	byPool := make(map[string][]config.Target)
 	for _, t := range intent.Targets {
@@ -40,7 +40,7 @@
 	}
 	p.mu.Lock()
 	for name, cfg := range intent.Pools {
-		p.configurePool(cfg, intent.Models[cfg.Model], byPool[name], routers)
+		p.configurePool(cfg, intent.Models[cfg.Model], byPool[name], instanceCount)
 	}
 	p.mu.Unlock()
 	all := make([]config.Target, 0, len(intent.Targets))
@@ -50,7 +50,7 @@
 	p.poller.setTargets(p.ctx, all, p.engine)
 }
 
-func (p *pools) configurePool(cfg config.Pool, model config.Model, targets []config.Target, routers int) {
+func (p *pools) configurePool(cfg config.Pool, model config.Model, targets []config.Target, instanceCount int) {
 	if cfg.Kind == config.KindService {
 		if p.services[cfg.Name] == nil {
 			p.services[cfg.Name] = newServicePool(p.clock, p.domain)
@@ -63,7 +63,7 @@
 		pool = newEnginePool(p.clock, p.domain)
 		p.engines[cfg.Name] = pool
 	}
-	pool.configure(cfg, model, targets, routers)
+	pool.configure(cfg, model, targets, instanceCount)
 	if !pool.started {
 		pool.started = true
 		go pool.run(p.ctx)
@@ -82,7 +82,7 @@
 	return p.services[name]
 }
 
-// setDraining marks the targets that get no new work.
+// setDraining marks the targets that are leaving; they receive no new work.
 func (p *pools) setDraining(leaving func(name string) bool) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -9,16 +9,17 @@
 	"github.com/mastictray/mastictray/internal/sse"
 )
 
-// errorEvent names the event that ends a stream which cannot be completed.
+// errorEventName is the name of the event that ends a stream which cannot be
+// completed.
 const errorEventName = "error"
 
-// write relays one event to the caller.
+// writeEvent relays one event to the caller.
 func (r *engineRun) writeEvent(act attempt.Action) {
 	r.writeHead("text/event-stream")
 	r.sendEvent(sse.Event{ID: strconv.FormatInt(act.Seq, 10), HasID: true, Data: act.Data})
 }
 
-// begin sends the head of the answer, once.
+// writeHead sets the headers of the response, once.
 func (r *engineRun) writeHead(contentType string) {
 	if r.call.headSent {
 		return
@@ -38,14 +39,14 @@
 	}
 }
 
-// writeWhole sends an answer without a stream.
+// writeFullResponse sends a response that is not a stream.
 func (r *engineRun) writeFullResponse(body []byte) {
 	r.writeHead("application/json")
 	_, _ = r.call.w.Write(body)
 }
 
-// writeError ends a stream whose head is out already: without the event its
-// caller would take the part for the whole.
+// writeErrorEvent ends a stream that has begun with an error event. Without it,
+// the caller could take the incomplete response for a complete one.
 func (r *engineRun) writeErrorEvent(e *openai.Error) {
 	r.sendEvent(sse.Event{Name: errorEventName, Data: e.JSON()})
 }
--- a/internal/entry/security.go
+++ b/internal/entry/security.go
@@ -8,8 +8,8 @@
 	"github.com/mastictray/mastictray/internal/settings"
 )
 
-// security is the TLS of the process's listeners, nil where none is set, and
-// the operators' tokens.
+// listenerSecurity holds the TLS configurations of the process's listeners, nil
+// for a listener without TLS, and the operators' tokens.
 type listenerSecurity struct {
 	callers, peers *tls.Config
 	admin          adminTokens
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -20,7 +20,7 @@
 	"github.com/mastictray/mastictray/internal/overload"
 )
 
-// server answers callers.
+// server is the HTTP handler for callers' requests.
 type server struct {
 	clock        clock
 	config       *configDriver
@@ -33,14 +33,14 @@
 	metrics      *entryMetrics
 	maxBody      int64
 
-	// full reports whether too many connections are open.
+	// overConnectionLimit reports whether too many connections are open.
 	overConnectionLimit func() bool
-	// closing is set when the process no longer takes requests.
+	// shuttingDown is set when the process no longer takes requests.
 	shuttingDown atomic.Bool
 	inFlight     sync.WaitGroup
 }
 
-// call is one request of a caller on its way through.
+// call is one request of a caller.
 type call struct {
 	id        string
 	w         http.ResponseWriter
@@ -52,9 +52,9 @@
 	account   config.Account
 	route     config.Route
 	body      []byte
-	// attempts counts the tries at targets.
+	// attempts is the number of attempts so far.
 	attempts int
-	// wrote is set once the head of the answer went to the caller.
+	// headSent is set once the head of the response was sent to the caller.
 	headSent bool
 }
 
@@ -69,7 +69,8 @@
 	}
 }
 
-// serve runs one request. A returned error has not been written yet.
+// serve handles one request. If it returns an error, no error response has been
+// written yet.
 func (s *server) serve(c *call) error {
 	if s.shuttingDown.Load() {
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "this instance is shutting down", time.Second)
@@ -95,7 +96,7 @@
 	return s.dispatchByRoute(c, intent)
 }
 
-// authorize checks the call's key against the configuration in force now.
+// authorize checks the call's key against the configuration in force.
 func (s *server) authorize(c *call) error {
 	s.config.thaw.wait(c.r.Context())
 	account, keyID, err := s.config.authorize(c.apiKey)
@@ -130,15 +131,15 @@
 	return nil
 }
 
-// Paths that take OpenAI-style bodies.
+// Paths of the OpenAI API.
 const (
 	chatPath       = "/v1/chat/completions"
 	completionPath = "/v1/completions"
 	modelsPath     = "/v1/models"
 )
 
-// dispatchByRoute finds the route of a request. Several routes may share an
-// OpenAI path; the model named in the body chooses between them.
+// dispatchByRoute finds the route of a request. Several routes may have the
+// same OpenAI path; the model named in the body selects one of them.
 func (s *server) dispatchByRoute(c *call, intent *config.Intent) error {
 	routes := routesForPath(intent, c.r.URL.Path)
 	if len(routes) == 0 {
@@ -161,7 +162,7 @@
 	return s.serveEngine(c, route, pool, intent.Models[pool.Model], req)
 }
 
-// modelRoute is the first of the routes whose pool serves the model.
+// routeForModel returns the first route whose pool serves the model.
 func routeForModel(intent *config.Intent, routes []config.Route, model string) (config.Route, config.Pool, bool) {
 	for _, route := range routes {
 		if pool := intent.Pools[route.Pool]; pool.Model == model {
@@ -178,7 +179,7 @@
 	return openai.ParseChat(body)
 }
 
-// routesOf returns the routes of a path, in the order of their names.
+// routesForPath returns the routes with the given path, sorted by name.
 func routesForPath(intent *config.Intent, path string) []config.Route {
 	var routes []config.Route
 	for _, r := range intent.Routes {
@@ -212,24 +213,24 @@
 	}{"list", data})
 }
 
-// refuse writes a refusal and its log line.
+// refuse writes an error response and logs it.
 func (s *server) refuse(c *call, err error) {
 	var e *openai.Error
 	if !errors.As(err, &e) {
 		e = &openai.Error{Status: http.StatusInternalServerError, Code: openai.CodeTargetFailed, Outcome: openai.MayHaveRun, Message: "internal error"}
 		logline.Error(err, "request_failed", "request", c.id)
 	}
-	answer := *e
-	answer.RequestID = c.id
+	response := *e
+	response.RequestID = c.id
 	if !c.headSent {
-		answer.Write(c.w)
+		response.Write(c.w)
 	}
-	s.metrics.refused(c.account.Name, answer.Code)
+	s.metrics.refused(c.account.Name, response.Code)
 	logline.Info("request_refused", "request", c.id, "account", c.account.Name, "key", c.keyID,
-		"route", c.route.Name, "code", answer.Code, "outcome", answer.Outcome, "attempts", c.attempts)
+		"route", c.route.Name, "code", response.Code, "outcome", response.Outcome, "attempts", c.attempts)
 }
 
-// refusal is an error for a request that has not run.
+// refusal returns an error for a request that has not run.
 func refusal(status int, code openai.Code, message string, retryAfter time.Duration) *openai.Error {
 	return &openai.Error{Status: status, Code: code, Message: message, Outcome: openai.NotRun, RetryAfter: retryAfter}
 }
--- a/internal/entry/servicepool.go
+++ b/internal/entry/servicepool.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// serviceRetryAfter is the hint when no target is usable.
+	// serviceRetryAfter is the Retry-After value when no target is usable.
 	serviceRetryAfter = time.Second
-	// serviceMaxWait bounds the wait between probes. Plain services answer no
-	// load questions: only a probe finds out that one is back.
+	// serviceMaxProbeWait bounds the time between probes. Plain services answer
+	// no load queries, so only a probe detects that a target has recovered.
 	serviceMaxProbeWait = time.Second
 )
 
-// servicePool decides for the requests of one pool of plain services.
+// servicePool chooses targets for the requests of one pool of plain services.
 type servicePool struct {
 	clock  clock
 	domain string
@@ -34,7 +34,7 @@
 	rng       *rand.Rand
 }
 
-// servicePlaced is a target chosen for one attempt.
+// servicePlacedAttempt is an attempt and the target chosen for it.
 type servicePlacedAttempt struct {
 	target  string
 	address string
@@ -67,15 +67,17 @@
 	}
 }
 
-// acquire chooses a target and counts the request there until release. The
-// error is an *openai.Error: the request has not run.
+// acquire chooses a target and counts the request as outstanding there until
+// release. If it returns an error, which is an *openai.Error, the request has
+// not run.
 func (p *servicePool) acquire(exclude string) (servicePlacedAttempt, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i, ok := p.chooseTarget(exclude, func(b *targetBreaker) bool { return b.Ready(p.clock.now()) })
 	if !ok {
-		// A pool that was lost as a whole starts slowly as a whole. There is no
-		// queue here: what is over the limits would be refused.
+		// All available targets have reached their slow start limits, for
+		// example after the whole pool was lost. There is no queue here, so
+		// requests exceed these limits instead of being refused.
 		i, ok = p.chooseTarget(exclude, func(b *targetBreaker) bool { return b.State() != overload.Open })
 	}
 	if !ok {
@@ -89,17 +91,18 @@
 	return servicePlacedAttempt{target: name, address: p.addresses[name], ticket: p.breakers.begin(name)}, nil
 }
 
-// choose picks one of the targets whose breakers are taken. Callers hold mu.
-func (p *servicePool) chooseTarget(exclude string, takes func(*targetBreaker) bool) (int, bool) {
+// chooseTarget chooses among the targets whose breakers usable accepts. p.mu
+// must be held.
+func (p *servicePool) chooseTarget(exclude string, usable func(*targetBreaker) bool) (int, bool) {
 	for i := range p.targets {
 		t := &p.targets[i]
-		t.Usable = !p.draining[t.Name] && takes(p.breakers.byTarget[t.Name])
+		t.Usable = !p.draining[t.Name] && usable(p.breakers.byTarget[t.Name])
 	}
 	return placement.LeastOutstanding(p.targets, p.domain, exclude, p.cfg.MaxConcurrent, p.rng)
 }
 
-// release ends an attempt and takes in what it says of the target. One that
-// can't be connected to gets probes only, at once.
+// release ends an attempt and records its result. If the target was
+// unreachable, it receives only probes from now on.
 func (p *servicePool) release(pl servicePlacedAttempt, r overload.Result, unreachable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -16,14 +16,15 @@
 	"github.com/mastictray/mastictray/internal/rate"
 )
 
-// forwardedHeaders go from a caller to a plain service. Everything else stays
-// here, above all the caller's key.
+// forwardedRequestHeaders are the request headers that are forwarded to a plain
+// service. No other header is, in particular not the caller's key.
 var forwardedRequestHeaders = []string{"Content-Type", "Accept", "Accept-Language", headerIdempotencyKey}
 
-// answeredHeaders go back from a plain service to the caller.
+// forwardedResponseHeaders are the response headers that are forwarded to the
+// caller.
 var forwardedResponseHeaders = []string{"Content-Type", "Content-Language", "Location", "Retry-After"}
 
-// serviceAnswer is the whole answer of a plain service.
+// serviceResponse is the complete response of a plain service.
 type serviceResponse struct {
 	status int
 	header http.Header
@@ -33,53 +34,53 @@
 func (s *server) serveService(c *call, route config.Route, pool config.Pool) error {
 	c.route = route
 	c.deadline = c.startedAt + route.Deadline
-	var reserved rate.Reservation
-	if err := s.reserveRate(c, route.CostTokens, &reserved); err != nil {
+	var reservation rate.Reservation
+	if err := s.reserveRate(c, route.CostTokens, &reservation); err != nil {
 		return err
 	}
-	used := route.CostTokens
-	defer func() { s.rates.settle(&reserved, used) }()
+	charged := route.CostTokens
+	defer func() { s.rates.settle(&reservation, charged) }()
 	err := s.runService(c, pool)
 	var refused *openai.Error
 	if errors.As(err, &refused) && refused.Outcome == openai.NotRun {
-		used = 0
+		charged = 0
 	}
 	return err
 }
 
-// runService sends the request, under a claim when it may run only once and
-// carries an Idempotency-Key.
+// runService sends the request. If the route is not idempotent and the request
+// has an Idempotency-Key, it is sent under a claim.
 func (s *server) runService(c *call, pool config.Pool) error {
 	key := c.r.Header.Get(headerIdempotencyKey)
 	if c.route.Idempotent || key == "" {
-		ans, err := s.sendService(c, pool, nil)
+		resp, err := s.sendService(c, pool, nil)
 		if err != nil {
 			return err
 		}
-		s.writeServiceResponse(c, pool, ans)
+		s.writeServiceResponse(c, pool, resp)
 		return nil
 	}
 	return s.runClaimed(c, pool, key)
 }
 
-// sendService tries targets until one answers. before runs right before the
-// first byte goes out.
-func (s *server) sendService(c *call, pool config.Pool, before func() error) (serviceResponse, error) {
+// sendService tries targets until one responds. beforeSend is called once, right
+// before the first byte is sent.
+func (s *server) sendService(c *call, pool config.Pool, beforeSend func() error) (serviceResponse, error) {
 	s.retryBudget.AddRequest()
-	sp := s.pools.service(pool.Name)
+	targetPool := s.pools.service(pool.Name)
 	exclude := ""
 	for {
-		pl, err := sp.acquire(exclude)
+		pl, err := targetPool.acquire(exclude)
 		if err != nil {
 			return serviceResponse{}, err
 		}
-		ans, err := s.tryService(c, pl.target, pl.address, before)
-		before = nil
-		res := resultOfServiceAttempt(c, ans, err)
-		sp.release(pl, res, res == overload.Failed && isUnreachableError(err))
+		resp, err := s.tryService(c, pl.target, pl.address, beforeSend)
+		beforeSend = nil
+		result := resultOfServiceAttempt(c, resp, err)
+		targetPool.release(pl, result, result == overload.Failed && isUnreachableError(err))
 		if err == nil {
 			s.metrics.attempt(pool.Name, "answered")
-			return ans, nil
+			return resp, nil
 		}
 		s.metrics.attempt(pool.Name, "failed")
 		if !s.mayRetry(c, err) {
@@ -89,13 +90,13 @@
 	}
 }
 
-// serviceResult is what an attempt says of its target. An answer with a server
-// error goes to the caller as it is, and counts against the target all the
-// same.
-func resultOfServiceAttempt(c *call, ans serviceResponse, err error) overload.Result {
+// resultOfServiceAttempt returns what an attempt means for the target's
+// breaker. A response with a server error counts as a failure, although it is
+// forwarded to the caller unchanged.
+func resultOfServiceAttempt(c *call, resp serviceResponse, err error) overload.Result {
 	var failed *openai.Error
 	switch {
-	case err == nil && ans.status < http.StatusInternalServerError:
+	case err == nil && resp.status < http.StatusInternalServerError:
 		return overload.Succeeded
 	case err == nil:
 		return overload.Failed
@@ -106,7 +107,7 @@
 	}
 }
 
-// unreachable reports that no connection to the target was made.
+// isUnreachableError reports whether no connection to the target was made.
 func isUnreachableError(err error) bool {
 	var failed *openai.Error
 	return errors.As(err, &failed) && failed.Code == openai.CodeTargetFailed && failed.Outcome == openai.NotRun
@@ -123,12 +124,12 @@
 	return (c.route.Idempotent || failed.Outcome == openai.NotRun) && s.retryBudget.TakeRetry()
 }
 
-func (s *server) tryService(c *call, name, address string, before func() error) (serviceResponse, error) {
+func (s *server) tryService(c *call, name, address string, beforeSend func() error) (serviceResponse, error) {
 	if err := s.authorize(c); err != nil {
 		return serviceResponse{}, err
 	}
-	if before != nil {
-		if err := before(); err != nil {
+	if beforeSend != nil {
+		if err := beforeSend(); err != nil {
 			return serviceResponse{}, err
 		}
 	}
@@ -146,14 +147,14 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBodyBytes))
 	if err != nil {
-		return serviceResponse{}, exchangeError(&sendError{op: "read answer", target: name, outcome: openai.MayHaveRun, cause: err})
+		return serviceResponse{}, exchangeError(&sendError{op: "read response", target: name, outcome: openai.MayHaveRun, cause: err})
 	}
 	return serviceResponse{status: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
-// serviceContext bounds an attempt by the deadline. A request that may run
-// only once is not cut off when its caller leaves: its answer has to be
-// recorded for the caller's repeat.
+// serviceAttemptContext returns a context that ends at the deadline. A request
+// that may run only once is not cancelled when its caller disconnects, as its
+// response must be recorded for a retry by the caller.
 func (s *server) serviceAttemptContext(c *call) (context.Context, context.CancelFunc) {
 	parent := c.r.Context()
 	if !c.route.Idempotent {
@@ -162,30 +163,30 @@
 	return context.WithTimeout(parent, c.deadline-s.clock.now())
 }
 
-func filterRequestHeaders(from http.Header) http.Header {
-	to := http.Header{}
+func filterRequestHeaders(in http.Header) http.Header {
+	out := http.Header{}
 	for _, name := range forwardedRequestHeaders {
-		if v := from.Values(name); len(v) > 0 {
-			to[http.CanonicalHeaderKey(name)] = v
+		if v := in.Values(name); len(v) > 0 {
+			out[http.CanonicalHeaderKey(name)] = v
 		}
 	}
-	return to
+	return out
 }
 
-func (s *server) writeServiceResponse(c *call, pool config.Pool, ans serviceResponse) {
+func (s *server) writeServiceResponse(c *call, pool config.Pool, resp serviceResponse) {
 	for _, name := range forwardedResponseHeaders {
-		if v := ans.header.Get(name); v != "" {
+		if v := resp.header.Get(name); v != "" {
 			c.w.Header().Set(name, v)
 		}
 	}
-	c.w.WriteHeader(ans.status)
-	_, _ = c.w.Write(ans.body)
+	c.w.WriteHeader(resp.status)
+	_, _ = c.w.Write(resp.body)
 	s.metrics.answered(c.account.Name, pool.Name)
 	logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", c.route.Name,
-		"attempts", c.attempts, "status", ans.status, "ms", (s.clock.now() - c.startedAt).Milliseconds())
+		"attempts", c.attempts, "status", resp.status, "ms", (s.clock.now() - c.startedAt).Milliseconds())
 }
 
-// runClaimed runs a request at most once over all instances.
+// runClaimed runs a request at most once across all instances.
 func (s *server) runClaimed(c *call, pool config.Pool, key string) error {
 	answer, err := s.claims.begin(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
@@ -193,21 +194,21 @@
 		Deadline:    c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
 	})
 	if err != nil {
-		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller left before the request ran", time.Second)
+		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller disconnected before the request ran", time.Second)
 	}
 	if answer.State != claim.Run {
 		return s.answerDuplicate(c, pool, answer)
 	}
-	ans, err := s.sendService(c, pool, func() error { return s.claims.dispatch(c.id) })
+	resp, err := s.sendService(c, pool, func() error { return s.claims.dispatch(c.id) })
 	if err == nil {
-		s.claims.finish(c.id, claim.Result{Status: ans.status, ContentType: ans.header.Get("Content-Type"), Body: ans.body})
-		s.writeServiceResponse(c, pool, ans)
+		s.claims.finish(c.id, claim.Result{Status: resp.status, ContentType: resp.header.Get("Content-Type"), Body: resp.body})
+		s.writeServiceResponse(c, pool, resp)
 		return nil
 	}
 	return s.settleFailedClaim(c, err)
 }
 
-// claimedFailure settles the claim of a request that got no answer.
+// settleFailedClaim settles the claim of a request that got no response.
 func (s *server) settleFailedClaim(c *call, err error) error {
 	var failed *openai.Error
 	if errors.As(err, &failed) && failed.Outcome != openai.NotRun {
@@ -218,42 +219,44 @@
 	if errors.As(err, &failed) {
 		return err
 	}
-	return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the claim lapsed before the request was sent", time.Second)
+	return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the claim expired before the request was sent", time.Second)
 }
 
-// answerRepeat answers a request whose key is another request's.
+// answerDuplicate answers a request whose key is already claimed by another
+// request.
 func (s *server) answerDuplicate(c *call, pool config.Pool, a claim.Answer) error {
 	switch a.State {
 	case claim.Replay:
 		return s.replayResult(c, pool, *a.Result)
 	case claim.InProgress:
-		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeInProgress, Outcome: openai.MayHaveRun, Message: "the first request with this key is still running", RetryAfter: time.Second}
+		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeInProgress, Outcome: openai.MayHaveRun, Message: "the first request with this idempotency key is still running", RetryAfter: time.Second}
 	case claim.MayHaveRun, claim.TooOld:
 		return unknownOutcomeError()
 	case claim.BodyMismatch:
-		return refusal(http.StatusUnprocessableEntity, openai.CodeKeyReused, "the key belongs to a different request", 0)
+		return refusal(http.StatusUnprocessableEntity, openai.CodeKeyReused, "the idempotency key belongs to a different request", 0)
 	default:
-		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "no claim could be had for the key", time.Second)
+		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "no claim could be obtained for the key", time.Second)
 	}
 }
 
-// unknownOutcome is the answer to a repeat whose first request may have run.
+// unknownOutcomeError is the response to a duplicate of a request that may have
+// run.
 func unknownOutcomeError() *openai.Error {
 	return &openai.Error{
 		Status: http.StatusConflict, Code: openai.CodeUnknownOutcome, Outcome: openai.MayHaveRun,
-		Message: "a request with this key may have run; its outcome is not known",
+		Message: "a request with this idempotency key may have run; its outcome is unknown",
 	}
 }
 
-// replay gives the first request's answer to its repeat.
-func (s *server) replayResult(c *call, pool config.Pool, res claim.Result) error {
-	if res.Unknown {
+// replayResult sends the recorded response of the first request.
+func (s *server) replayResult(c *call, pool config.Pool, result claim.Result) error {
+	if result.Unknown {
 		return unknownOutcomeError()
 	}
-	if res.BodyDropped {
-		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeUnknownOutcome, Outcome: openai.Ran, Message: "the request ran; its answer was too large to keep"}
+	if result.BodyDropped {
+		return &openai.Error{Status: http.StatusConflict, Code: openai.CodeUnknownOutcome, Outcome: openai.Ran, Message: "the request ran; its response was too large to store"}
 	}
 	c.w.Header().Set("Idempotent-Replayed", "true")
-	s.writeServiceResponse(c, pool, serviceResponse{status: res.Status, header: http.Header{"Content-Type": {res.ContentType}}, body: res.Body})
+	s.writeServiceResponse(c, pool, serviceResponse{status: result.Status, header: http.Header{"Content-Type": {result.ContentType}}, body: result.Body})
 	return nil
 }
