--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -19,9 +19,9 @@
 
 // adminServer serves the health checks, the metrics and the admin API.
 type adminServer struct {
-	entry  *Entry
-	app    *iris.Application
-	http   *http.Server
+	entry *Entry
+	app *iris.Application
+	http *http.Server
 	tokens adminTokens
 	// ready is false once the process drains.
 	ready atomic.Bool
@@ -60,7 +60,7 @@
 // requireRole rejects requests whose token does not have the role.
 func (a *adminServer) requireRole(required adminRole) iris.Handler {
 	return func(ctx iris.Context) {
-		if !a.tokens.allows(bearer(ctx.Request()), required) {
+		if !a.tokens.allows(bearerToken(ctx.Request()), required) {
 			ctx.StopWithText(http.StatusForbidden, "the token does not have the role %s\n", required)
 			return
 		}
@@ -106,9 +106,9 @@
 // explainRequest is the body of POST /admin/v1/explain: the caller request whose
 // placement is to be explained.
 type explainRequest struct {
-	Path    string          `json:"path"`
-	Account string          `json:"account"`
-	Body    json.RawMessage `json:"body"`
+	Path string `json:"path"`
+	Account string `json:"account"`
+	Body json.RawMessage `json:"body"`
 }
 
 // handleExplain computes the placement of a request without sending it.
@@ -118,7 +118,7 @@
 		ctx.StopWithText(http.StatusBadRequest, "invalid body: expected a JSON object with path, account and body\n")
 		return
 	}
-	req, err := parseBody(query.Path, query.Body)
+	req, err := parseRequestBody(query.Path, query.Body)
 	if err != nil {
 		ctx.StopWithText(http.StatusBadRequest, "%s\n", err.Error())
 		return
@@ -128,7 +128,7 @@
 		ctx.StopWithText(http.StatusServiceUnavailable, "no configuration yet\n")
 		return
 	}
-	_, pool, ok := modelRoute(intent, routesOf(intent, query.Path), req.Model)
+	_, pool, ok := routeForModel(intent, routesForPath(intent, query.Path), req.Model)
 	if !ok {
 		ctx.StopWithText(http.StatusNotFound, "no route serves this path and model\n")
 		return
@@ -137,7 +137,7 @@
 }
 
 func (a *adminServer) explainForPool(ctx iris.Context, account string, pool *enginePool, req openai.Request) {
-	explanation, err := pool.explain(placementOf(account, pool.modelNow(), pool.activeVersion(), req.Prompt))
+	explanation, err := pool.explain(newPlacementRequest(account, pool.currentModel(), pool.activeVersion(), req.Prompt))
 	if err != nil {
 		ctx.StopWithText(http.StatusServiceUnavailable, "%s\n", err.Error())
 		return
--- a/internal/entry/cacheevents.go
+++ b/internal/entry/cacheevents.go
@@ -12,19 +12,22 @@
 )
 
 const (
-	eventsWait    = 5 * time.Second
-	eventsTimeout = 8 * time.Second
-	eventsRetry   = time.Second
+	// eventsPollWait is how long a target may hold a query open while it has no
+	// new events.
+	eventsPollWait    = 5 * time.Second
+	eventsPollTimeout = 8 * time.Second
+	eventsRetryDelay  = time.Second
 )
 
-// cacheEvents is a target's answer to a question for its cache events.
-type cacheEvents struct {
+// cacheEventsResponse is a target's response to a query for its cache events.
+type cacheEventsResponse struct {
 	Incarnation string       `json:"incarnation"`
 	Next        int64        `json:"next"`
 	Events      []cacheEvent `json:"events"`
 }
 
-// cacheEvent says that a target stored or evicted pieces.
+// cacheEvent reports that a target stored or evicted pieces, or cleared its
+// cache.
 type cacheEvent struct {
 	Seq    int64    `json:"seq"`
 	Op     string   `json:"op"`
@@ -38,102 +41,102 @@
 	opCleared = "cleared"
 )
 
-// eventReader follows one target's cache events. It begins with those that the
-// target still retains, so a restarted instance knows at once what is cached.
-// A lost event costs hit rate only, so gaps are passed over.
-type eventReader struct {
+// cacheEventReader reads one target's cache events. It begins with the oldest
+// events that the target retains, so that a restarted instance soon knows what
+// is cached. Gaps are ignored, as a lost event only lowers the hit rate.
+type cacheEventReader struct {
 	client  *http.Client
 	address string
 	target  string
 	pool    *enginePool
 }
 
-func (r *eventReader) run(ctx context.Context) {
+func (r *cacheEventReader) run(ctx context.Context) {
 	from, incarnation := int64(0), ""
 	for ctx.Err() == nil {
-		got, err := r.read(ctx, from)
+		resp, err := r.fetch(ctx, from)
 		if err != nil {
-			sleep(ctx, eventsRetry)
+			sleep(ctx, eventsRetryDelay)
 			continue
 		}
-		if got.Incarnation != incarnation {
-			// Offsets of another incarnation mean nothing here.
-			incarnation = got.Incarnation
+		if resp.Incarnation != incarnation {
+			// Offsets of different incarnations are not comparable.
+			incarnation = resp.Incarnation
 			if from != 0 {
 				from = 0
 				continue
 			}
 		}
-		if !r.pool.cached(r.target, got.Incarnation, got.Events) {
-			// The load question has not told of this incarnation yet.
-			sleep(ctx, loadEvery)
+		if !r.pool.applyCacheEvents(r.target, resp.Incarnation, resp.Events) {
+			// The load poller has not seen this incarnation yet.
+			sleep(ctx, loadPollInterval)
 			continue
 		}
-		from = got.Next
+		from = resp.Next
 	}
 }
 
-func (r *eventReader) read(ctx context.Context, from int64) (cacheEvents, error) {
-	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
+func (r *cacheEventReader) fetch(ctx context.Context, from int64) (cacheEventsResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, eventsPollTimeout)
 	defer cancel()
-	var got cacheEvents
-	url := fmt.Sprintf("http://%s/events?from=%d&wait_ms=%d", r.address, from, eventsWait.Milliseconds())
-	err := getJSON(ctx, r.client, url, &got)
-	return got, err
+	var resp cacheEventsResponse
+	url := fmt.Sprintf("http://%s/events?from=%d&wait_ms=%d", r.address, from, eventsPollWait.Milliseconds())
+	err := getJSON(ctx, r.client, url, &resp)
+	return resp, err
 }
 
-// cached takes a target's cache events in. False when they are not from the
-// incarnation that the target is known by: nothing is known of another.
-func (p *enginePool) cached(name, incarnation string, events []cacheEvent) bool {
+// applyCacheEvents adds a target's cache events to the index. It returns false
+// and ignores them if they are not from the target's known incarnation.
+func (p *enginePool) applyCacheEvents(name, incarnation string, events []cacheEvent) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i, ok := p.pool.Find(name)
 	if !ok || p.pool.Target(i).Incarnation != incarnation {
 		return false
 	}
-	id := p.identity(i)
+	id := p.cacheIdentity(i)
 	for _, e := range events {
-		pieces, err := parsePieces(e.Pieces)
+		pieces, err := parsePieceHashes(e.Pieces)
 		if err != nil {
 			logline.Error(err, "cache_event_malformed", "target", name, "seq", e.Seq)
 			continue
 		}
 		switch e.Op {
 		case opStored:
-			p.index.Stored(id, pieces)
+			p.cacheIndex.Stored(id, pieces)
 		case opEvicted:
-			p.index.Evicted(id, pieces)
+			p.cacheIndex.Evicted(id, pieces)
 		case opCleared:
-			p.index.Cleared(id)
+			p.cacheIndex.Cleared(id)
 		}
 	}
-	p.followed[name] = true
-	p.checkFollowed()
+	p.eventsRead[name] = true
+	p.updateCacheStateKnown()
 	return true
 }
 
-// checkFollowed tells the picker once the retained events of all targets that
-// answer have been read: until then rendezvous order is the better guide.
-// Callers hold mu.
-func (p *enginePool) checkFollowed() {
+// updateCacheStateKnown notifies the picker once the retained events of all
+// available targets have been read. Until then, rendezvous order predicts the
+// cached prefixes better than the index. p.mu must be held.
+func (p *enginePool) updateCacheStateKnown() {
 	for i := range p.pool.Len() {
-		if t := p.pool.Target(i); !p.followed[t.Name] && !t.BreakerOpen {
+		if t := p.pool.Target(i); !p.eventsRead[t.Name] && !t.BreakerOpen {
 			return
 		}
 	}
 	p.picker.SetCacheStateKnown()
 }
 
-// counted takes in the cached-token count at the end of an answer.
-func (p *enginePool) counted(pl placed, cachedTokens int) {
+// recordCachedTokens records the cached-token count at the end of a response.
+func (p *enginePool) recordCachedTokens(pl placedAttempt, cachedTokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.RecordCachedTokens(&pl.sending, cachedTokens)
+	p.dispatcher.RecordCachedTokens(&pl.dispatchSend, cachedTokens)
 }
 
-func parsePieces(list []string) ([]prefix.Hash, error) {
-	pieces := make([]prefix.Hash, 0, len(list))
-	for _, s := range list {
+func parsePieceHashes(encoded []string) ([]prefix.Hash, error) {
+	pieces := make([]prefix.Hash, 0, len(encoded))
+	for _, s := range encoded {
 		h, err := strconv.ParseUint(s, 16, 64)
 		if err != nil {
 			return nil, err
--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -11,45 +11,47 @@
 	"github.com/mastictray/mastictray/internal/settings"
 )
 
-// headerReadTimeout bounds reading a request's header: without it a caller
-// that sends one byte a minute holds a connection for ever.
+// headerReadTimeout bounds the time to read a request's header. Without it, a
+// caller that sends one byte a minute could hold a connection indefinitely.
 const headerReadTimeout = 10 * time.Second
 
-// callerServer is the HTTP server that callers reach.
+// callerServer is the HTTP server for the callers' requests.
 type callerServer struct {
 	http *http.Server
-	open atomic.Int64
-	max  int64
+	openConns atomic.Int64
+	maxConns int64
 }
 
 func newCallerServer(s *settings.Settings, h http.Handler, tlsConfig *tls.Config) *callerServer {
-	c := &callerServer{max: int64(s.MaxConnections)}
+	c := &callerServer{maxConns: int64(s.MaxConnections)}
 	c.http = &http.Server{
-		Handler:           h,
-		TLSConfig:         tlsConfig,
+		Handler: h,
+		TLSConfig: tlsConfig,
 		ReadHeaderTimeout: headerReadTimeout,
-		ReadTimeout:       s.ReadTimeout,
-		IdleTimeout:       s.IdleTimeout,
-		MaxHeaderBytes:    s.MaxHeaderBytes,
-		ConnState:         c.track,
-		ErrorLog:          newHTTPErrorLogger(),
+		ReadTimeout: s.ReadTimeout,
+		IdleTimeout: s.IdleTimeout,
+		MaxHeaderBytes: s.MaxHeaderBytes,
+		ConnState: c.countConnection,
+		ErrorLog: newHTTPErrorLogger(),
 	}
 	return c
 }
 
-// track counts open connections.
-func (c *callerServer) track(_ net.Conn, state http.ConnState) {
+// countConnection is the ConnState hook that counts open connections.
+func (c *callerServer) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		c.open.Add(1)
+		c.openConns.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		c.open.Add(-1)
+		c.openConns.Add(-1)
 	}
 }
 
-// full says that a request came on a connection over the limit. It is refused
-// with an answer rather than a reset, so that its caller knows why.
-func (c *callerServer) full() bool { return c.open.Load() > c.max }
+// overConnectionLimit reports whether more than the maximum number of
+// connections are open. Excess connections are accepted and their requests
+// refused with an error response, so that the caller learns the reason; a reset
+// connection would not tell it.
+func (c *callerServer) overConnectionLimit() bool { return c.openConns.Load() > c.maxConns }
 
 func (c *callerServer) serve(l net.Listener) error {
 	if c.http.TLSConfig != nil {
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -13,88 +13,87 @@
 	"github.com/mastictray/mastictray/internal/platform"
 )
 
-// Headers between the router and its targets; see docs/PROTOCOLS.md.
+// Headers of requests to targets and of their responses; see docs/PROTOCOLS.md.
 const (
-	headerRequestID   = "X-Request-Id"
-	headerAccount     = "X-Client-Account"
-	headerVersion     = "X-Weights-Version"
-	headerPriority    = "X-Priority"
+	headerRequestID = "X-Request-Id"
+	headerAccount = "X-Client-Account"
+	headerVersion = "X-Weights-Version"
+	headerPriority = "X-Priority"
 	headerIncarnation = "X-Engine-Incarnation"
-	headerLastEvent   = "Last-Event-ID"
-	headerIdempotency = "Idempotency-Key"
+	headerLastEventID = "Last-Event-ID"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	targetDialTimeout  = 500 * time.Millisecond
-	maxIdlePerTarget   = 256
-	targetIdleTimeout  = 60 * time.Second
-	maxErrorBodyBytes  = 16 << 10
-	maxAnswerBodyBytes = 64 << 20
+	targetDialTimeout = 500 * time.Millisecond
+	maxIdleConnsPerTarget = 256
+	targetIdleConnTimeout = 60 * time.Second
+	maxErrorBodyBytes = 16 << 10
+	maxResponseBodyBytes = 64 << 20
 )
 
-// sendError is a failed exchange with a target, with what is known of whether
-// the request ran there.
+// sendError is a failed exchange with a target. outcome tells whether the
+// request may have run there.
 type sendError struct {
-	step    string
-	target  string
+	op string
+	target string
 	outcome openai.Outcome
-	cause   error
+	cause error
 }
 
 func (e *sendError) Error() string {
-	return e.step + " target=" + e.target + ": " + e.cause.Error()
+	return e.op + " target=" + e.target + ": " + e.cause.Error()
 }
 
 func (e *sendError) Unwrap() error { return e.cause }
 
-// attemptRequest is one try of a request at one target.
+// attemptRequest is the HTTP request of one attempt at one target.
 type attemptRequest struct {
-	attempt  string
-	target   string
-	address  string
-	method   string
-	path     string
-	query    string
-	account  string
-	version  string
+	attemptID string
+	target string
+	address string
+	method string
+	path string
+	query string
+	account string
+	version string
 	priority int
-	header   http.Header
-	body     []byte
-	// once forbids every second sending of the request's bytes.
-	once bool
+	header http.Header
+	body []byte
+	// sendOnce prevents net/http from sending the request again by itself.
+	sendOnce bool
 }
 
 // targetClient sends requests to targets.
 type targetClient struct {
 	pooled *http.Client
-	fresh  *http.Client
+	unpooled *http.Client
 }
 
 // newTargetClient returns a client with two transports. Requests that may run
-// only once go through the one without kept connections: on a kept
-// connection that turns out closed, net/http sends some requests a second
-// time by itself (an Idempotency-Key header is enough), which would book
-// twice. On a fresh connection it never does.
+// only once use the one without keep-alive connections. When a reused connection
+// turns out to be closed, net/http retries some requests by itself, for example
+// those with an Idempotency-Key header, and a target could run them twice. It
+// never does so on a new connection.
 func newTargetClient() *targetClient {
 	dialer := &net.Dialer{Timeout: targetDialTimeout}
 	return &targetClient{
 		pooled: &http.Client{Transport: &http.Transport{
-			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: maxIdlePerTarget,
-			IdleConnTimeout:     targetIdleTimeout,
-			DisableCompression:  true,
+			DialContext: dialer.DialContext,
+			MaxIdleConnsPerHost: maxIdleConnsPerTarget,
+			IdleConnTimeout: targetIdleConnTimeout,
+			DisableCompression: true,
 		}},
-		fresh: &http.Client{Transport: &http.Transport{
-			DialContext:        dialer.DialContext,
-			DisableKeepAlives:  true,
+		unpooled: &http.Client{Transport: &http.Transport{
+			DialContext: dialer.DialContext,
+			DisableKeepAlives: true,
 			DisableCompression: true,
 		}},
 	}
 }
 
-// send makes one attempt and returns the answer with its body open. A status
-// of 4xx or 5xx is returned as an answer too; only a failed exchange is an
-// error.
+// send makes one attempt and returns the response with its body open. A response
+// with a status of 4xx or 5xx is not an error; only a failed exchange is.
 func (c *targetClient) send(ctx context.Context, r attemptRequest) (*http.Response, error) {
 	url := "http://" + r.address + r.path
 	if r.query != "" {
@@ -102,53 +101,54 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.method, url, bytes.NewReader(r.body))
 	if err != nil {
-		return nil, &sendError{step: "build request", target: r.target, outcome: openai.NotRun, cause: err}
+		return nil, &sendError{op: "build request", target: r.target, outcome: openai.NotRun, cause: err}
 	}
 	req.GetBody = nil
 	for k, v := range r.header {
 		req.Header[k] = v
 	}
-	req.Header.Set(headerRequestID, r.attempt)
+	req.Header.Set(headerRequestID, r.attemptID)
 	req.Header.Set(headerAccount, r.account)
 	req.Header.Set(headerPriority, strconv.Itoa(r.priority))
 	if r.version != "" {
 		req.Header.Set(headerVersion, r.version)
 	}
 	client := c.pooled
-	if r.once {
-		client = c.fresh
+	if r.sendOnce {
+		client = c.unpooled
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, &sendError{step: "send", target: r.target, outcome: outcomeOfSend(err), cause: err}
+		return nil, &sendError{op: "send", target: r.target, outcome: outcomeOfSendError(err), cause: err}
 	}
 	return resp, nil
 }
 
-// outcomeOfSend says not_run only when the connection was never made: any
-// later failure may have come after the target read the request.
-func outcomeOfSend(err error) openai.Outcome {
+// outcomeOfSendError returns NotRun only if no connection was established. After
+// any later failure the target may have read the request.
+func outcomeOfSendError(err error) openai.Outcome {
 	if platform.IsDialError(err) {
 		return openai.NotRun
 	}
 	return openai.MayHaveRun
 }
 
-// resume asks the same process for the rest of a stream it has begun.
+// resume requests the rest of a stream from the process that began it, after the
+// chunk with the sequence number lastSeq.
 func (c *targetClient) resume(ctx context.Context, r attemptRequest, lastSeq int64) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+"/v1/streams/"+r.attempt, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.address+"/v1/streams/"+r.attemptID, nil)
 	if err != nil {
-		return nil, &sendError{step: "build resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
+		return nil, &sendError{op: "build resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
 	}
-	req.Header.Set(headerLastEvent, strconv.FormatInt(lastSeq, 10))
+	req.Header.Set(headerLastEventID, strconv.FormatInt(lastSeq, 10))
 	resp, err := c.pooled.Do(req)
 	if err != nil {
-		return nil, &sendError{step: "resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
+		return nil, &sendError{op: "resume", target: r.target, outcome: openai.MayHaveRun, cause: err}
 	}
 	return resp, nil
 }
 
-// cancel tells the target that nobody waits for the stream any more.
+// cancel tells the target to stop an attempt whose response is no longer needed.
 func (c *targetClient) cancel(ctx context.Context, address, attempt string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+attempt, nil)
 	if err != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// drainBody reads a little of the rest so that the connection can be kept,
-// and closes.
+// drainBody closes the body after reading up to maxErrorBodyBytes of what is
+// left, so that the connection can be reused.
 func drainBody(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxErrorBodyBytes)
 	resp.Body.Close()
--- a/internal/entry/enginecrash.go
+++ b/internal/entry/enginecrash.go
@@ -13,106 +13,112 @@
 )
 
 const (
-	// crashProbe bounds the questions to a target that broke an answer off.
-	crashProbe = 300 * time.Millisecond
-	// crashProbeEvery is the wait before the next question.
-	crashProbeEvery = 10 * time.Millisecond
+	// crashProbeTimeout bounds the time spent on finding out whether a target
+	// whose connection broke has crashed.
+	crashProbeTimeout = 300 * time.Millisecond
+	// crashProbeInterval is the wait between two probes.
+	crashProbeInterval = 10 * time.Millisecond
 )
 
-// vet asks whether the request may be dispatched. The error is the answer to a
-// request that has crashed too many targets, or that is suspected to and found
-// nobody to allow it another one.
-func (r *engineRun) vet() error {
-	r.unvetted = r.s.poison.quiet()
-	if r.unvetted {
+// checkPoison asks the poison registry whether the request may be dispatched.
+// It returns an error if the request is quarantined, or if it is a suspect and
+// got no permit to run on a target in time.
+func (r *engineRun) checkPoison() error {
+	r.unregistered = r.server.poison.noSuspects()
+	if r.unregistered {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.e.r.Context(), max(r.e.due-r.s.clock.now(), permitWait/2))
+	ctx, cancel := context.WithTimeout(r.call.r.Context(), max(r.call.deadline-r.server.clock.now(), permitTimeout/2))
 	defer cancel()
-	d := r.s.poison.admit(ctx, r.e.id, r.e.fingerprint(), r.e.pool.Name, r.pool.targets(r.e.place.Exclude))
-	r.isolated = d.Target
+	d := r.server.poison.admit(ctx, r.call.id, r.call.fingerprint(), r.call.pool.Name, r.pool.availableTargets(r.call.placement.Exclude))
+	r.isolatedTarget = d.Target
 	switch d.Verdict {
 	case poison.Quarantined:
-		return quarantined()
+		return quarantineError()
 	case poison.Refused:
 		return &openai.Error{
 			Status: http.StatusServiceUnavailable, Code: openai.CodeOverloaded, Outcome: r.outcome(),
-			Message: "this request may crash its target and found none to run on alone", RetryAfter: time.Second,
+			Message: "this request may crash its target and no target was available to run it in isolation", RetryAfter: time.Second,
 		}
 	}
 	return nil
 }
 
-// quarantined is the final answer to a request that crashes its targets.
-func quarantined() *openai.Error {
+// quarantineError is the final error of a quarantined request.
+func quarantineError() *openai.Error {
 	return &openai.Error{
 		Status: http.StatusUnprocessableEntity, Code: openai.CodeQuarantined, Outcome: openai.MayHaveRun,
 		Message: "this request has crashed the targets that ran it and is not run again",
 	}
 }
 
-// release gives a target back that the request was to run on alone, and leaves
-// it out from then on. Targets that crash next to each other are given out
-// before all instances know: without another target the stream of an innocent
-// request would end there.
-func (r *engineRun) release() {
-	if r.isolated == "" {
+// releaseIsolatedTarget returns the permit for the target on which the request
+// was to run in isolation, and excludes that target from further attempts. When
+// several targets crash at about the same time, permits may still be granted
+// for targets that are already down. Without a second choice, a harmless
+// request would fail in that case.
+func (r *engineRun) releaseIsolatedTarget() {
+	if r.isolatedTarget == "" {
 		return
 	}
-	r.s.poison.ended(r.e.id, false)
-	r.e.place.Exclude = r.isolated
-	r.isolated, r.vetted = "", false
+	r.server.poison.ended(r.call.id, false)
+	r.call.placement.Exclude = r.isolatedTarget
+	r.isolatedTarget, r.admitted = "", false
 }
 
-// outcome is whether the request has run so far.
+// outcome returns what is known so far about whether the request has run.
 func (r *engineRun) outcome() openai.Outcome { return openai.Outcome(r.stream.Outcome()) }
 
-// afterLoss finds out whether the leg's target was lost with the request. It
-// returns when the peers know, so that the caller cannot send a request that
-// crashes targets to an instance that has not heard of it. The error is the
-// final answer to such a request.
-func (r *engineRun) afterLoss() error {
-	if !r.sent {
+// reportTargetLoss checks whether the current target crashed while it may have
+// been running the request, and if so reports the crash. It returns once the
+// peers have acknowledged the crash, so that the caller cannot resend a poison
+// request to an instance that does not know of the crash yet. It returns an
+// error if the request is now quarantined.
+func (r *engineRun) reportTargetLoss() error {
+	if !r.mayBeRunning {
 		return nil
 	}
-	r.sent = false
+	r.mayBeRunning = false
 	if !r.targetLost() {
 		return nil
 	}
-	r.pool.gone(r.at.target, r.incarnation)
-	crash := poison.CrashID{Target: r.at.target, Incarnation: r.incarnation}
-	if r.unvetted {
-		r.s.poison.running(r.e.id, r.e.fingerprint(), r.e.pool.Name, r.at.target, r.pool.targets(r.at.target))
+	r.pool.markProcessEnded(r.placed.target, r.incarnation)
+	crash := poison.CrashID{Target: r.placed.target, Incarnation: r.incarnation}
+	if r.unregistered {
+		r.server.poison.registerRunning(r.call.id, r.call.fingerprint(), r.call.pool.Name, r.placed.target, r.pool.availableTargets(r.placed.target))
 	}
-	r.vetted = false
-	if d := r.s.poison.crashed(r.e.r.Context(), r.e.id, crash); d.Verdict == poison.Quarantined {
-		return quarantined()
+	r.admitted = false
+	if d := r.server.poison.reportCrash(r.call.r.Context(), r.call.id, crash); d.Verdict == poison.Quarantined {
+		return quarantineError()
 	}
 	return nil
 }
 
-// fingerprint names what the request asks for.
+// fingerprint returns the fingerprint of the request's content.
 func (e *engineCall) fingerprint() poison.Fingerprint {
-	if !e.printed {
-		e.printed, e.print = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
+	if !e.fingerprinted {
+		e.fingerprinted, e.cachedFingerprint = true, poison.FingerprintOf(e.account.Name, e.r.URL.Path, e.body)
 	}
-	return e.print
+	return e.cachedFingerprint
 }
 
-// targetLost reports that the process which ran the request is gone: nothing
-// listens at its address, or another incarnation answers there. One that was
-// gone before the request came is not blamed on it: the head of the answer says
-// which process ran it, the last report may still be of the one before. A
-// target that does not answer in time may be paused; that is no crash.
+// targetLost reports whether the process that ran the request has ended: nothing
+// listens at its address, or another incarnation answers there. The incarnation
+// is taken from the head of the response if there is one, since the last load
+// report may be from an earlier process, whose end must not be blamed on this
+// request. A target that does not answer in time may only be paused, and does
+// not count as crashed.
 func (r *engineRun) targetLost() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), crashProbe)
+	ctx, cancel := context.WithTimeout(context.Background(), crashProbeTimeout)
 	defer cancel()
-	// The sockets of a process that ends are closed one by one: a question to
-	// it may be cut off rather than refused. Taken for a sign of life, its
-	// crash would count for nobody, and the request take one target more. So
-	// only an answer, a refusal or the time ends the asking.
+	// While a process ends, its sockets are closed one by one, so the connection
+	// of a probe may be reset instead of refused. If a reset counted as a sign
+	// that the process is alive, the crash would not be attributed to any
+	// request, and a poison request could crash one more target. Probes are
+	// therefore repeated until there is a response, a refused connection or the
+	// timeout.
 	for ctx.Err() == nil {
-		report, err := r.s.pools.poller.ask(ctx, r.at.address)
+		report, err := r.server.pools.poller.fetchLoad(ctx, r.placed.address)
 		if err == nil {
 			return report.Incarnation != r.incarnation
 		}
@@ -120,7 +126,7 @@
 		if errors.As(err, &op) && op.Op == "dial" && !op.Timeout() {
 			return true
 		}
-		sleep(ctx, crashProbeEvery)
+		sleep(ctx, crashProbeInterval)
 	}
 	return false
 }
--- a/internal/entry/engineleg_test.go
+++ b/internal/entry/engineleg_test.go
@@ -12,20 +12,20 @@
 	"github.com/mastictray/mastictray/internal/sse"
 )
 
-// A caller reads its stream slowly, so that writing to it takes longer than a
-// target may be silent. The target has sent everything in time. Were its timer
-// still running during the write, the stream would be broken off as idle.
-func TestTargetTimerRestsWhileTheCallerReads(t *testing.T) {
+// The idle timer must not run while a chunk is written to the caller. If a caller
+// reads so slowly that a write takes longer than the idle timeout, the stream
+// would be closed as idle although the target sent everything in time.
+func TestIdleTimerStopsBetweenReads(t *testing.T) {
 	is := is.New(t)
 	r := &engineRun{
-		s:       &server{clock: newClock()},
-		e:       &engineCall{call: &call{wrote: true}, req: openai.Request{Stream: true}},
-		stream:  attempt.NewStream(attempt.Policy{RequestID: "r"}),
-		events:  sse.NewReader(strings.NewReader("id: 0\ndata: {}\n\n"), 0, 0),
-		idle:    time.AfterFunc(time.Hour, func() {}),
-		counted: true,
+		server:         &server{clock: newClock()},
+		call:           &engineCall{call: &call{headSent: true}, req: openai.Request{Stream: true}},
+		stream:         attempt.NewStream(attempt.Policy{RequestID: "r"}),
+		events:         sse.NewReader(strings.NewReader("id: 0\ndata: {}\n\n"), 0, 0),
+		idleTimer:      time.AfterFunc(time.Hour, func() {}),
+		resultRecorded: true,
 	}
 	r.leg = r.stream.Dispatch(0, "r.1", "t")
-	r.read()
-	is.True(!r.idle.Stop()) // it was stopped before
+	r.readNext()
+	is.True(!r.idleTimer.Stop()) // it was stopped already
 }
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -16,71 +16,73 @@
 	"github.com/mastictray/mastictray/internal/rate"
 )
 
-// maxAttempts bounds the targets tried for one request.
+// maxAttempts is the maximum number of targets tried for one request.
 const maxAttempts = 3
 
-// engineCall is a call to a model with what was decided about it.
+// engineCall is a call to a model, with its pool, placement and cost.
 type engineCall struct {
 	*call
-	pool  config.Pool
+	pool config.Pool
 	model config.Model
-	req   openai.Request
-	place placement.Request
-	// print is the request's fingerprint once printed is set.
-	print    poison.Fingerprint
-	printed  bool
-	cost     float64
-	reserved rate.Reservation
-	usage    openai.Usage
-	// buf is reused for the events of the answer.
-	buf []byte
+	req openai.Request
+	placement placement.Request
+	// cachedFingerprint is the request's fingerprint if fingerprinted is set.
+	cachedFingerprint poison.Fingerprint
+	fingerprinted bool
+	cost float64
+	reservation rate.Reservation
+	usage openai.Usage
+	// eventBuf is reused for each event of the response.
+	eventBuf []byte
 }
 
 func (s *server) serveEngine(c *call, route config.Route, pool config.Pool, model config.Model, req openai.Request) error {
 	c.route = route
-	c.due = c.began + route.Deadline
+	c.deadline = c.startedAt + route.Deadline
 	e := &engineCall{call: c, pool: pool, model: model, req: req}
-	e.describe(s.pools.engine(pool.Name).activeVersion())
-	if err := s.admit(c, e.cost, &e.reserved); err != nil {
+	e.computePlacementAndCost(s.pools.engine(pool.Name).activeVersion())
+	if err := s.reserveRate(c, e.cost, &e.reservation); err != nil {
 		return err
 	}
-	used := 0.0
-	defer func() { s.rates.settle(&e.reserved, used) }()
+	charged := 0.0
+	defer func() { s.rates.settle(&e.reservation, charged) }()
 	err := s.runEngine(e)
-	used = e.used(err)
+	charged = e.chargedTokens(err)
 	if err == nil {
 		s.metrics.addUsage(c.account.Name, pool.Name, e.usage)
 		logline.Info("request_done", "request", c.id, "account", c.account.Name, "key", c.keyID, "route", route.Name,
 			"attempts", c.attempts, "prompt_tokens", e.usage.PromptTokens,
 			"cached_tokens", e.usage.PromptTokensDetails.CachedTokens, "completion_tokens", e.usage.CompletionTokens,
-			"ms", (s.clock.now() - c.began).Milliseconds())
+			"ms", (s.clock.now() - c.startedAt).Milliseconds())
 	}
 	return err
 }
 
-// placementOf describes a prompt to placement.
-func placementOf(account string, m config.Model, version string, prompt []byte) placement.Request {
+// newPlacementRequest returns the placement parameters of a prompt.
+func newPlacementRequest(account string, m config.Model, version string, prompt []byte) placement.Request {
 	scope := prefix.Scope{Account: account, Model: m.Name, Version: version}
 	return placement.Request{
-		Chain:        prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
-		PieceTokens:  int(float64(m.PieceBytes) / m.BytesPerToken),
+		Chain: prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
+		PieceTokens: int(float64(m.PieceBytes) / m.BytesPerToken),
 		PromptTokens: int(float64(len(prompt))/m.BytesPerToken) + 1,
 	}
 }
 
-// describe works out the pieces of the prompt and the charge.
-func (e *engineCall) describe(version string) {
-	e.place = placementOf(e.account.Name, e.model, version, e.req.Prompt)
+// computePlacementAndCost sets the placement parameters and the tokens to
+// reserve.
+func (e *engineCall) computePlacementAndCost(version string) {
+	e.placement = newPlacementRequest(e.account.Name, e.model, version, e.req.Prompt)
 	output := e.req.MaxTokens
 	if output == 0 {
 		output = e.model.DefaultMaxTokens
 	}
-	e.cost = float64(e.place.PromptTokens + output)
+	e.cost = float64(e.placement.PromptTokens + output)
 }
 
-// used is what the request is charged in the end. What did not run costs
-// nothing; what may have run without a count costs its whole charge.
-func (e *engineCall) used(err error) float64 {
+// chargedTokens returns the number of tokens that the request is charged at its
+// end. A request that did not run is not charged. One that may have run but
+// returned no usage is charged its whole estimated cost.
+func (e *engineCall) chargedTokens(err error) float64 {
 	var refused *openai.Error
 	if errors.As(err, &refused) && refused.Outcome == openai.NotRun {
 		return 0
@@ -91,58 +93,60 @@
 	return float64(e.usage.PromptTokens + e.usage.CompletionTokens)
 }
 
-// admit debits the account's rate.
-func (s *server) admit(c *call, cost float64, into *rate.Reservation) error {
-	o := s.rates.admit(c.r.Context(), c.account.Name, cost, c.due)
-	if o.Err == nil {
-		*into = o.Reservation
+// reserveRate debits the cost from the account's rate limit.
+func (s *server) reserveRate(c *call, cost float64, reservation *rate.Reservation) error {
+	outcome := s.rates.admit(c.r.Context(), c.account.Name, cost, c.deadline)
+	if outcome.Err == nil {
+		*reservation = outcome.Reservation
 		return nil
 	}
 	switch {
-	case errors.Is(o.Err, rate.ErrTooLarge):
-		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more than the account's whole burst", 0)
-	case errors.Is(o.Err, rate.ErrTooManyWaiting):
+	case errors.Is(outcome.Err, rate.ErrTooLarge):
+		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more tokens than the account's burst limit", 0)
+	case errors.Is(outcome.Err, rate.ErrTooManyWaiting):
 		return refusal(http.StatusTooManyRequests, openai.CodeOverloaded, "too many requests of the account are waiting", time.Second)
-	case errors.Is(o.Err, rate.ErrOverRate):
-		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(o.RetryAfter, time.Second))
+	case errors.Is(outcome.Err, rate.ErrOverRate):
+		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(outcome.RetryAfter, time.Second))
 	default:
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "the request could not be admitted", time.Second)
 	}
 }
 
-// queued is the request as it waits for a target.
-func (e *engineCall) queued() *request {
-	return &request{
+// newDispatchRequest returns the request for the pool's dispatcher.
+func (e *engineCall) newDispatchRequest() *dispatchRequest {
+	return &dispatchRequest{
 		Account: e.account.Name, Weight: e.account.Weight, Priority: e.route.Priority,
-		Deadline: e.due, Placement: e.place,
+		Deadline: e.deadline, Placement: e.placement,
 	}
 }
 
-// placeError passes refusals on; what remains is a caller that left.
-func placeError(err error) error {
+// acquireError returns refusals unchanged. Any other error means that the
+// caller disconnected.
+func acquireError(err error) error {
 	var e *openai.Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return refusal(http.StatusServiceUnavailable, openai.CodeDeadline, "the caller left before the request ran", 0)
+	return refusal(http.StatusServiceUnavailable, openai.CodeDeadline, "the caller disconnected before the request ran", 0)
 }
 
-// recheck is the last look before dispatch: the key may have been withdrawn
-// and the debit may have lapsed while the request waited or the process was
-// paused.
-func (s *server) recheck(e *engineCall) error {
+// recheckBeforeDispatch checks the key and the reservation again. While the
+// request waited or the process was paused, the key may have been withdrawn and
+// the reservation may have expired.
+func (s *server) recheckBeforeDispatch(e *engineCall) error {
 	if err := s.authorize(e.call); err != nil {
 		return err
 	}
-	if e.attempts == 0 && !s.rates.reservationValid(e.reserved) {
-		s.rates.settle(&e.reserved, 0)
-		return s.admit(e.call, e.cost, &e.reserved)
+	if e.attempts == 0 && !s.rates.reservationValid(e.reservation) {
+		s.rates.settle(&e.reservation, 0)
+		return s.reserveRate(e.call, e.cost, &e.reservation)
 	}
 	return nil
 }
 
-// attemptError turns a failed exchange into what the caller is told.
-func attemptError(err error) error {
+// exchangeError converts a failed exchange with a target to the error returned
+// to the caller.
+func exchangeError(err error) error {
 	var se *sendError
 	if !errors.As(err, &se) {
 		return err
@@ -153,9 +157,10 @@
 	}
 }
 
-// targetRefusal turns a target's answer other than 200 into what the caller is
-// told. 409, 429 and 503 are refusals before the request ran.
-func targetRefusal(resp *http.Response) error {
+// rejectionError converts a response with a status other than 200 to the error
+// returned to the caller. With 409, 429 and 503 the target refused the request
+// before running it.
+func rejectionError(resp *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	switch resp.StatusCode {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -24,28 +24,28 @@
 // Entry is the process of one entry instance.
 type Entry struct {
 	settings *settings.Settings
-	clock    clock
-	node     *peer.Node
+	clock clock
+	node *peer.Node
 	platform *http.Client
-	log      platform.Log
-	config   *configDriver
-	rates    *rateDriver
-	claims   *claimDriver
+	log platform.Log
+	config *configDriver
+	rates *rateDriver
+	claims *claimDriver
 	rollouts *rolloutDriver
-	members  *members
-	pools    *pools
-	poison   *poisonDriver
-	server   *server
-	callers  *callerServer
-	admin    *adminServer
-	metrics  *entryMetrics
+	members *members
+	pools *pools
+	poison *poisonDriver
+	server *server
+	callers *callerServer
+	admin *adminServer
+	metrics *entryMetrics
 
-	ctx    context.Context
+	ctx context.Context
 	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	wg sync.WaitGroup
 	// drainRequested is closed to start a graceful shutdown.
 	drainRequested chan struct{}
-	drainOnce      sync.Once
+	drainOnce sync.Once
 }
 
 // New creates the process from validated settings. It opens no listener.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sec, err := newSecurity(s)
+	sec, err := newListenerSecurity(s)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 const maxIdlePlatformConns = 8
 
 // buildComponents creates the drivers and servers and connects them.
-func (e *Entry) buildComponents(sec security) {
+func (e *Entry) buildComponents(sec listenerSecurity) {
 	s := e.settings
 	var lister platform.InstanceLister
 	if s.InstancesURL != "" {
@@ -97,13 +97,13 @@
 	e.members.updateDraining = e.pools.setDraining
 	e.poison = newPoisonDriver(e.clock, e.node)
 	e.members.poison, e.members.claims, e.members.onReplaced = e.poison, e.claims, e.Drain
-	e.pools.poller.observed = e.members.observeIncarnation
+	e.pools.poller.onIncarnation = e.members.observeIncarnation
 	e.server = &server{
-		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, budget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
-		targets: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
+		clock: e.clock, config: e.config, rates: e.rates, claims: e.claims, pools: e.pools, poison: e.poison, retryBudget: overload.NewSharedRetryBudget(overload.DefaultRetryRatio, overload.DefaultRetryReserve, overload.DefaultInitialRetries),
+		targetClient: newTargetClient(), metrics: e.metrics, maxBody: s.MaxBodyBytes,
 	}
 	e.callers = newCallerServer(s, e.server, sec.callers)
-	e.server.full = e.callers.full
+	e.server.overConnectionLimit = e.callers.overConnectionLimit
 	e.admin = newAdminServer(e, sec.admin)
 }
 
@@ -161,7 +161,7 @@
 	for _, spec := range []struct {
 		name string
 		addr string
-		dst  *net.Listener
+		dst *net.Listener
 	}{
 		{"peers", e.settings.PeerListen, &l.peer},
 		{"admin", e.settings.AdminListen, &l.admin},
@@ -191,7 +191,7 @@
 	e.admin.close()
 	e.node.Close()
 	e.wg.Wait()
-	for _, c := range []*http.Client{e.platform, e.pools.poller.client, e.pools.poller.events, e.rollouts.httpClient, e.server.targets.pooled} {
+	for _, c := range []*http.Client{e.platform, e.pools.poller.loadClient, e.pools.poller.eventsClient, e.rollouts.httpClient, e.server.targetClient.pooled} {
 		c.CloseIdleConnections()
 	}
 	logline.Info("entry_stopped", "instance", e.settings.InstanceID)
@@ -201,7 +201,7 @@
 func (e *Entry) drainCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout)
 	defer cancel()
-	e.server.closing.Store(true)
+	e.server.shuttingDown.Store(true)
 	if err := e.callers.shutdown(ctx); err != nil {
 		logline.Error(err, "drain_incomplete")
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -20,61 +20,62 @@
 	"github.com/mastictray/mastictray/internal/overload"
 )
 
-// server answers callers.
+// server is the HTTP handler for callers' requests.
 type server struct {
-	clock   clock
-	config  *configDriver
-	rates   *rateDriver
-	claims  *claimDriver
-	pools   *pools
-	poison  *poisonDriver
-	budget  *overload.SharedRetryBudget
-	targets *targetClient
+	clock clock
+	config *configDriver
+	rates *rateDriver
+	claims *claimDriver
+	pools *pools
+	poison *poisonDriver
+	retryBudget *overload.SharedRetryBudget
+	targetClient *targetClient
 	metrics *entryMetrics
 	maxBody int64
 
-	// full reports whether too many connections are open.
-	full func() bool
-	// closing is set when the process no longer takes requests.
-	closing atomic.Bool
-	running sync.WaitGroup
+	// overConnectionLimit reports whether too many connections are open.
+	overConnectionLimit func() bool
+	// shuttingDown is set when the process no longer takes requests.
+	shuttingDown atomic.Bool
+	inFlight sync.WaitGroup
 }
 
-// call is one request of a caller on its way through.
+// call is one request of a caller.
 type call struct {
-	id      string
-	w       http.ResponseWriter
-	r       *http.Request
-	began   time.Duration
-	due     time.Duration
-	key     string
-	keyID   string
+	id string
+	w http.ResponseWriter
+	r *http.Request
+	startedAt time.Duration
+	deadline time.Duration
+	apiKey string
+	keyID string
 	account config.Account
-	route   config.Route
-	body    []byte
-	// attempts counts the tries at targets.
+	route config.Route
+	body []byte
+	// attempts is the number of attempts so far.
 	attempts int
-	// wrote is set once the head of the answer went to the caller.
-	wrote bool
+	// headSent is set once the head of the response was sent to the caller.
+	headSent bool
 }
 
 // ServeHTTP implements http.Handler.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.running.Add(1)
-	defer s.running.Done()
-	c := &call{id: uuid.Must(uuid.NewV7()).String(), w: w, r: r, began: s.clock.now()}
+	s.inFlight.Add(1)
+	defer s.inFlight.Done()
+	c := &call{id: uuid.Must(uuid.NewV7()).String(), w: w, r: r, startedAt: s.clock.now()}
 	w.Header().Set(headerRequestID, c.id)
 	if err := s.serve(c); err != nil {
 		s.refuse(c, err)
 	}
 }
 
-// serve runs one request. A returned error has not been written yet.
+// serve handles one request. If it returns an error, no error response has been
+// written yet.
 func (s *server) serve(c *call) error {
-	if s.closing.Load() {
+	if s.shuttingDown.Load() {
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "this instance is shutting down", time.Second)
 	}
-	if s.full() {
+	if s.overConnectionLimit() {
 		c.w.Header().Set("Connection", "close")
 		return refusal(http.StatusServiceUnavailable, openai.CodeTooManyConnections, "too many connections", time.Second)
 	}
@@ -82,7 +83,7 @@
 	if intent == nil {
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "no configuration yet", time.Second)
 	}
-	c.key = bearer(c.r)
+	c.apiKey = bearerToken(c.r)
 	if err := s.authorize(c); err != nil {
 		return err
 	}
@@ -95,10 +96,10 @@
 	return s.dispatchByRoute(c, intent)
 }
 
-// authorize checks the call's key against the configuration in force now.
+// authorize checks the call's key against the configuration in force.
 func (s *server) authorize(c *call) error {
 	s.config.guard.waitUntilFresh(c.r.Context())
-	account, keyID, err := s.config.authorize(c.key)
+	account, keyID, err := s.config.authorize(c.apiKey)
 	c.account, c.keyID = account, keyID
 	if err == nil {
 		return nil
@@ -109,7 +110,7 @@
 	return refusal(http.StatusUnauthorized, openai.CodeInvalidKey, "the key is not valid", 0)
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
@@ -130,17 +131,17 @@
 	return nil
 }
 
-// Paths that take OpenAI-style bodies.
+// Paths of the OpenAI API.
 const (
-	chatPath       = "/v1/chat/completions"
+	chatPath = "/v1/chat/completions"
 	completionPath = "/v1/completions"
-	modelsPath     = "/v1/models"
+	modelsPath = "/v1/models"
 )
 
-// dispatchByRoute finds the route of a request. Several routes may share an
-// OpenAI path; the model named in the body chooses between them.
+// dispatchByRoute finds the route of a request. Several routes may have the
+// same OpenAI path; the model named in the body selects one of them.
 func (s *server) dispatchByRoute(c *call, intent *config.Intent) error {
-	routes := routesOf(intent, c.r.URL.Path)
+	routes := routesForPath(intent, c.r.URL.Path)
 	if len(routes) == 0 {
 		return refusal(http.StatusNotFound, openai.CodeNotFound, "no route has this path", 0)
 	}
@@ -150,19 +151,19 @@
 	if c.r.Method != http.MethodPost {
 		return refusal(http.StatusMethodNotAllowed, openai.CodeBadRequest, "expected POST", 0)
 	}
-	req, err := parseBody(c.r.URL.Path, c.body)
+	req, err := parseRequestBody(c.r.URL.Path, c.body)
 	if err != nil {
 		return refusal(http.StatusBadRequest, openai.CodeBadRequest, err.Error(), 0)
 	}
-	route, pool, ok := modelRoute(intent, routes, req.Model)
+	route, pool, ok := routeForModel(intent, routes, req.Model)
 	if !ok {
 		return refusal(http.StatusNotFound, openai.CodeNotFound, "no route serves this model", 0)
 	}
 	return s.serveEngine(c, route, pool, intent.Models[pool.Model], req)
 }
 
-// modelRoute is the first of the routes whose pool serves the model.
-func modelRoute(intent *config.Intent, routes []config.Route, model string) (config.Route, config.Pool, bool) {
+// routeForModel returns the first route whose pool serves the model.
+func routeForModel(intent *config.Intent, routes []config.Route, model string) (config.Route, config.Pool, bool) {
 	for _, route := range routes {
 		if pool := intent.Pools[route.Pool]; pool.Model == model {
 			return route, pool, true
@@ -171,15 +172,15 @@
 	return config.Route{}, config.Pool{}, false
 }
 
-func parseBody(path string, body []byte) (openai.Request, error) {
+func parseRequestBody(path string, body []byte) (openai.Request, error) {
 	if path == completionPath {
 		return openai.ParseCompletion(body)
 	}
 	return openai.ParseChat(body)
 }
 
-// routesOf returns the routes of a path, in the order of their names.
-func routesOf(intent *config.Intent, path string) []config.Route {
+// routesForPath returns the routes with the given path, sorted by name.
+func routesForPath(intent *config.Intent, path string) []config.Route {
 	var routes []config.Route
 	for _, r := range intent.Routes {
 		if r.Path == path {
@@ -192,8 +193,8 @@
 
 func (s *server) listModels(c *call, intent *config.Intent) error {
 	type model struct {
-		ID      string `json:"id"`
-		Object  string `json:"object"`
+		ID string `json:"id"`
+		Object string `json:"object"`
 		OwnedBy string `json:"owned_by"`
 	}
 	names := make([]string, 0, len(intent.Models))
@@ -207,29 +208,29 @@
 	}
 	c.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(c.w).Encode(struct {
-		Object string  `json:"object"`
-		Data   []model `json:"data"`
+		Object string `json:"object"`
+		Data []model `json:"data"`
 	}{"list", data})
 }
 
-// refuse writes a refusal and its log line.
+// refuse writes an error response and logs it.
 func (s *server) refuse(c *call, err error) {
 	var e *openai.Error
 	if !errors.As(err, &e) {
 		e = &openai.Error{Status: http.StatusInternalServerError, Code: openai.CodeTargetFailed, Outcome: openai.MayHaveRun, Message: "internal error"}
 		logline.Error(err, "request_failed", "request", c.id)
 	}
-	answer := *e
-	answer.RequestID = c.id
-	if !c.wrote {
-		answer.Write(c.w)
+	response := *e
+	response.RequestID = c.id
+	if !c.headSent {
+		response.Write(c.w)
 	}
-	s.metrics.countRefusal(c.account.Name, answer.Code)
+	s.metrics.countRefusal(c.account.Name, response.Code)
 	logline.Info("request_refused", "request", c.id, "account", c.account.Name, "key", c.keyID,
-		"route", c.route.Name, "code", answer.Code, "outcome", answer.Outcome, "attempts", c.attempts)
+		"route", c.route.Name, "code", response.Code, "outcome", response.Outcome, "attempts", c.attempts)
 }
 
-// refusal is an error for a request that has not run.
+// refusal returns an error for a request that has not run.
 func refusal(status int, code openai.Code, message string, retryAfter time.Duration) *openai.Error {
 	return &openai.Error{Status: status, Code: code, Message: message, Outcome: openai.NotRun, RetryAfter: retryAfter}
 }
