--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -19,9 +19,9 @@
 
 // adminServer serves the health checks, the metrics and the admin API.
 type adminServer struct {
-	entry *Entry
-	app *iris.Application
-	http *http.Server
+	entry  *Entry
+	app    *iris.Application
+	http   *http.Server
 	tokens adminTokens
 	// ready is false once the process drains.
 	ready atomic.Bool
@@ -106,9 +106,9 @@
 // explainRequest is the body of POST /admin/v1/explain: the caller request whose
 // placement is to be explained.
 type explainRequest struct {
-	Path string `json:"path"`
-	Account string `json:"account"`
-	Body json.RawMessage `json:"body"`
+	Path    string          `json:"path"`
+	Account string          `json:"account"`
+	Body    json.RawMessage `json:"body"`
 }
 
 // handleExplain computes the placement of a request without sending it.
--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -17,22 +17,22 @@
 
 // callerServer is the HTTP server for the callers' requests.
 type callerServer struct {
-	http *http.Server
+	http      *http.Server
 	openConns atomic.Int64
-	maxConns int64
+	maxConns  int64
 }
 
 func newCallerServer(s *settings.Settings, h http.Handler, tlsConfig *tls.Config) *callerServer {
 	c := &callerServer{maxConns: int64(s.MaxConnections)}
 	c.http = &http.Server{
-		Handler: h,
-		TLSConfig: tlsConfig,
+		Handler:           h,
+		TLSConfig:         tlsConfig,
 		ReadHeaderTimeout: headerReadTimeout,
-		ReadTimeout: s.ReadTimeout,
-		IdleTimeout: s.IdleTimeout,
-		MaxHeaderBytes: s.MaxHeaderBytes,
-		ConnState: c.countConnection,
-		ErrorLog: newHTTPErrorLogger(),
+		ReadTimeout:       s.ReadTimeout,
+		IdleTimeout:       s.IdleTimeout,
+		MaxHeaderBytes:    s.MaxHeaderBytes,
+		ConnState:         c.countConnection,
+		ErrorLog:          newHTTPErrorLogger(),
 	}
 	return c
 }
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -15,30 +15,30 @@
 
 // Headers of requests to targets and of their responses; see docs/PROTOCOLS.md.
 const (
-	headerRequestID = "X-Request-Id"
-	headerAccount = "X-Client-Account"
-	headerVersion = "X-Weights-Version"
-	headerPriority = "X-Priority"
-	headerIncarnation = "X-Engine-Incarnation"
-	headerLastEventID = "Last-Event-ID"
+	headerRequestID      = "X-Request-Id"
+	headerAccount        = "X-Client-Account"
+	headerVersion        = "X-Weights-Version"
+	headerPriority       = "X-Priority"
+	headerIncarnation    = "X-Engine-Incarnation"
+	headerLastEventID    = "Last-Event-ID"
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	targetDialTimeout = 500 * time.Millisecond
+	targetDialTimeout     = 500 * time.Millisecond
 	maxIdleConnsPerTarget = 256
 	targetIdleConnTimeout = 60 * time.Second
-	maxErrorBodyBytes = 16 << 10
-	maxResponseBodyBytes = 64 << 20
+	maxErrorBodyBytes     = 16 << 10
+	maxResponseBodyBytes  = 64 << 20
 )
 
 // sendError is a failed exchange with a target. outcome tells whether the
 // request may have run there.
 type sendError struct {
-	op string
-	target string
+	op      string
+	target  string
 	outcome openai.Outcome
-	cause error
+	cause   error
 }
 
 func (e *sendError) Error() string {
@@ -50,23 +50,23 @@
 // attemptRequest is the HTTP request of one attempt at one target.
 type attemptRequest struct {
 	attemptID string
-	target string
-	address string
-	method string
-	path string
-	query string
-	account string
-	version string
-	priority int
-	header http.Header
-	body []byte
+	target    string
+	address   string
+	method    string
+	path      string
+	query     string
+	account   string
+	version   string
+	priority  int
+	header    http.Header
+	body      []byte
 	// sendOnce prevents net/http from sending the request again by itself.
 	sendOnce bool
 }
 
 // targetClient sends requests to targets.
 type targetClient struct {
-	pooled *http.Client
+	pooled   *http.Client
 	unpooled *http.Client
 }
 
@@ -79,14 +79,14 @@
 	dialer := &net.Dialer{Timeout: targetDialTimeout}
 	return &targetClient{
 		pooled: &http.Client{Transport: &http.Transport{
-			DialContext: dialer.DialContext,
+			DialContext:         dialer.DialContext,
 			MaxIdleConnsPerHost: maxIdleConnsPerTarget,
-			IdleConnTimeout: targetIdleConnTimeout,
-			DisableCompression: true,
+			IdleConnTimeout:     targetIdleConnTimeout,
+			DisableCompression:  true,
 		}},
 		unpooled: &http.Client{Transport: &http.Transport{
-			DialContext: dialer.DialContext,
-			DisableKeepAlives: true,
+			DialContext:        dialer.DialContext,
+			DisableKeepAlives:  true,
 			DisableCompression: true,
 		}},
 	}
--- a/internal/entry/engineleg.go
+++ b/internal/entry/engineleg.go
@@ -85,9 +85,9 @@
 	}
 	r.events = sse.NewReader(resp.Body, 0, 0)
 	return r.stream.ResponseStarted(r.server.clock.now(), r.leg, attempt.ResponseHead{
-		Attempt: resp.Header.Get(headerRequestID),
+		Attempt:     resp.Header.Get(headerRequestID),
 		Incarnation: resp.Header.Get(headerIncarnation),
-		Version: resp.Header.Get(headerVersion),
+		Version:     resp.Header.Get(headerVersion),
 	})
 }
 
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -15,7 +15,7 @@
 
 const (
 	// chunkIdleTimeout closes a stream on which no chunk arrives for this long.
-	chunkIdleTimeout = 10 * time.Second
+	chunkIdleTimeout     = 10 * time.Second
 	cancelAttemptTimeout = time.Second
 )
 
@@ -27,18 +27,18 @@
 // the attempt state machine asks for.
 type engineRun struct {
 	server *server
-	call *engineCall
-	pool *enginePool
+	call   *engineCall
+	pool   *enginePool
 	stream *attempt.Stream
 
 	// The current leg, which is one connection to one target.
-	placed placedAttempt
+	placed    placedAttempt
 	attemptID string
-	leg int
-	ctx context.Context
-	cancel context.CancelCauseFunc
-	resp *http.Response
-	events *sse.Reader
+	leg       int
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	resp      *http.Response
+	events    *sse.Reader
 	idleTimer *time.Timer
 	// resultRecorded is set once the result of the current attempt has been
 	// recorded in the pool.
@@ -46,14 +46,14 @@
 	// mayBeRunning is set while the target of the current leg may be running
 	// the request. incarnation is the target's incarnation as last reported.
 	mayBeRunning bool
-	incarnation string
+	incarnation  string
 	// admitted is set while the poison registry's admission is valid.
 	// isolatedTarget is then the only target on which the request may run;
 	// empty means any.
 	admitted bool
 	// unregistered is set if there were no suspects at admission, so that the
 	// request was not registered in the poison registry.
-	unregistered bool
+	unregistered   bool
 	isolatedTarget string
 	// lastRejection is the last rejection by a target, to be returned to the
 	// caller.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -24,28 +24,28 @@
 // Entry is the process of one entry instance.
 type Entry struct {
 	settings *settings.Settings
-	clock clock
-	node *peer.Node
+	clock    clock
+	node     *peer.Node
 	platform *http.Client
-	log platform.Log
-	config *configDriver
-	rates *rateDriver
-	claims *claimDriver
+	log      platform.Log
+	config   *configDriver
+	rates    *rateDriver
+	claims   *claimDriver
 	rollouts *rolloutDriver
-	members *members
-	pools *pools
-	poison *poisonDriver
-	server *server
-	callers *callerServer
-	admin *adminServer
-	metrics *entryMetrics
+	members  *members
+	pools    *pools
+	poison   *poisonDriver
+	server   *server
+	callers  *callerServer
+	admin    *adminServer
+	metrics  *entryMetrics
 
-	ctx context.Context
+	ctx    context.Context
 	cancel context.CancelFunc
-	wg sync.WaitGroup
+	wg     sync.WaitGroup
 	// drainRequested is closed to start a graceful shutdown.
 	drainRequested chan struct{}
-	drainOnce sync.Once
+	drainOnce      sync.Once
 }
 
 // New creates the process from validated settings. It opens no listener.
@@ -161,7 +161,7 @@
 	for _, spec := range []struct {
 		name string
 		addr string
-		dst *net.Listener
+		dst  *net.Listener
 	}{
 		{"peers", e.settings.PeerListen, &l.peer},
 		{"admin", e.settings.AdminListen, &l.admin},
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -22,36 +22,36 @@
 
 // server is the HTTP handler for callers' requests.
 type server struct {
-	clock clock
-	config *configDriver
-	rates *rateDriver
-	claims *claimDriver
-	pools *pools
-	poison *poisonDriver
-	retryBudget *overload.SharedRetryBudget
+	clock        clock
+	config       *configDriver
+	rates        *rateDriver
+	claims       *claimDriver
+	pools        *pools
+	poison       *poisonDriver
+	retryBudget  *overload.SharedRetryBudget
 	targetClient *targetClient
-	metrics *entryMetrics
-	maxBody int64
+	metrics      *entryMetrics
+	maxBody      int64
 
 	// overConnectionLimit reports whether too many connections are open.
 	overConnectionLimit func() bool
 	// shuttingDown is set when the process no longer takes requests.
 	shuttingDown atomic.Bool
-	inFlight sync.WaitGroup
+	inFlight     sync.WaitGroup
 }
 
 // call is one request of a caller.
 type call struct {
-	id string
-	w http.ResponseWriter
-	r *http.Request
+	id        string
+	w         http.ResponseWriter
+	r         *http.Request
 	startedAt time.Duration
-	deadline time.Duration
-	apiKey string
-	keyID string
-	account config.Account
-	route config.Route
-	body []byte
+	deadline  time.Duration
+	apiKey    string
+	keyID     string
+	account   config.Account
+	route     config.Route
+	body      []byte
 	// attempts is the number of attempts so far.
 	attempts int
 	// headSent is set once the head of the response was sent to the caller.
@@ -133,9 +133,9 @@
 
 // Paths of the OpenAI API.
 const (
-	chatPath = "/v1/chat/completions"
+	chatPath       = "/v1/chat/completions"
 	completionPath = "/v1/completions"
-	modelsPath = "/v1/models"
+	modelsPath     = "/v1/models"
 )
 
 // dispatchByRoute finds the route of a request. Several routes may have the
@@ -193,8 +193,8 @@
 
 func (s *server) listModels(c *call, intent *config.Intent) error {
 	type model struct {
-		ID string `json:"id"`
-		Object string `json:"object"`
+		ID      string `json:"id"`
+		Object  string `json:"object"`
 		OwnedBy string `json:"owned_by"`
 	}
 	names := make([]string, 0, len(intent.Models))
@@ -208,8 +208,8 @@
 	}
 	c.w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(c.w).Encode(struct {
-		Object string `json:"object"`
-		Data []model `json:"data"`
+		Object string  `json:"object"`
+		Data   []model `json:"data"`
 	}{"list", data})
 }
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -149,7 +149,7 @@
 const (
 	// requestHeadOverhead is the size of the request line, the Host line and the final
 	// empty line without their values.
-	requestHeadOverhead = len(" HTTP/1.1\r\nHost: \r\n\r\n")
+	requestHeadOverhead = len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	headerLineOverhead  = len(": \r\n")
 )
 
