--- a/cmd/mastictray-standin/main.go
+++ b/cmd/mastictray-standin/main.go
@@ -59,10 +59,10 @@
 	e := engine.New(engine.Config{
 		Model: c.Model, Version: c.Version, Role: c.Role,
 		PieceBytes: c.PieceBytes, CachePieces: c.CachePieces,
-		PrefillTPS: c.PrefillTPS, DecodeTPS: c.DecodeTPS, InterToken: millis(c.ITLMillis),
-		MaxBatch: c.MaxBatch, Grace: millis(c.GraceMillis), LoadLag: millis(c.LoadLagMillis),
-		EventLag: millis(c.EventLag), EventLoss: c.EventLoss,
-		LoadTime: millis(c.LoadMillis), WeightsURL: c.Weights,
+		PrefillTPS: c.PrefillTPS, DecodeTPS: c.DecodeTPS, MinTokenInterval: millis(c.ITLMillis),
+		MaxBatch: c.MaxBatch, ResumeGrace: millis(c.GraceMillis), LoadReportLag: millis(c.LoadLagMillis),
+		EventLag: millis(c.EventLag), EventLossRate: c.EventLoss,
+		WeightsLoadTime: millis(c.LoadMillis), WeightsURL: c.Weights,
 		ChecksFencing: c.ChecksFencing, TimeScale: c.TimeScale, Seed: c.Seed,
 	})
 	if c.CrashOn != "" {
--- a/internal/load/booking.go
+++ b/internal/load/booking.go
@@ -21,7 +21,7 @@
 	Outcome Outcome
 	Code    string
 	// Answer is the service's answer, when Outcome is ok.
-	Answer service.Answer
+	Answer service.Response
 }
 
 func newBooking(seed uint64, i int, a Account) Booking {
@@ -107,7 +107,7 @@
 func (b Booking) wrongAnswers() []string {
 	sum := sha256.Sum256(b.Body)
 	want := hex.EncodeToString(sum[:])
-	var first *service.Answer
+	var first *service.Response
 	var out []string
 	for _, a := range b.Attempts {
 		if a.Outcome != OutcomeOK {
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -33,7 +33,7 @@
 // text is compared with the one the stand-in engine gives for this prompt, so
 // a chunk lost, doubled, out of order or of another request shows.
 type streamCheck struct {
-	text   engine.Text
+	text   engine.TextGenerator
 	wanted int
 	events int
 	chunks int
@@ -43,7 +43,7 @@
 }
 
 func newStreamCheck(req engine.Request) *streamCheck {
-	return &streamCheck{text: engine.NewText(req.PromptText()), wanted: req.MaxTokens}
+	return &streamCheck{text: engine.NewTextGenerator(req.PromptText()), wanted: req.MaxTokens}
 }
 
 // event takes the next event of the stream.
@@ -83,7 +83,7 @@
 	if text == "" {
 		return nil
 	}
-	if want := c.text.Chunk(c.chunks); text != want {
+	if want := c.text.TokenText(c.chunks); text != want {
 		return errors.Wrapf(ErrViolation, "chunk %d is %q, want %q", c.chunks, text, want)
 	}
 	c.chunks++
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -111,11 +111,11 @@
 // fill makes a text of a length that starts with its name and is unlike those
 // of other names.
 func (g *Generator) fill(name string, bytes int) string {
-	words := engine.NewText(fmt.Appendf(nil, "%d %s", g.seed, name))
+	words := engine.NewTextGenerator(fmt.Appendf(nil, "%d %s", g.seed, name))
 	var sb strings.Builder
 	sb.WriteString(name)
 	for i := 0; sb.Len() < bytes; i++ {
-		sb.WriteString(words.Chunk(i))
+		sb.WriteString(words.TokenText(i))
 	}
 	return sb.String()[:bytes]
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -83,7 +83,7 @@
 
 // chunkEvent is the i-th token of a request, as the engine would send it.
 func chunkEvent(req engine.Request, id string, i int) event {
-	c := engine.Completion{ID: id, Choices: []engine.Choice{{Delta: &engine.Delta{Content: engine.NewText(req.PromptText()).Chunk(i)}}}}
+	c := engine.Completion{ID: id, Choices: []engine.Choice{{Delta: &engine.Delta{Content: engine.NewTextGenerator(req.PromptText()).TokenText(i)}}}}
 	data, _ := json.Marshal(c)
 	return event{id: i, data: data}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -48,7 +48,7 @@
 	return Result{
 		Account: a.Account.Name,
 		At:      a.At,
-		Tokens:  engine.Tokens(prompt) + a.Request.MaxTokens,
+		Tokens:  engine.CountTokens(prompt) + a.Request.MaxTokens,
 		Pieces:  prefix.Chain(nil, scope.Seed(), prompt, pieceBytes),
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -42,22 +42,22 @@
 	PrefillTPS float64
 	// DecodeTPS is the tokens generated in a second by the whole batch.
 	DecodeTPS float64
-	// InterToken is the least time between two tokens of a stream.
-	InterToken time.Duration
+	// MinTokenInterval is the least time between two tokens of a stream.
+	MinTokenInterval time.Duration
 	// MaxBatch is how many streams are generated at once; default 64.
 	MaxBatch int
-	// Grace is how long a stream outlives its last reader; default 2s.
-	Grace time.Duration
-	// LoadLag is the age of what /load reports.
-	LoadLag time.Duration
+	// ResumeGrace is how long a stream outlives its last reader; default 2s.
+	ResumeGrace time.Duration
+	// LoadReportLag is the age of what /load reports.
+	LoadReportLag time.Duration
 	// EventLag is how late cache events show up, EventLoss the part of
 	// them that never does.
-	EventLag  time.Duration
-	EventLoss float64
-	// LoadTime is how long a change of weights takes when WeightsURL is
+	EventLag      time.Duration
+	EventLossRate float64
+	// WeightsLoadTime is how long a change of weights takes when WeightsURL is
 	// empty; else the bytes are read from there first.
-	LoadTime   time.Duration
-	WeightsURL string
+	WeightsLoadTime time.Duration
+	WeightsURL      string
 	// ChecksFencing refuses orders with a fence below the highest seen.
 	ChecksFencing bool
 	// TimeScale speeds the engine's clock up; default 1.
@@ -72,8 +72,8 @@
 	if c.MaxBatch == 0 {
 		c.MaxBatch = defaultBatch
 	}
-	if c.Grace == 0 {
-		c.Grace = defaultGrace
+	if c.ResumeGrace == 0 {
+		c.ResumeGrace = defaultGrace
 	}
 	if c.TimeScale == 0 {
 		c.TimeScale = 1
@@ -113,7 +113,7 @@
 		incarnation: uuid.NewString(),
 		faults:      standin.NewFaults(FaultKill, FaultFreeze, FaultCrashOn, FaultBadVersion, FaultSlow),
 		queue:       newQueue(),
-		feed:        newFeed(cfg.EventLag, cfg.EventLoss, cfg.Seed),
+		feed:        newFeed(cfg.EventLag, cfg.EventLossRate, cfg.Seed),
 		batch:       make(chan struct{}, cfg.MaxBatch),
 		ctx:         ctx,
 		cancel:      cancel,
@@ -260,13 +260,13 @@
 func (e *Engine) decode(j *job, cached int) {
 	defer func() { <-e.batch }()
 	s, n := j.stream, j.stream.req.MaxTokens
-	text := NewText(j.prompt)
+	text := NewTextGenerator(j.prompt)
 	for i := range n {
 		if i > 0 && e.sleep(s.ctx, e.interToken()) != nil {
 			s.abort()
 			return
 		}
-		s.chunk(text.Chunk(i))
+		s.chunk(text.TokenText(i))
 	}
 	s.finish(Usage{
 		PromptTokens:        j.tokens,
@@ -279,5 +279,5 @@
 // interToken is the time to the next token: the batch shares the decode rate.
 func (e *Engine) interToken() time.Duration {
 	shared := time.Duration(float64(len(e.batch)) / e.cfg.DecodeTPS * float64(time.Second))
-	return max(shared, e.cfg.InterToken) + e.slowness()
+	return max(shared, e.cfg.MinTokenInterval) + e.slowness()
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	_, one := start(t, nil)
 	_, two := start(t, nil)
-	want := NewText([]byte("hello")).First(2)
+	want := NewTextGenerator([]byte("hello")).FirstTokens(2)
 	is.Equal(complete(t, one, "a", "hello").Content(), want)
 	is.Equal(complete(t, two, "a", "hello").Content(), want)
 }
@@ -88,7 +88,7 @@
 // with the same ids and text as if nothing had happened.
 func TestBrokenStreamIsResumedWithoutGap(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, func(c *Config) { c.InterToken = 5 * time.Millisecond })
+	_, url := start(t, func(c *Config) { c.MinTokenInterval = 5 * time.Millisecond })
 	ctx, cancel := context.WithCancel(t.Context())
 	body := `{"prompt":"hello","max_tokens":4,"stream":true}`
 	req, err := http.NewRequestWithContext(ctx, "POST", url+"/v1/completions", strings.NewReader(body))
@@ -109,7 +109,7 @@
 		is.True(strings.HasPrefix(e, fmt.Sprintf("id: %d\n", i+1)))
 	}
 	for i := 1; i < 4; i++ {
-		is.True(strings.Contains(events[i-1], NewText([]byte("hello")).Chunk(i)))
+		is.True(strings.Contains(events[i-1], NewTextGenerator([]byte("hello")).TokenText(i)))
 	}
 	is.True(strings.HasSuffix(events[4], "data: [DONE]"))
 }
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -46,10 +46,10 @@
 
 // loadLoop notes samples until the engine closes.
 func (e *Engine) loadLoop() {
-	for e.cfg.LoadLag > 0 && e.ctx.Err() == nil {
+	for e.cfg.LoadReportLag > 0 && e.ctx.Err() == nil {
 		l := e.loadNow()
 		e.mu.Lock()
-		e.loads.add(l, e.cfg.LoadLag)
+		e.loads.add(l, e.cfg.LoadReportLag)
 		e.mu.Unlock()
 		if e.sleep(e.ctx, loadSample) != nil {
 			return
@@ -59,7 +59,7 @@
 
 // Load is the load as reported, late by the lag.
 func (e *Engine) Load() Load {
-	if e.cfg.LoadLag <= 0 {
+	if e.cfg.LoadReportLag <= 0 {
 		return e.loadNow()
 	}
 	e.mu.Lock()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -86,13 +86,13 @@
 	s.incarnation, s.version = e.incarnation, version
 	priority, _ := strconv.Atoi(r.Header.Get("X-Priority"))
 	prompt := req.PromptText()
-	return &job{stream: s, prompt: prompt, tokens: Tokens(prompt), priority: priority, wanted: wanted}, true
+	return &job{stream: s, prompt: prompt, tokens: CountTokens(prompt), priority: priority, wanted: wanted}, true
 }
 
 // answerWhole waits for the end of the stream and answers in one body.
 func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, s *stream) {
 	s.attach()
-	defer s.detach(e.cfg.Grace, func() { e.forget(s) })
+	defer s.detach(e.cfg.ResumeGrace, func() { e.forget(s) })
 	for seq := 0; ; {
 		v, err := s.wait(r.Context(), seq)
 		if err != nil {
@@ -125,7 +125,7 @@
 // wait for the first event, so that a refusal can still be a status.
 func (e *Engine) relay(w http.ResponseWriter, r *http.Request, s *stream, seq int) {
 	s.attach()
-	defer s.detach(e.cfg.Grace, func() { e.forget(s) })
+	defer s.detach(e.cfg.ResumeGrace, func() { e.forget(s) })
 	started := false
 	for {
 		v, err := s.wait(r.Context(), seq)
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -134,7 +134,7 @@
 func (e *Engine) load(version string) {
 	err := e.fetch(version)
 	if err == nil {
-		err = e.sleep(e.ctx, e.cfg.LoadTime)
+		err = e.sleep(e.ctx, e.cfg.WeightsLoadTime)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -30,8 +30,8 @@
 	Runs []Run `json:"runs"`
 }
 
-// Answer is the body of each answer to a run.
-type Answer struct {
+// Response is the body of each answer to a run.
+type Response struct {
 	Service string `json:"service"`
 	// Run is this run's number, counting from 1.
 	Run            int    `json:"run"`
@@ -96,7 +96,7 @@
 	standin.WriteJSON(w, http.StatusOK, ans)
 }
 
-func (s *Server) run(r *http.Request, body []byte) Answer {
+func (s *Server) run(r *http.Request, body []byte) Response {
 	run := Run{
 		RequestID:      r.Header.Get("X-Request-Id"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"),
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, run)
-	return Answer{
+	return Response{
 		Service:        s.name,
 		Run:            len(s.runs),
 		RequestID:      run.RequestID,
--- a/internal/wholepath/stream_test.go
+++ b/internal/wholepath/stream_test.go
@@ -41,7 +41,7 @@
 
 // want is the text that the engines give for a prompt.
 func want(prompt string, n int) string {
-	return engine.NewText([]byte("user\n" + prompt + "\n")).First(n)
+	return engine.NewTextGenerator([]byte("user\n" + prompt + "\n")).FirstTokens(n)
 }
 
 // stream sends n prompts at once over all entries and checks each answer.
