--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -48,7 +48,7 @@
 		return
 	}
 	if code := e.importPieces(req); code != "" {
-		standin.Refuse(w, http.StatusConflict, code)
+		standin.WriteError(w, http.StatusConflict, code)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -58,7 +58,7 @@
 	}
 	j, ok := e.newJob(r, req, chat)
 	if !ok {
-		standin.Refuse(w, http.StatusConflict, codeWrongVersion)
+		standin.WriteError(w, http.StatusConflict, codeWrongVersion)
 		return
 	}
 	e.submit(j)
@@ -104,9 +104,9 @@
 		}
 		switch {
 		case v.refused != "":
-			standin.Refuse(w, http.StatusConflict, v.refused)
+			standin.WriteError(w, http.StatusConflict, v.refused)
 		case !v.complete:
-			standin.Cut()
+			standin.AbortConnection()
 		default:
 			e.setHeaders(w, s)
 			standin.WriteJSON(w, http.StatusOK, s.whole())
@@ -133,7 +133,7 @@
 			return
 		}
 		if !started && v.refused != "" {
-			standin.Refuse(w, http.StatusConflict, v.refused)
+			standin.WriteError(w, http.StatusConflict, v.refused)
 			return
 		}
 		if !started && (len(v.events) > 0 || v.complete) {
@@ -144,7 +144,7 @@
 			return
 		}
 		if v.ended && !v.complete {
-			standin.Cut()
+			standin.AbortConnection()
 		}
 		if v.ended {
 			return
@@ -172,7 +172,7 @@
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	s, ok := e.find(r.PathValue("attempt"))
 	if !ok {
-		standin.Refuse(w, http.StatusNotFound, codeUnknownStream)
+		standin.WriteError(w, http.StatusNotFound, codeUnknownStream)
 		return
 	}
 	last, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
@@ -185,7 +185,7 @@
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
 	s, ok := e.find(r.PathValue("attempt"))
 	if !ok {
-		standin.Refuse(w, http.StatusNotFound, codeUnknownStream)
+		standin.WriteError(w, http.StatusNotFound, codeUnknownStream)
 		return
 	}
 	e.forget(s)
@@ -222,6 +222,6 @@
 	case orderTaken:
 		standin.WriteJSON(w, http.StatusAccepted, orderAnswer{OrderID: o.OrderID})
 	default:
-		standin.Refuse(w, http.StatusBadRequest, "unknown_order")
+		standin.WriteError(w, http.StatusBadRequest, "unknown_order")
 	}
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -13,16 +13,16 @@
 // Fault is the body of POST /fault.
 type Fault struct {
 	Kind string `json:"kind"`
-	// Millis is a delay in milliseconds, for the kinds that take one.
-	Millis int `json:"ms"`
-	// N is how many times the fault strikes; 0 means until it is cleared.
-	N int `json:"n"`
+	// DelayMillis is a delay in milliseconds, for the kinds that take one.
+	DelayMillis int `json:"ms"`
+	// Count is how many times the fault strikes; 0 means until it is cleared.
+	Count int `json:"n"`
 	// Marker is the prompt text or the version that triggers the fault.
 	Marker string `json:"marker"`
 }
 
 // Delay is the fault's Millis as a duration.
-func (f Fault) Delay() time.Duration { return time.Duration(f.Millis) * time.Millisecond }
+func (f Fault) Delay() time.Duration { return time.Duration(f.DelayMillis) * time.Millisecond }
 
 // Faults is the set of faults that are switched on, at most one of a kind. It
 // is safe for concurrent use.
@@ -69,17 +69,17 @@
 	return fault, ok
 }
 
-// Take is Get, and uses up one strike of a fault with a count.
-func (f *Faults) Take(kind string) (Fault, bool) {
+// Consume is Get, and uses up one strike of a fault with a count.
+func (f *Faults) Consume(kind string) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fault, ok := f.on[kind]
-	if !ok || fault.N == 0 {
+	if !ok || fault.Count == 0 {
 		return fault, ok
 	}
 	left := fault
-	left.N--
-	if left.N == 0 {
+	left.Count--
+	if left.Count == 0 {
 		delete(f.on, kind)
 	} else {
 		f.on[kind] = left
@@ -114,7 +114,7 @@
 			return
 		}
 		if !f.Set(fault) {
-			Refuse(w, http.StatusBadRequest, "unknown_fault")
+			WriteError(w, http.StatusBadRequest, "unknown_fault")
 			return
 		}
 		WriteJSON(w, http.StatusOK, fault)
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -11,18 +11,18 @@
 	is := is.New(t)
 	f := NewFaults("cut")
 	is.True(!f.Set(Fault{Kind: "other"}))
-	is.True(f.Set(Fault{Kind: "cut", N: 2}))
+	is.True(f.Set(Fault{Kind: "cut", Count: 2}))
 	for _, want := range []bool{true, true, false} {
-		_, ok := f.Take("cut")
+		_, ok := f.Consume("cut")
 		is.Equal(ok, want)
 	}
 	is.True(f.Set(Fault{Kind: "cut"}))
 	for range 3 {
-		_, ok := f.Take("cut")
+		_, ok := f.Consume("cut")
 		is.True(ok)
 	}
 	is.True(f.Set(Fault{Kind: KindNone}))
-	_, ok := f.Take("cut")
+	_, ok := f.Consume("cut")
 	is.True(!ok)
 }
 
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -19,8 +19,8 @@
 
 const headerTimeout = 10 * time.Second
 
-// Refusal is the body of every error answer.
-type Refusal struct {
+// ErrorResponse is the body of every error answer.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -28,7 +28,7 @@
 // returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, body any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodyBytes)).Decode(body); err != nil {
-		Refuse(w, http.StatusBadRequest, "malformed")
+		WriteError(w, http.StatusBadRequest, "malformed")
 		return false
 	}
 	return true
@@ -41,13 +41,13 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Refuse answers with an error code.
-func Refuse(w http.ResponseWriter, status int, code string) {
-	WriteJSON(w, status, Refusal{Error: code})
+// WriteError answers with an error code.
+func WriteError(w http.ResponseWriter, status int, code string) {
+	WriteJSON(w, status, ErrorResponse{Error: code})
 }
 
-// Cut ends the caller's connection without an answer, from inside a handler.
-func Cut() { panic(http.ErrAbortHandler) }
+// AbortConnection ends the caller's connection without an answer, from inside a handler.
+func AbortConnection() { panic(http.ErrAbortHandler) }
 
 // Sleep waits for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) error {
--- a/internal/standin/instances/server.go
+++ b/internal/standin/instances/server.go
@@ -72,11 +72,11 @@
 }
 
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
-	if f, ok := s.faults.Take(FaultSlow); ok && standin.Sleep(r.Context(), f.Delay()) != nil {
+	if f, ok := s.faults.Consume(FaultSlow); ok && standin.Sleep(r.Context(), f.Delay()) != nil {
 		return
 	}
-	if _, ok := s.faults.Take(FaultOutage); ok {
-		standin.Refuse(w, http.StatusServiceUnavailable, "outage")
+	if _, ok := s.faults.Consume(FaultOutage); ok {
+		standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, s.shown(time.Now()))
--- a/internal/standin/logsvc/server.go
+++ b/internal/standin/logsvc/server.go
@@ -85,20 +85,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range s.streams {
-		st.keep(f.N)
+		st.keep(f.Count)
 	}
 }
 
 // guard applies the faults that strike before a call has any effect.
 func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if f, ok := s.faults.Take(FaultSlow); ok {
+		if f, ok := s.faults.Consume(FaultSlow); ok {
 			if standin.Sleep(r.Context(), f.Delay()) != nil {
 				return
 			}
 		}
-		if _, ok := s.faults.Take(FaultOutage); ok {
-			standin.Refuse(w, http.StatusServiceUnavailable, "outage")
+		if _, ok := s.faults.Consume(FaultOutage); ok {
+			standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 			return
 		}
 		next(w, r)
@@ -119,7 +119,7 @@
 		return
 	}
 	if len(req.Records) == 0 {
-		standin.Refuse(w, http.StatusBadRequest, "no_records")
+		standin.WriteError(w, http.StatusBadRequest, "no_records")
 		return
 	}
 	first, ok := s.append(r.PathValue("stream"), time.Now(), req.Records)
@@ -127,8 +127,8 @@
 		refuseRate(w)
 		return
 	}
-	if _, lose := s.faults.Take(FaultLoseAnswer); lose {
-		standin.Cut()
+	if _, lose := s.faults.Consume(FaultLoseAnswer); lose {
+		standin.AbortConnection()
 	}
 	standin.WriteJSON(w, http.StatusOK, appendAnswer{FirstOffset: first})
 }
@@ -177,7 +177,7 @@
 
 func refuseRate(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
-	standin.Refuse(w, http.StatusTooManyRequests, "rate_limited")
+	standin.WriteError(w, http.StatusTooManyRequests, "rate_limited")
 }
 
 func (s *Server) takeRead(now time.Time) bool {
@@ -198,7 +198,7 @@
 	defer cancel()
 	ans := s.read(ctx, r.PathValue("stream"), from, limit)
 	if _, out := s.faults.Get(FaultOutage); out {
-		standin.Refuse(w, http.StatusServiceUnavailable, "outage")
+		standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 		return
 	}
 	if from < ans.Start {
--- a/internal/standin/logsvc/server_test.go
+++ b/internal/standin/logsvc/server_test.go
@@ -77,7 +77,7 @@
 func TestLostAnswerHasTakenEffect(t *testing.T) {
 	is := is.New(t)
 	s := New(Config{})
-	is.True(s.faults.Set(standin.Fault{Kind: FaultLoseAnswer, N: 1}))
+	is.True(s.faults.Set(standin.Fault{Kind: FaultLoseAnswer, Count: 1}))
 	srv := httptest.NewServer(s.Handler())
 	defer srv.Close()
 	_, err := http.Post(srv.URL+records, "application/json", strings.NewReader(`{"records":["YQ=="]}`))
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -76,21 +76,21 @@
 func (s *Server) handleAny(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
-		standin.Refuse(w, http.StatusBadRequest, "malformed")
+		standin.WriteError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	if _, ok := s.faults.Take(FaultRefuse); ok {
-		standin.Refuse(w, http.StatusServiceUnavailable, "refused")
+	if _, ok := s.faults.Consume(FaultRefuse); ok {
+		standin.WriteError(w, http.StatusServiceUnavailable, "refused")
 		return
 	}
-	if f, ok := s.faults.Take(FaultSlow); ok {
+	if f, ok := s.faults.Consume(FaultSlow); ok {
 		// A caller that leaves does not stop the run: the effect of a
 		// booking does not depend on who still listens.
 		_ = standin.Sleep(context.WithoutCancel(r.Context()), f.Delay())
 	}
 	ans := s.run(r, body)
-	if _, ok := s.faults.Take(FaultDropAfterRun); ok {
-		standin.Cut()
+	if _, ok := s.faults.Consume(FaultDropAfterRun); ok {
+		standin.AbortConnection()
 	}
 	w.Header().Set("X-Request-Id", ans.RequestID)
 	standin.WriteJSON(w, http.StatusOK, ans)
--- a/internal/standin/service/server_test.go
+++ b/internal/standin/service/server_test.go
@@ -18,7 +18,7 @@
 	s := New("s")
 	srv := httptest.NewServer(s.Handler())
 	defer srv.Close()
-	is.True(s.faults.Set(standin.Fault{Kind: FaultDropAfterRun, N: 1}))
+	is.True(s.faults.Set(standin.Fault{Kind: FaultDropAfterRun, Count: 1}))
 	_, err := http.Post(srv.URL+"/bookings", "text/plain", strings.NewReader("x"))
 	is.True(err != nil)
 	is.Equal(len(s.list()), 1)
@@ -28,7 +28,7 @@
 func TestRefusalIsNoRun(t *testing.T) {
 	is := is.New(t)
 	s := New("s")
-	is.True(s.faults.Set(standin.Fault{Kind: FaultRefuse, N: 1}))
+	is.True(s.faults.Set(standin.Fault{Kind: FaultRefuse, Count: 1}))
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/x", strings.NewReader("")))
 	is.Equal(w.Code, http.StatusServiceUnavailable)
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -52,15 +52,15 @@
 }
 
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
-	if f, ok := s.faults.Take(FaultSlow); ok && standin.Sleep(r.Context(), f.Delay()) != nil {
+	if f, ok := s.faults.Consume(FaultSlow); ok && standin.Sleep(r.Context(), f.Delay()) != nil {
 		return
 	}
-	if _, ok := s.faults.Take(FaultOutage); ok {
-		standin.Refuse(w, http.StatusServiceUnavailable, "outage")
+	if _, ok := s.faults.Consume(FaultOutage); ok {
+		standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 		return
 	}
 	if len(s.cfg.Versions) > 0 && !slices.Contains(s.cfg.Versions, r.PathValue("version")) {
-		standin.Refuse(w, http.StatusNotFound, "unknown_version")
+		standin.WriteError(w, http.StatusNotFound, "unknown_version")
 		return
 	}
 	s.reading.Add(1)
