--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin holds what the stand-ins of the platform, the engines and
-// the plain services share: fault switches, JSON helpers and the HTTP server.
-// The stand-ins are small fakes at the interface for tests and the demo; the
-// protocol they speak is docs/PROTOCOLS.md.
+// Package standin contains the code that the stand-ins for the platform, the
+// model engines and the plain services share: fault injection, JSON helpers and
+// the HTTP server. The stand-ins are fakes for tests and the demo; they implement
+// the protocol in docs/PROTOCOLS.md.
 package standin
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// KindNone clears all faults.
+// KindNone is the kind of fault that clears all active faults.
 const KindNone = "none"
 
 // Fault is the body of POST /fault.
 type Fault struct {
 	Kind string `json:"kind"`
-	// DelayMillis is a delay in milliseconds, for the kinds that take one.
+	// DelayMillis is the delay in milliseconds of a kind of fault that has one.
 	DelayMillis int `json:"ms"`
-	// Count is how many times the fault strikes; 0 means until it is cleared.
+	// Count is the number of times that the fault occurs; 0 means until it is cleared.
 	Count int `json:"n"`
-	// Marker is the prompt text or the version that triggers the fault.
+	// Marker is the text in a prompt, or the weights version, that triggers the fault.
 	Marker string `json:"marker"`
 }
 
-// Delay is the fault's Millis as a duration.
+// Delay returns DelayMillis as a duration.
 func (f Fault) Delay() time.Duration { return time.Duration(f.DelayMillis) * time.Millisecond }
 
-// Faults is the set of faults that are switched on, at most one of a kind. It
-// is safe for concurrent use.
+// Faults is the set of active faults, at most one of each kind. It is safe for
+// concurrent use.
 type Faults struct {
-	kinds map[string]bool
-	mu    sync.Mutex
-	on    map[string]Fault
-	// changed is closed and replaced when the set changes.
+	supported map[string]bool
+	mu        sync.Mutex
+	active    map[string]Fault
+	// changed is closed and replaced whenever Set changes the set.
 	changed chan struct{}
 }
 
-// NewFaults returns an empty set that accepts the given kinds.
+// NewFaults returns an empty set that supports the given kinds of fault.
 func NewFaults(kinds ...string) *Faults {
-	f := &Faults{kinds: map[string]bool{}, on: map[string]Fault{}, changed: make(chan struct{})}
+	f := &Faults{supported: map[string]bool{}, active: map[string]Fault{}, changed: make(chan struct{})}
 	for _, k := range kinds {
-		f.kinds[k] = true
+		f.supported[k] = true
 	}
 	return f
 }
 
-// Set switches a fault on, or clears all for KindNone. It reports whether the
-// kind is known.
+// Set activates a fault, or clears all faults if its kind is KindNone. It returns
+// false if the kind is not supported.
 func (f *Faults) Set(fault Fault) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case fault.Kind == KindNone:
-		clear(f.on)
-	case f.kinds[fault.Kind]:
-		f.on[fault.Kind] = fault
+		clear(f.active)
+	case f.supported[fault.Kind]:
+		f.active[fault.Kind] = fault
 	default:
 		return false
 	}
@@ -61,40 +61,41 @@
 	return true
 }
 
-// Get returns the fault of a kind when it is on, without using it up.
+// Get returns the active fault of a kind, if any, without consuming an occurrence.
 func (f *Faults) Get(kind string) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fault, ok := f.on[kind]
+	fault, ok := f.active[kind]
 	return fault, ok
 }
 
-// Consume is Get, and uses up one strike of a fault with a count.
+// Consume returns the active fault of a kind, if any, and consumes one occurrence
+// of a fault that has a count.
 func (f *Faults) Consume(kind string) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fault, ok := f.on[kind]
+	fault, ok := f.active[kind]
 	if !ok || fault.Count == 0 {
 		return fault, ok
 	}
-	left := fault
-	left.Count--
-	if left.Count == 0 {
-		delete(f.on, kind)
+	remaining := fault
+	remaining.Count--
+	if remaining.Count == 0 {
+		delete(f.active, kind)
 	} else {
-		f.on[kind] = left
+		f.active[kind] = remaining
 	}
 	return fault, true
 }
 
-// WaitWhile blocks while a fault of the kind is on, or until ctx ends.
+// WaitWhile blocks until no fault of the kind is active or ctx ends.
 func (f *Faults) WaitWhile(ctx context.Context, kind string) error {
 	for {
 		f.mu.Lock()
-		_, on := f.on[kind]
+		_, active := f.active[kind]
 		changed := f.changed
 		f.mu.Unlock()
-		if !on {
+		if !active {
 			return ctx.Err()
 		}
 		select {
@@ -105,9 +106,9 @@
 	}
 }
 
-// Handler serves POST /fault. It calls act, when not nil, after the switch,
-// for kinds that strike at once.
-func (f *Faults) Handler(act func(Fault)) http.HandlerFunc {
+// Handler serves POST /fault. If onSet is not nil, it is called after the response
+// is written, for kinds of fault that take effect immediately.
+func (f *Faults) Handler(onSet func(Fault)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var fault Fault
 		if !ReadJSON(w, r, &fault) {
@@ -118,8 +119,8 @@
 			return
 		}
 		WriteJSON(w, http.StatusOK, fault)
-		if act != nil {
-			act(fault)
+		if onSet != nil {
+			onSet(fault)
 		}
 	}
 }
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestFaultStrikesSoManyTimes(t *testing.T) {
+func TestFaultIsConsumedCountTimes(t *testing.T) {
 	is := is.New(t)
 	f := NewFaults("cut")
 	is.True(!f.Set(Fault{Kind: "other"}))
@@ -26,12 +26,12 @@
 	is.True(!ok)
 }
 
-func TestFreezeEndsWithTheFault(t *testing.T) {
+func TestWaitWhileReturnsWhenFaultIsCleared(t *testing.T) {
 	is := is.New(t)
 	f := NewFaults("freeze")
 	is.True(f.Set(Fault{Kind: "freeze"}))
-	thawed := make(chan error)
-	go func() { thawed <- f.WaitWhile(context.Background(), "freeze") }()
+	done := make(chan error)
+	go func() { done <- f.WaitWhile(context.Background(), "freeze") }()
 	is.True(f.Set(Fault{Kind: KindNone}))
-	is.NoErr(<-thawed)
+	is.NoErr(<-done)
 }
