--- a/internal/standin/weights/doc.go
+++ b/internal/standin/weights/doc.go
@@ -1,5 +1,6 @@
-// Package weights is a stand-in for the rate-limited weight store. Each read
-// runs at a given rate while few run at once, and all get slower beyond that.
+// Package weights is a stand-in for the weight store. Its bandwidth is limited:
+// up to a number of concurrent reads run at the full rate each, and more reads
+// share the total bandwidth of that number.
 //
-// Faults: outage (503), slow (ms before each read).
+// Faults: outage (status 503), slow (a delay of ms before each read).
 package weights
--- a/internal/standin/weights/server.go
+++ b/internal/standin/weights/server.go
@@ -9,41 +9,42 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Kinds of fault.
+// Supported kinds of fault.
 const (
 	FaultOutage = "outage"
 	FaultSlow   = "slow"
 )
 
-// tick is how often a read hands out bytes.
-const tick = 20 * time.Millisecond
+// writeInterval is the time between two writes to a response.
+const writeInterval = 20 * time.Millisecond
 
-// Config sizes the store.
+// Config sets the versions, the sizes and the bandwidth of the store.
 type Config struct {
-	// Versions are the versions known of each model; empty knows all.
+	// Versions are the versions that exist of every model. If empty, every version exists.
 	Versions []string
-	// Bytes is the size of each version.
+	// Bytes is the size of every version.
 	Bytes int
-	// BytesPerSecond is the rate of one read.
+	// BytesPerSecond is the full rate of one read.
 	BytesPerSecond float64
-	// FullRateReaders is how many reads run at that rate; with more, each
-	// gets its part of what these would get together.
+	// FullRateReaders is the number of concurrent reads that run at the full
+	// rate. More reads share FullRateReaders * BytesPerSecond equally; 0 means no
+	// limit.
 	FullRateReaders int
 }
 
-// Server is the weight store.
+// Server serves reads of weights.
 type Server struct {
-	cfg     Config
-	faults  *standin.Faults
-	reading atomic.Int64
+	cfg         Config
+	faults      *standin.Faults
+	activeReads atomic.Int64
 }
 
-// New returns a store.
+// New returns a weight store.
 func New(cfg Config) *Server {
 	return &Server{cfg: cfg, faults: standin.NewFaults(FaultOutage, FaultSlow)}
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the protocol in docs/PROTOCOLS.md.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", s.faults.Handler(nil))
@@ -63,29 +64,30 @@
 		standin.WriteError(w, http.StatusNotFound, "unknown_version")
 		return
 	}
-	s.reading.Add(1)
-	defer s.reading.Add(-1)
-	s.send(w, r)
+	s.activeReads.Add(1)
+	defer s.activeReads.Add(-1)
+	s.sendWeights(w, r)
 }
 
-func (s *Server) send(w http.ResponseWriter, r *http.Request) {
-	zeros := make([]byte, int(s.cfg.BytesPerSecond*tick.Seconds())+1)
-	for left := s.cfg.Bytes; left > 0; {
-		if standin.Sleep(r.Context(), tick) != nil {
+func (s *Server) sendWeights(w http.ResponseWriter, r *http.Request) {
+	zeros := make([]byte, int(s.cfg.BytesPerSecond*writeInterval.Seconds())+1)
+	for remaining := s.cfg.Bytes; remaining > 0; {
+		if standin.Sleep(r.Context(), writeInterval) != nil {
 			return
 		}
-		n := min(left, int(s.rate(s.reading.Load())*tick.Seconds())+1)
+		n := min(remaining, int(s.readRate(s.activeReads.Load())*writeInterval.Seconds())+1)
 		if _, err := w.Write(zeros[:n]); err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
 
-// rate is the bytes a second of one read among so many.
-func (s *Server) rate(readers int64) float64 {
-	if full := int64(s.cfg.FullRateReaders); full > 0 && readers > full {
-		return s.cfg.BytesPerSecond * float64(full) / float64(readers)
+// readRate returns the rate of each read in bytes per second while activeReads
+// reads run.
+func (s *Server) readRate(activeReads int64) float64 {
+	if fullRateReaders := int64(s.cfg.FullRateReaders); fullRateReaders > 0 && activeReads > fullRateReaders {
+		return s.cfg.BytesPerSecond * float64(fullRateReaders) / float64(activeReads)
 	}
 	return s.cfg.BytesPerSecond
 }
