--- a/internal/standin/instances/server.go
+++ b/internal/standin/instances/server.go
@@ -8,7 +8,7 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Kinds of fault.
+// Supported kinds of fault.
 const (
 	FaultOutage = "outage"
 	FaultSlow   = "slow"
@@ -25,28 +25,30 @@
 	State string `json:"state"`
 }
 
-// List is the answer to a read and, without AsOfMS, the body that sets it.
+// List is the response to a read and, without AsOfMS, the body of the request that
+// sets the list.
 type List struct {
-	// AsOfMS is when the platform saw it so, in Unix milliseconds.
+	// AsOfMS is the time at which the list was accurate, in Unix milliseconds.
 	AsOfMS    int64      `json:"as_of_ms"`
 	Instances []Instance `json:"instances"`
 }
 
-// Server is the list service.
+// Server serves the list of instances.
 type Server struct {
 	lag    time.Duration
 	faults *standin.Faults
 	mu     sync.Mutex
-	// lists are in the order they were set; the first is the one shown.
-	lists []List
+	// history has the lists in the order in which they were set. The first is the
+	// one that readers see; the others are not yet older than the lag.
+	history []List
 }
 
-// New returns an empty list that shows each change after the lag.
+// New returns a service with an empty list, whose changes are visible after the lag.
 func New(lag time.Duration) *Server {
 	return &Server{lag: lag, faults: standin.NewFaults(FaultOutage, FaultSlow)}
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the protocol in docs/PROTOCOLS.md.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", s.faults.Handler(nil))
@@ -64,11 +66,11 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Set changes the list at a time; readers see it after the lag.
+// Set replaces the list at the time now. Readers see it after the lag.
 func (s *Server) Set(now time.Time, instances []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, List{AsOfMS: now.UnixMilli(), Instances: instances})
+	s.history = append(s.history, List{AsOfMS: now.UnixMilli(), Instances: instances})
 }
 
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
@@ -79,21 +81,22 @@
 		standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, s.shown(time.Now()))
+	standin.WriteJSON(w, http.StatusOK, s.visibleList(time.Now()))
 }
 
-// shown is the newest list at least as old as the lag, or the first ever set.
-func (s *Server) shown(now time.Time) List {
+// visibleList returns the newest list that is at least as old as the lag, or the
+// first list if none is. It drops the lists before the returned one.
+func (s *Server) visibleList(now time.Time) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := now.Add(-s.lag).UnixMilli()
-	for len(s.lists) > 1 && s.lists[1].AsOfMS <= seen {
-		s.lists = s.lists[1:]
+	cutoff := now.Add(-s.lag).UnixMilli()
+	for len(s.history) > 1 && s.history[1].AsOfMS <= cutoff {
+		s.history = s.history[1:]
 	}
-	if len(s.lists) == 0 {
-		return List{AsOfMS: seen, Instances: []Instance{}}
+	if len(s.history) == 0 {
+		return List{AsOfMS: cutoff, Instances: []Instance{}}
 	}
-	list := s.lists[0]
-	list.AsOfMS = max(list.AsOfMS, seen)
+	list := s.history[0]
+	list.AsOfMS = max(list.AsOfMS, cutoff)
 	return list
 }
