--- a/internal/standin/service/doc.go
+++ b/internal/standin/service/doc.go
@@ -1,6 +1,8 @@
-// Package service is a stand-in for a plain service: it takes any method and
-// path, counts each run, and lists the runs at GET /runs.
+// Package service is a stand-in for a plain service. It executes a request with
+// any method and path, records each execution as a run, and lists the runs at
+// GET /runs.
 //
-// Faults: slow (ms before each run), drop_after_run (runs, then cuts the
-// connection without an answer; n times), refuse (503 before running).
+// Faults: slow (a delay of ms before each run), drop_after_run (records the run,
+// then closes the connection without a response; n times), refuse (status 503
+// without a run).
 package service
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -11,37 +11,37 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Kinds of fault.
+// Supported kinds of fault.
 const (
 	FaultSlow         = "slow"
 	FaultDropAfterRun = "drop_after_run"
 	FaultRefuse       = "refuse"
 )
 
-// Run is one request that the service carried out.
+// Run is one request that the service executed.
 type Run struct {
 	RequestID      string `json:"request_id"`
 	IdempotencyKey string `json:"idempotency_key"`
 	Path           string `json:"path"`
 }
 
-// Runs is the answer to GET /runs.
+// Runs is the response to GET /runs.
 type Runs struct {
 	Runs []Run `json:"runs"`
 }
 
-// Response is the body of each answer to a run.
+// Response is the body of the response to a run.
 type Response struct {
 	Service string `json:"service"`
-	// Run is this run's number, counting from 1.
+	// Run is the number of this run, counting from 1.
 	Run            int    `json:"run"`
 	RequestID      string `json:"request_id"`
 	IdempotencyKey string `json:"idempotency_key"`
-	// BodySHA256 is the hex hash of the request body.
+	// BodySHA256 is the hex-encoded SHA-256 hash of the request body.
 	BodySHA256 string `json:"body_sha256"`
 }
 
-// Server is the plain service.
+// Server executes requests and records them.
 type Server struct {
 	name   string
 	faults *standin.Faults
@@ -49,31 +49,31 @@
 	runs   []Run
 }
 
-// New returns a service that puts its name into each answer.
+// New returns a service that includes its name in each response.
 func New(name string) *Server {
 	return &Server{name: name, faults: standin.NewFaults(FaultSlow, FaultDropAfterRun, FaultRefuse)}
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the protocol in docs/PROTOCOLS.md.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", s.faults.Handler(nil))
 	mux.HandleFunc("GET /runs", s.handleRuns)
-	mux.HandleFunc("/", s.handleAny)
+	mux.HandleFunc("/", s.handleRequest)
 	return mux
 }
 
 func (s *Server) handleRuns(w http.ResponseWriter, _ *http.Request) {
-	standin.WriteJSON(w, http.StatusOK, Runs{Runs: s.list()})
+	standin.WriteJSON(w, http.StatusOK, Runs{Runs: s.recordedRuns()})
 }
 
-func (s *Server) list() []Run {
+func (s *Server) recordedRuns() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run{}, s.runs...)
 }
 
-func (s *Server) handleAny(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
 		standin.WriteError(w, http.StatusBadRequest, "malformed")
@@ -84,19 +84,19 @@
 		return
 	}
 	if f, ok := s.faults.Consume(FaultSlow); ok {
-		// A caller that leaves does not stop the run: the effect of a
-		// booking does not depend on who still listens.
+		// The run does not stop when the caller disconnects: a booking takes
+		// effect even if nobody receives the response.
 		_ = standin.Sleep(context.WithoutCancel(r.Context()), f.Delay())
 	}
-	ans := s.run(r, body)
+	resp := s.recordRun(r, body)
 	if _, ok := s.faults.Consume(FaultDropAfterRun); ok {
 		standin.AbortConnection()
 	}
-	w.Header().Set("X-Request-Id", ans.RequestID)
-	standin.WriteJSON(w, http.StatusOK, ans)
+	w.Header().Set("X-Request-Id", resp.RequestID)
+	standin.WriteJSON(w, http.StatusOK, resp)
 }
 
-func (s *Server) run(r *http.Request, body []byte) Response {
+func (s *Server) recordRun(r *http.Request, body []byte) Response {
 	run := Run{
 		RequestID:      r.Header.Get("X-Request-Id"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"),
