--- a/internal/standin/logsvc/server.go
+++ b/internal/standin/logsvc/server.go
@@ -10,7 +10,7 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Kinds of fault.
+// Supported kinds of fault.
 const (
 	FaultOutage     = "outage"
 	FaultSlow       = "slow"
@@ -19,23 +19,22 @@
 )
 
 const (
-	defaultLimit = 1000
-	maxWait      = 60 * time.Second
+	defaultReadLimit = 1000
+	maxReadWait      = 60 * time.Second
 )
 
-// Config sets the limits of the service. Zero means no limit.
+// Config sets the limits of the service. The zero value of each means no limit.
 type Config struct {
-	// RetainRecords is how many records of each stream are kept.
+	// RetainRecords is the number of records retained in each stream.
 	RetainRecords int
-	// RetainFor is how long a record is kept.
+	// RetainFor is the time for which a record is retained.
 	RetainFor time.Duration
-	// AppendsPerSecond and ReadsPerSecond are how many calls are taken in
-	// a second.
+	// AppendsPerSecond and ReadsPerSecond limit the calls to the whole service.
 	AppendsPerSecond int
 	ReadsPerSecond   int
 }
 
-// Server is the log service.
+// Server holds the streams and serves appends and reads.
 type Server struct {
 	cfg     Config
 	faults  *standin.Faults
@@ -45,22 +44,23 @@
 	reads   rateLimit
 }
 
-// rateLimit counts the calls of the running second.
+// rateLimit counts the calls in the current second.
 type rateLimit struct {
 	second int64
-	taken  int
+	calls  int
 }
 
-// take reports whether one more call is within perSecond; 0 is no limit.
-func (l *rateLimit) take(now time.Time, perSecond int) bool {
+// allow counts a call and reports whether it is within the limit perSecond; 0 means
+// no limit.
+func (l *rateLimit) allow(now time.Time, perSecond int) bool {
 	if now.Unix() != l.second {
-		l.second, l.taken = now.Unix(), 0
+		l.second, l.calls = now.Unix(), 0
 	}
-	l.taken++
-	return perSecond == 0 || l.taken <= perSecond
+	l.calls++
+	return perSecond == 0 || l.calls <= perSecond
 }
 
-// New returns an empty log service.
+// New returns a log service without streams.
 func New(cfg Config) *Server {
 	return &Server{
 		cfg:     cfg,
@@ -69,28 +69,29 @@
 	}
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the protocol in docs/PROTOCOLS.md.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/streams/{stream}/records", s.guard(s.handleAppend))
-	mux.HandleFunc("GET /v1/streams/{stream}/records", s.guard(s.handleRead))
-	mux.HandleFunc("POST /fault", s.faults.Handler(s.act))
+	mux.HandleFunc("POST /v1/streams/{stream}/records", s.withFaults(s.handleAppend))
+	mux.HandleFunc("GET /v1/streams/{stream}/records", s.withFaults(s.handleRead))
+	mux.HandleFunc("POST /fault", s.faults.Handler(s.onFaultSet))
 	return mux
 }
 
-func (s *Server) act(f standin.Fault) {
+// onFaultSet trims the streams immediately when the trim fault is set.
+func (s *Server) onFaultSet(f standin.Fault) {
 	if f.Kind != FaultTrim {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range s.streams {
-		st.keep(f.Count)
+		st.keepNewest(f.Count)
 	}
 }
 
-// guard applies the faults that strike before a call has any effect.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults that occur before a call has any effect.
+func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if f, ok := s.faults.Consume(FaultSlow); ok {
 			if standin.Sleep(r.Context(), f.Delay()) != nil {
@@ -109,7 +110,7 @@
 	Records [][]byte `json:"records"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	FirstOffset int64 `json:"first_offset"`
 }
 
@@ -122,31 +123,32 @@
 		standin.WriteError(w, http.StatusBadRequest, "no_records")
 		return
 	}
-	first, ok := s.append(r.PathValue("stream"), time.Now(), req.Records)
+	first, ok := s.appendRecords(r.PathValue("stream"), time.Now(), req.Records)
 	if !ok {
-		refuseRate(w)
+		writeRateLimited(w)
 		return
 	}
-	if _, lose := s.faults.Consume(FaultLoseAnswer); lose {
+	if _, loseResponse := s.faults.Consume(FaultLoseAnswer); loseResponse {
 		standin.AbortConnection()
 	}
-	standin.WriteJSON(w, http.StatusOK, appendAnswer{FirstOffset: first})
+	standin.WriteJSON(w, http.StatusOK, appendResponse{FirstOffset: first})
 }
 
-// append stores the records unless the second's appends are used up.
-func (s *Server) append(name string, now time.Time, data [][]byte) (int64, bool) {
+// appendRecords stores the records and returns the offset of the first. It returns
+// false if the limit of appends per second is reached.
+func (s *Server) appendRecords(name string, now time.Time, data [][]byte) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.appends.take(now, s.cfg.AppendsPerSecond) {
+	if !s.appends.allow(now, s.cfg.AppendsPerSecond) {
 		return 0, false
 	}
-	st := s.stream(name)
+	st := s.getOrCreateStream(name)
 	first := st.append(now, data)
-	s.retain(st, now)
+	s.applyRetention(st, now)
 	return first, true
 }
 
-func (s *Server) stream(name string) *stream {
+func (s *Server) getOrCreateStream(name string) *stream {
 	st, ok := s.streams[name]
 	if !ok {
 		st = newStream()
@@ -155,86 +157,87 @@
 	return st
 }
 
-func (s *Server) retain(st *stream, now time.Time) {
+func (s *Server) applyRetention(st *stream, now time.Time) {
 	if s.cfg.RetainRecords > 0 {
-		st.keep(s.cfg.RetainRecords)
+		st.keepNewest(s.cfg.RetainRecords)
 	}
 	if s.cfg.RetainFor > 0 {
-		st.expire(now.Add(-s.cfg.RetainFor))
+		st.dropBefore(now.Add(-s.cfg.RetainFor))
 	}
 }
 
-type readAnswer struct {
+type readResponse struct {
 	Start   int64    `json:"start"`
 	Next    int64    `json:"next"`
 	Records []record `json:"records"`
 }
 
-type trimmedAnswer struct {
+type trimmedResponse struct {
 	Error string `json:"error"`
 	Start int64  `json:"start"`
 }
 
-func refuseRate(w http.ResponseWriter) {
+func writeRateLimited(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	standin.WriteError(w, http.StatusTooManyRequests, "rate_limited")
 }
 
-func (s *Server) takeRead(now time.Time) bool {
+func (s *Server) allowRead(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reads.take(now, s.cfg.ReadsPerSecond)
+	return s.reads.allow(now, s.cfg.ReadsPerSecond)
 }
 
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
-	if !s.takeRead(time.Now()) {
-		refuseRate(w)
+	if !s.allowRead(time.Now()) {
+		writeRateLimited(w)
 		return
 	}
 	from := queryInt(r, "from", 0)
-	limit := int(max(1, queryInt(r, "limit", defaultLimit)))
-	wait := min(time.Duration(queryInt(r, "wait_ms", 0))*time.Millisecond, maxWait)
+	limit := int(max(1, queryInt(r, "limit", defaultReadLimit)))
+	wait := min(time.Duration(queryInt(r, "wait_ms", 0))*time.Millisecond, maxReadWait)
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	ans := s.read(ctx, r.PathValue("stream"), from, limit)
-	if _, out := s.faults.Get(FaultOutage); out {
+	resp := s.waitAndRead(ctx, r.PathValue("stream"), from, limit)
+	if _, outage := s.faults.Get(FaultOutage); outage {
 		standin.WriteError(w, http.StatusServiceUnavailable, "outage")
 		return
 	}
-	if from < ans.Start {
-		standin.WriteJSON(w, http.StatusGone, trimmedAnswer{Error: "trimmed", Start: ans.Start})
+	if from < resp.Start {
+		standin.WriteJSON(w, http.StatusGone, trimmedResponse{Error: "trimmed", Start: resp.Start})
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, ans)
+	standin.WriteJSON(w, http.StatusOK, resp)
 }
 
-// read waits until there is a record at from, or until wait ends.
-func (s *Server) read(wait context.Context, name string, from int64, limit int) readAnswer {
+// waitAndRead waits until the record at the offset from exists, returning at once
+// if it is trimmed, or until ctx ends.
+func (s *Server) waitAndRead(ctx context.Context, name string, from int64, limit int) readResponse {
 	for {
 		s.mu.Lock()
-		st := s.stream(name)
-		s.retain(st, time.Now())
-		ans := readAnswer{Start: st.start, Next: st.next(), Records: []record{}}
-		if from >= st.start {
-			ans.Records = st.from(from, limit)
+		st := s.getOrCreateStream(name)
+		s.applyRetention(st, time.Now())
+		resp := readResponse{Start: st.startOffset, Next: st.nextOffset(), Records: []record{}}
+		if from >= st.startOffset {
+			resp.Records = st.readFrom(from, limit)
 		}
 		changed := st.changed
 		s.mu.Unlock()
-		if len(ans.Records) > 0 || from < ans.Start {
-			return ans
+		if len(resp.Records) > 0 || from < resp.Start {
+			return resp
 		}
 		select {
 		case <-changed:
-		case <-wait.Done():
-			return ans
+		case <-ctx.Done():
+			return resp
 		}
 	}
 }
 
-func queryInt(r *http.Request, key string, def int64) int64 {
-	n, err := strconv.ParseInt(r.URL.Query().Get(key), 10, 64)
+func queryInt(r *http.Request, name string, defaultValue int64) int64 {
+	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
-		return def
+		return defaultValue
 	}
 	return n
 }
--- a/internal/standin/logsvc/stream.go
+++ b/internal/standin/logsvc/stream.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// record is one stored entry.
+// record is one record of a stream and the time at which it was stored.
 type record struct {
 	Offset int64  `json:"offset"`
 	TimeMS int64  `json:"time_ms"`
 	Data   []byte `json:"data"`
 }
 
-// stream is the retained end of one append-only stream.
+// stream holds the retained records of one append-only stream.
 type stream struct {
-	start   int64
-	records []record
-	// changed is closed and replaced at each append.
+	startOffset int64
+	records     []record
+	// changed is closed and replaced at each append, to wake waiting readers.
 	changed chan struct{}
 }
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
-func (s *stream) next() int64 { return s.start + int64(len(s.records)) }
+func (s *stream) nextOffset() int64 { return s.startOffset + int64(len(s.records)) }
 
 func (s *stream) append(now time.Time, data [][]byte) int64 {
-	first := s.next()
+	first := s.nextOffset()
 	for i, d := range data {
 		s.records = append(s.records, record{Offset: first + int64(i), TimeMS: now.UnixMilli(), Data: d})
 	}
@@ -31,28 +31,29 @@
 	return first
 }
 
-// from returns at most limit records from an offset that is retained.
-func (s *stream) from(offset int64, limit int) []record {
-	if offset >= s.next() {
+// readFrom returns at most limit records, starting at the offset, which must not be
+// trimmed.
+func (s *stream) readFrom(offset int64, limit int) []record {
+	if offset >= s.nextOffset() {
 		return []record{}
 	}
-	tail := s.records[offset-s.start:]
+	tail := s.records[offset-s.startOffset:]
 	return append([]record{}, tail[:min(limit, len(tail))]...)
 }
 
-// keep forgets all but the last n records.
-func (s *stream) keep(n int) {
-	if drop := len(s.records) - n; drop > 0 {
-		s.records = s.records[drop:]
-		s.start += int64(drop)
+// keepNewest drops all but the newest n records.
+func (s *stream) keepNewest(n int) {
+	if excess := len(s.records) - n; excess > 0 {
+		s.records = s.records[excess:]
+		s.startOffset += int64(excess)
 	}
 }
 
-// expire forgets records stored before the time.
-func (s *stream) expire(before time.Time) {
+// dropBefore drops the records that were stored before the given time.
+func (s *stream) dropBefore(before time.Time) {
 	n := 0
 	for n < len(s.records) && s.records[n].TimeMS < before.UnixMilli() {
 		n++
 	}
-	s.keep(len(s.records) - n)
+	s.keepNewest(len(s.records) - n)
 }
