--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -6,65 +6,65 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// piece is one cached block. The account stands beside the hash so that an
-// import cannot hand one account's block to another.
-type piece struct {
+// cacheKey identifies a cached piece. It includes the account so that an import
+// cannot give one account access to the pieces of another.
+type cacheKey struct {
 	hash    prefix.Hash
 	account string
 }
 
-// cache is an LRU of pieces. It is not safe for concurrent use.
+// cache is an LRU cache of prompt pieces. It is not safe for concurrent use.
 type cache struct {
-	size  int
-	order *list.List // front is the most recently used
-	byKey map[piece]*list.Element
+	capacity int
+	recency  *list.List // most recently used first
+	entries  map[cacheKey]*list.Element
 }
 
 func newCache(size int) *cache {
-	return &cache{size: size, order: list.New(), byKey: map[piece]*list.Element{}}
+	return &cache{capacity: size, recency: list.New(), entries: map[cacheKey]*list.Element{}}
 }
 
-// match is how many pieces of the chain, from its start, are cached. It marks
-// them as used.
-func (c *cache) match(account string, chain []prefix.Hash) int {
+// matchPrefix returns the number of leading pieces of the chain that are cached,
+// and marks them as recently used.
+func (c *cache) matchPrefix(account string, chain []prefix.Hash) int {
 	for i, h := range chain {
-		e, ok := c.byKey[piece{h, account}]
+		e, ok := c.entries[cacheKey{h, account}]
 		if !ok {
 			return i
 		}
-		c.order.MoveToFront(e)
+		c.recency.MoveToFront(e)
 	}
 	return len(chain)
 }
 
-// has reports whether one piece is cached, without marking it as used.
-func (c *cache) has(account string, h prefix.Hash) bool {
-	_, ok := c.byKey[piece{h, account}]
+// contains reports whether a piece is cached, without marking it as used.
+func (c *cache) contains(account string, h prefix.Hash) bool {
+	_, ok := c.entries[cacheKey{h, account}]
 	return ok
 }
 
-// store caches the chain and returns the pieces that are new and those that
-// had to go. The last piece goes in first, so that an opening outlives what
-// builds on it.
+// store caches the pieces of the chain and returns the new and the evicted pieces.
+// It inserts the last piece first, so that a piece is evicted only after the
+// pieces that depend on it.
 func (c *cache) store(account string, chain []prefix.Hash) (stored, evicted []prefix.Hash) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		key := piece{chain[i], account}
-		if e, ok := c.byKey[key]; ok {
-			c.order.MoveToFront(e)
+		key := cacheKey{chain[i], account}
+		if e, ok := c.entries[key]; ok {
+			c.recency.MoveToFront(e)
 			continue
 		}
-		c.byKey[key] = c.order.PushFront(key)
+		c.entries[key] = c.recency.PushFront(key)
 		stored = append(stored, chain[i])
 	}
-	for c.order.Len() > c.size {
-		old := c.order.Remove(c.order.Back()).(piece)
-		delete(c.byKey, old)
-		evicted = append(evicted, old.hash)
+	for c.recency.Len() > c.capacity {
+		oldest := c.recency.Remove(c.recency.Back()).(cacheKey)
+		delete(c.entries, oldest)
+		evicted = append(evicted, oldest.hash)
 	}
 	return stored, evicted
 }
 
 func (c *cache) clear() {
-	c.order.Init()
-	clear(c.byKey)
+	c.recency.Init()
+	clear(c.entries)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Kinds of fault.
+// Supported kinds of fault.
 const (
 	FaultKill       = "kill"
 	FaultFreeze     = "freeze"
@@ -23,57 +23,59 @@
 )
 
 const (
-	crashStatus      = 3
-	defaultMaxTokens = 32
-	defaultGrace     = 2 * time.Second
-	defaultBatch     = 64
+	crashExitStatus    = 3
+	defaultMaxTokens   = 32
+	defaultResumeGrace = 2 * time.Second
+	defaultMaxBatch    = 64
 )
 
-// Config sizes an engine. Rates and delays are of the engine's own clock.
+// Config sets the model, the capacity and the speed of an engine. Rates and delays
+// are in the time of the engine's clock, see TimeScale.
 type Config struct {
 	Model   string
 	Version string
 	Role    string
-	// PieceBytes is the prompt bytes in one cached piece.
+	// PieceBytes is the number of prompt bytes in a cached piece.
 	PieceBytes int
-	// CachePieces is how many pieces the cache holds.
+	// CachePieces is the capacity of the cache in pieces.
 	CachePieces int
-	// PrefillTPS is the prompt tokens computed in a second.
+	// PrefillTPS is the number of prompt tokens computed per second.
 	PrefillTPS float64
-	// DecodeTPS is the tokens generated in a second by the whole batch.
+	// DecodeTPS is the number of tokens that the whole batch generates per second.
 	DecodeTPS float64
-	// MinTokenInterval is the least time between two tokens of a stream.
+	// MinTokenInterval is the minimum time between two tokens of a stream.
 	MinTokenInterval time.Duration
-	// MaxBatch is how many streams are generated at once; default 64.
+	// MaxBatch is the maximum number of streams in the batch; default 64.
 	MaxBatch int
-	// ResumeGrace is how long a stream outlives its last reader; default 2s.
+	// ResumeGrace is the time for which a stream without a reader can be resumed
+	// before it is removed; default 2s.
 	ResumeGrace time.Duration
-	// LoadReportLag is the age of what /load reports.
+	// LoadReportLag is the age of the load that GET /load reports.
 	LoadReportLag time.Duration
-	// EventLag is how late cache events show up, EventLoss the part of
-	// them that never does.
+	// EventLag is the delay until readers see a cache event, and EventLossRate
+	// is the fraction of events that they never see.
 	EventLag      time.Duration
 	EventLossRate float64
-	// WeightsLoadTime is how long a change of weights takes when WeightsURL is
-	// empty; else the bytes are read from there first.
+	// WeightsLoadTime is the time that a change of weights takes. If WeightsURL
+	// is set, the weights are downloaded from that store first.
 	WeightsLoadTime time.Duration
 	WeightsURL      string
-	// ChecksFencing refuses orders with a fence below the highest seen.
+	// ChecksFencing rejects orders with a fencing token below the highest one seen.
 	ChecksFencing bool
-	// TimeScale speeds the engine's clock up; default 1.
+	// TimeScale is the speed of the engine's clock relative to real time; default 1.
 	TimeScale float64
-	// Seed is for the events that get lost.
+	// Seed seeds the random choice of the cache events that are lost.
 	Seed uint64
-	// Exit ends the process; default os.Exit.
+	// Exit ends the process. It is called by faults; default os.Exit.
 	Exit func(status int)
 }
 
 func (c Config) withDefaults() Config {
 	if c.MaxBatch == 0 {
-		c.MaxBatch = defaultBatch
+		c.MaxBatch = defaultMaxBatch
 	}
 	if c.ResumeGrace == 0 {
-		c.ResumeGrace = defaultGrace
+		c.ResumeGrace = defaultResumeGrace
 	}
 	if c.TimeScale == 0 {
 		c.TimeScale = 1
@@ -84,24 +86,25 @@
 	return c
 }
 
-// Engine is one incarnation of a model engine.
+// Engine is a running engine. A restart of the process is a new incarnation.
 type Engine struct {
 	cfg         Config
 	incarnation string
 	faults      *standin.Faults
 	queue       *queue
-	feed        *feed
-	batch       chan struct{}
+	feed        *eventFeed
+	batchSlots  chan struct{}
 	ctx         context.Context
 	cancel      context.CancelFunc
 
 	mu      sync.Mutex
 	streams map[string]*stream
 	cache   *cache
-	// prefilling is the prompt tokens of the job in prefill.
-	prefilling int
-	weights    weights
-	loads      loadHistory
+	// prefillingTokens is the number of uncached prompt tokens of the job that is
+	// being prefilled.
+	prefillingTokens int
+	model            modelState
+	loadReports      loadHistory
 }
 
 // New starts an engine with an empty cache and a new incarnation.
@@ -113,29 +116,31 @@
 		incarnation: uuid.NewString(),
 		faults:      standin.NewFaults(FaultKill, FaultFreeze, FaultCrashOn, FaultBadVersion, FaultSlow),
 		queue:       newQueue(),
-		feed:        newFeed(cfg.EventLag, cfg.EventLossRate, cfg.Seed),
-		batch:       make(chan struct{}, cfg.MaxBatch),
+		feed:        newEventFeed(cfg.EventLag, cfg.EventLossRate, cfg.Seed),
+		batchSlots:  make(chan struct{}, cfg.MaxBatch),
 		ctx:         ctx,
 		cancel:      cancel,
 		streams:     map[string]*stream{},
 		cache:       newCache(cfg.CachePieces),
-		weights:     weights{model: cfg.Model, version: cfg.Version, role: cfg.Role},
+		model:       modelState{name: cfg.Model, version: cfg.Version, role: cfg.Role},
 	}
 	go e.prefillLoop()
-	go e.loadLoop()
+	go e.sampleLoadLoop()
 	return e
 }
 
-// Close stops the engine's own goroutines and its streams.
+// Close stops prefilling queued jobs and sampling the load. Streams that are already
+// being decoded continue.
 func (e *Engine) Close() {
 	e.cancel()
 	e.queue.close()
 }
 
-// Faults is the engine's set of faults.
+// Faults returns the set of active faults.
 func (e *Engine) Faults() *standin.Faults { return e.faults }
 
-// sleep waits for d of the engine's clock, and for as long as it is frozen.
+// sleep blocks for d in the time of the engine's clock, and then for as long as the
+// freeze fault is active.
 func (e *Engine) sleep(ctx context.Context, d time.Duration) error {
 	if err := standin.Sleep(ctx, time.Duration(float64(d)/e.cfg.TimeScale)); err != nil {
 		return err
@@ -143,13 +148,13 @@
 	return e.faults.WaitWhile(ctx, FaultFreeze)
 }
 
-// slowness is what the slow fault adds to each step.
-func (e *Engine) slowness() time.Duration {
+// slowDelay returns the delay that the slow fault adds to each prefill and token.
+func (e *Engine) slowDelay() time.Duration {
 	f, _ := e.faults.Get(FaultSlow)
 	return f.Delay()
 }
 
-// submit queues a request; its stream can be read at once.
+// submit queues a request. Its stream can be read immediately.
 func (e *Engine) submit(j *job) {
 	e.mu.Lock()
 	e.streams[j.stream.id] = j.stream
@@ -157,15 +162,15 @@
 	e.queue.push(j)
 }
 
-func (e *Engine) find(id string) (*stream, bool) {
+func (e *Engine) findStream(id string) (*stream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[id]
 	return s, ok
 }
 
-// forget cancels a stream and drops its events.
-func (e *Engine) forget(s *stream) {
+// removeStream cancels a stream and removes it, with its events.
+func (e *Engine) removeStream(s *stream) {
 	s.cancel()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,7 +179,7 @@
 	}
 }
 
-// prefillLoop computes one prompt at a time and hands it to the batch.
+// prefillLoop prefills one prompt at a time, waiting for a free batch slot first.
 func (e *Engine) prefillLoop() {
 	for {
 		j := e.queue.pop()
@@ -186,69 +191,69 @@
 			continue
 		}
 		select {
-		case e.batch <- struct{}{}:
+		case e.batchSlots <- struct{}{}:
 		case <-e.ctx.Done():
 			return
 		}
-		e.start(j)
+		e.runJob(j)
 	}
 }
 
-// start prefills one job and starts its generation. It holds a place in the
-// batch, which it gives back when there is nothing to generate.
-func (e *Engine) start(j *job) {
-	e.crashIfMarked(j)
-	version, ok := e.serving(j.wanted)
+// runJob prefills a job and starts its decoding. The caller has taken a batch slot
+// for it, which runJob frees if it does not start decoding.
+func (e *Engine) runJob(j *job) {
+	e.applyCrashFaults(j)
+	version, ok := e.servedVersion(j.requiredVersion)
 	if !ok {
-		<-e.batch
-		j.stream.refuse(codeWrongVersion)
+		<-e.batchSlots
+		j.stream.reject(codeWrongVersion)
 		return
 	}
 	cached, err := e.prefill(j, version)
 	if err != nil {
-		<-e.batch
+		<-e.batchSlots
 		j.stream.abort()
 		return
 	}
 	go e.decode(j, cached)
 }
 
-// crashIfMarked ends the process for a prompt with the crash_on marker, or
-// for any prompt while a bad version is served.
-func (e *Engine) crashIfMarked(j *job) {
+// applyCrashFaults exits the process if the prompt contains the marker of the
+// crash_on fault, or if the served version is that of the bad_version fault.
+func (e *Engine) applyCrashFaults(j *job) {
 	if f, ok := e.faults.Get(FaultCrashOn); ok && f.Marker != "" && bytes.Contains(j.prompt, []byte(f.Marker)) {
-		e.cfg.Exit(crashStatus)
+		e.cfg.Exit(crashExitStatus)
 	}
-	version, _ := e.serving("")
+	version, _ := e.servedVersion("")
 	if f, ok := e.faults.Get(FaultBadVersion); ok && f.Marker == version {
-		e.cfg.Exit(crashStatus)
+		e.cfg.Exit(crashExitStatus)
 	}
 }
 
-// prefill computes what the cache lacks, stores it, and returns the cached
-// tokens.
+// prefill simulates the computation of the uncached tokens, caches the prompt's
+// pieces, and returns the number of tokens that were cached before.
 func (e *Engine) prefill(j *job, version string) (int, error) {
 	scope := prefix.Scope{Account: j.stream.account, Model: e.cfg.Model, Version: version}
 	chain := prefix.Chain(nil, scope.Seed(), j.prompt, e.cfg.PieceBytes)
 	e.mu.Lock()
-	cached := e.cache.match(j.stream.account, chain) * e.cfg.PieceBytes / BytesPerToken
-	e.prefilling = j.tokens - cached
+	cached := e.cache.matchPrefix(j.stream.account, chain) * e.cfg.PieceBytes / BytesPerToken
+	e.prefillingTokens = j.tokens - cached
 	e.mu.Unlock()
 	seconds := float64(j.tokens-cached) / e.cfg.PrefillTPS
-	err := e.sleep(j.stream.ctx, time.Duration(seconds*float64(time.Second))+e.slowness())
+	err := e.sleep(j.stream.ctx, time.Duration(seconds*float64(time.Second))+e.slowDelay())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.prefilling = 0
+	e.prefillingTokens = 0
 	if err != nil {
 		return 0, err
 	}
-	if e.weights.version == version {
+	if e.model.version == version {
 		e.storeLocked(j.stream.account, chain)
 	}
 	return cached, nil
 }
 
-// storeLocked caches pieces and publishes what changed.
+// storeLocked caches pieces and publishes the events. It requires e.mu.
 func (e *Engine) storeLocked(account string, chain []prefix.Hash) {
 	stored, evicted := e.cache.store(account, chain)
 	now := time.Now()
@@ -256,17 +261,17 @@
 	e.feed.add(now, OpEvicted, evicted)
 }
 
-// decode generates the answer, one chunk a token.
+// decode generates the response, one chunk per token, and then frees the batch slot.
 func (e *Engine) decode(j *job, cached int) {
-	defer func() { <-e.batch }()
+	defer func() { <-e.batchSlots }()
 	s, n := j.stream, j.stream.req.MaxTokens
 	text := NewTextGenerator(j.prompt)
 	for i := range n {
-		if i > 0 && e.sleep(s.ctx, e.interToken()) != nil {
+		if i > 0 && e.sleep(s.ctx, e.interTokenDelay()) != nil {
 			s.abort()
 			return
 		}
-		s.chunk(text.TokenText(i))
+		s.appendToken(text.TokenText(i))
 	}
 	s.finish(Usage{
 		PromptTokens:        j.tokens,
@@ -276,8 +281,9 @@
 	})
 }
 
-// interToken is the time to the next token: the batch shares the decode rate.
-func (e *Engine) interToken() time.Duration {
-	shared := time.Duration(float64(len(e.batch)) / e.cfg.DecodeTPS * float64(time.Second))
-	return max(shared, e.cfg.MinTokenInterval) + e.slowness()
+// interTokenDelay returns the time until the next token of a stream: the streams in
+// the batch share the decode rate.
+func (e *Engine) interTokenDelay() time.Duration {
+	batchInterval := time.Duration(float64(len(e.batchSlots)) / e.cfg.DecodeTPS * float64(time.Second))
+	return max(batchInterval, e.cfg.MinTokenInterval) + e.slowDelay()
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,12 +18,12 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// start serves a fast engine.
-func start(t *testing.T, change func(*Config)) (*Engine, string) {
+// startEngine starts an engine whose prefill and decoding take almost no time.
+func startEngine(t *testing.T, configure func(*Config)) (*Engine, string) {
 	t.Helper()
 	cfg := Config{Model: "m", Version: "1", PieceBytes: 64, CachePieces: 8, PrefillTPS: 1e9, DecodeTPS: 1e6}
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	e := New(cfg)
 	srv := httptest.NewServer(e.Handler())
@@ -31,16 +31,16 @@
 	return e, srv.URL
 }
 
-func call(t *testing.T, method, url string, header map[string]string, body any) (int, []byte) {
+func sendRequest(t *testing.T, method, url string, header map[string]string, body any) (int, []byte) {
 	t.Helper()
-	resp := open(t, method, url, header, body)
+	resp := openResponse(t, method, url, header, body)
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	is.New(t).NoErr(err)
 	return resp.StatusCode, raw
 }
 
-func open(t *testing.T, method, url string, header map[string]string, body any) *http.Response {
+func openResponse(t *testing.T, method, url string, header map[string]string, body any) *http.Response {
 	t.Helper()
 	is := is.New(t)
 	raw, err := json.Marshal(body)
@@ -58,37 +58,37 @@
 func complete(t *testing.T, url, account, prompt string) Completion {
 	t.Helper()
 	is := is.New(t)
-	status, raw := call(t, "POST", url+"/v1/completions", map[string]string{"X-Client-Account": account}, Request{Prompt: prompt, MaxTokens: 2})
+	status, raw := sendRequest(t, "POST", url+"/v1/completions", map[string]string{"X-Client-Account": account}, Request{Prompt: prompt, MaxTokens: 2})
 	is.Equal(status, http.StatusOK)
 	var c Completion
 	is.NoErr(json.Unmarshal(raw, &c))
 	return c
 }
 
-func TestCacheCountsOnlyTheAccountsOwnPieces(t *testing.T) {
+func TestCachedPiecesAreNotSharedBetweenAccounts(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, nil)
+	_, url := startEngine(t, nil)
 	prompt := strings.Repeat("x", 130)
 	is.Equal(complete(t, url, "a", prompt).Usage.PromptTokensDetails.CachedTokens, 0)
 	is.Equal(complete(t, url, "a", prompt).Usage.PromptTokensDetails.CachedTokens, 32) // two pieces of 64 bytes
 	is.Equal(complete(t, url, "b", prompt).Usage.PromptTokensDetails.CachedTokens, 0)
 }
 
-func TestTextIsTheSameOnEveryEngine(t *testing.T) {
+func TestTextDependsOnlyOnPrompt(t *testing.T) {
 	is := is.New(t)
-	_, one := start(t, nil)
-	_, two := start(t, nil)
+	_, one := startEngine(t, nil)
+	_, two := startEngine(t, nil)
 	want := NewTextGenerator([]byte("hello")).FirstTokens(2)
 	is.Equal(complete(t, one, "a", "hello").Content(), want)
 	is.Equal(complete(t, two, "a", "hello").Content(), want)
 }
 
-// The connection to an engine breaks in the middle of a stream. The caller
-// asks for the rest by the last event it has, and gets every event after it,
-// with the same ids and text as if nothing had happened.
-func TestBrokenStreamIsResumedWithoutGap(t *testing.T) {
+// The connection to an engine breaks during a stream. A caller that resumes after
+// its last event gets every later event, with the same IDs and text as without the
+// interruption.
+func TestResumedStreamHasNoGap(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, func(c *Config) { c.MinTokenInterval = 5 * time.Millisecond })
+	_, url := startEngine(t, func(c *Config) { c.MinTokenInterval = 5 * time.Millisecond })
 	ctx, cancel := context.WithCancel(t.Context())
 	body := `{"prompt":"hello","max_tokens":4,"stream":true}`
 	req, err := http.NewRequestWithContext(ctx, "POST", url+"/v1/completions", strings.NewReader(body))
@@ -101,10 +101,10 @@
 	cancel()
 	_ = resp.Body.Close()
 
-	status, raw := call(t, "GET", url+"/v1/streams/r1", map[string]string{"Last-Event-ID": "0"}, nil)
+	status, raw := sendRequest(t, "GET", url+"/v1/streams/r1", map[string]string{"Last-Event-ID": "0"}, nil)
 	is.Equal(status, http.StatusOK)
 	events := strings.Split(strings.TrimSpace(string(raw)), "\n\n")
-	is.Equal(len(events), 5) // tokens 1 to 3, the usage, the end marker
+	is.Equal(len(events), 5) // tokens 1 to 3, the usage, [DONE]
 	for i, e := range events {
 		is.True(strings.HasPrefix(e, fmt.Sprintf("id: %d\n", i+1)))
 	}
@@ -114,36 +114,36 @@
 	is.True(strings.HasSuffix(events[4], "data: [DONE]"))
 }
 
-func TestUnknownStreamAndWrongVersionAreRefused(t *testing.T) {
+func TestUnknownStreamAndWrongVersionAreRejected(t *testing.T) {
 	is := is.New(t)
-	_, url := start(t, nil)
-	status, _ := call(t, "GET", url+"/v1/streams/none", nil, nil)
+	_, url := startEngine(t, nil)
+	status, _ := sendRequest(t, "GET", url+"/v1/streams/none", nil, nil)
 	is.Equal(status, http.StatusNotFound)
-	status, raw := call(t, "POST", url+"/v1/completions", map[string]string{"X-Weights-Version": "2"}, Request{Prompt: "x"})
+	status, raw := sendRequest(t, "POST", url+"/v1/completions", map[string]string{"X-Weights-Version": "2"}, Request{Prompt: "x"})
 	is.Equal(status, http.StatusConflict)
 	is.True(strings.Contains(string(raw), codeWrongVersion))
 }
 
-// The weights change while a request waits for its prefill. It must not run
-// on weights its router did not count on: it is refused as at its arrival.
-func TestWaitingRequestIsRefusedAfterAChangeOfWeights(t *testing.T) {
+// The weights change while a request is queued. It must not run on weights that the
+// router did not require, and is rejected in the same way as on arrival.
+func TestQueuedRequestIsRejectedAfterWeightsChange(t *testing.T) {
 	is := is.New(t)
-	e, _ := start(t, nil)
+	e, _ := startEngine(t, nil)
 	s := newStream("r1", "a", Request{MaxTokens: 1}, false)
 	e.mu.Lock()
-	e.weights.version = "2"
+	e.model.version = "2"
 	e.mu.Unlock()
-	e.submit(&job{stream: s, prompt: []byte("x"), tokens: 1, wanted: "1"})
-	v, err := s.wait(t.Context(), 0)
+	e.submit(&job{stream: s, prompt: []byte("x"), tokens: 1, requiredVersion: "1"})
+	state, err := s.wait(t.Context(), 0)
 	is.NoErr(err)
-	is.Equal(v.refused, codeWrongVersion)
+	is.Equal(state.rejectCode, codeWrongVersion)
 }
 
 func TestOrders(t *testing.T) {
 	for name, tc := range map[string]struct {
-		checks bool
-		orders []Order
-		want   []int
+		checksFencing bool
+		orders        []Order
+		wantStatus    []int
 	}{
 		"stale fence refused":       {true, []Order{{Op: OrderRole, Role: "x", Fence: 5}, {Op: OrderRole, Role: "y", Fence: 4}}, []int{202, 409}},
 		"stale fence ignored":       {false, []Order{{Op: OrderRole, Role: "x", Fence: 5}, {Op: OrderRole, Role: "y", Fence: 4}}, []int{202, 202}},
@@ -152,74 +152,74 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, url := start(t, func(c *Config) { c.ChecksFencing = tc.checks })
+			_, url := startEngine(t, func(c *Config) { c.ChecksFencing = tc.checksFencing })
 			for i, o := range tc.orders {
-				status, _ := call(t, "POST", url+"/orders", nil, o)
-				is.Equal(status, tc.want[i])
+				status, _ := sendRequest(t, "POST", url+"/orders", nil, o)
+				is.Equal(status, tc.wantStatus[i])
 			}
 		})
 	}
 }
 
-func TestLoadSwapsTheVersionAndClearsTheCache(t *testing.T) {
+func TestLoadChangesVersionAndClearsCache(t *testing.T) {
 	is := is.New(t)
-	e, url := start(t, nil)
+	e, url := startEngine(t, nil)
 	complete(t, url, "a", strings.Repeat("x", 64))
-	v, _ := e.order(Order{Op: OrderLoad, Model: "m", Version: "2"})
-	is.Equal(v, orderTaken)
-	events, _ := e.feed.wait(t.Context(), 1, time.Minute) // event 0 is the stored piece
+	status, _ := e.applyOrder(Order{Op: OrderLoad, Model: "m", Version: "2"})
+	is.Equal(status, orderAccepted)
+	events, _ := e.feed.longPoll(t.Context(), 1, time.Minute) // event 0 is the stored piece
 	is.Equal(events[0].Op, OpCleared)
 	is.Equal(e.State().Version, "2")
 	e.mu.Lock()
-	is.Equal(e.cache.order.Len(), 0)
+	is.Equal(e.cache.recency.Len(), 0)
 	e.mu.Unlock()
 	is.Equal(complete(t, url, "a", strings.Repeat("x", 64)).Usage.PromptTokensDetails.CachedTokens, 0)
 }
 
-// A router exports pieces on one engine and imports them on another, but the
-// other has restarted, serves other weights, or the account is another. Each
-// import is refused; only the right one is counted as cached.
-func TestImportChecksItsWholeScope(t *testing.T) {
+// A router imports exported pieces into an engine that has restarted or serves other
+// weights, or for another account. Only an import whose whole scope matches may make
+// the pieces count as cached.
+func TestImportChecksScope(t *testing.T) {
 	is := is.New(t)
-	e, url := start(t, nil)
+	e, url := startEngine(t, nil)
 	prompt := []byte(strings.Repeat("x", 64))
-	h := prefix.Chain(nil, prefix.Scope{Account: "a", Model: "m", Version: "1"}.Seed(), prompt, 64)
-	good := KV{Account: "a", Model: "m", Version: "1", Incarnation: e.incarnation, Pieces: []string{fmt.Sprintf("%016x", uint64(h[0]))}}
-	for _, spoil := range []func(*KV){
-		func(kv *KV) { kv.Account = "" },
-		func(kv *KV) { kv.Model = "n" },
-		func(kv *KV) { kv.Version = "0" },
-		func(kv *KV) { kv.Incarnation = "old" },
-		func(kv *KV) { kv.Pieces = []string{"zz"} },
+	chain := prefix.Chain(nil, prefix.Scope{Account: "a", Model: "m", Version: "1"}.Seed(), prompt, 64)
+	valid := CacheTransfer{Account: "a", Model: "m", Version: "1", Incarnation: e.incarnation, Pieces: []string{fmt.Sprintf("%016x", uint64(chain[0]))}}
+	for _, corrupt := range []func(*CacheTransfer){
+		func(transfer *CacheTransfer) { transfer.Account = "" },
+		func(transfer *CacheTransfer) { transfer.Model = "n" },
+		func(transfer *CacheTransfer) { transfer.Version = "0" },
+		func(transfer *CacheTransfer) { transfer.Incarnation = "old" },
+		func(transfer *CacheTransfer) { transfer.Pieces = []string{"zz"} },
 	} {
-		kv := good
-		spoil(&kv)
-		status, _ := call(t, "POST", url+"/kv/import", nil, kv)
+		transfer := valid
+		corrupt(&transfer)
+		status, _ := sendRequest(t, "POST", url+"/kv/import", nil, transfer)
 		is.Equal(status, http.StatusConflict)
 	}
-	other := good
-	other.Account = "b" // the chain is a's: it cannot help b
-	_, _ = call(t, "POST", url+"/kv/import", nil, other)
+	other := valid
+	other.Account = "b" // the hashes are those of account a, and match no prompt of b
+	_, _ = sendRequest(t, "POST", url+"/kv/import", nil, other)
 	is.Equal(complete(t, url, "b", string(prompt)).Usage.PromptTokensDetails.CachedTokens, 0)
-	status, _ := call(t, "POST", url+"/kv/import", nil, good)
+	status, _ := sendRequest(t, "POST", url+"/kv/import", nil, valid)
 	is.Equal(status, http.StatusNoContent)
 	is.Equal(complete(t, url, "a", string(prompt)).Usage.PromptTokensDetails.CachedTokens, 16)
 }
 
-func TestCrashMarkerEndsTheProcess(t *testing.T) {
+func TestCrashMarkerExitsProcess(t *testing.T) {
 	is := is.New(t)
 	exited := make(chan int, 1)
-	e, url := start(t, func(c *Config) { c.Exit = func(status int) { exited <- status } })
+	e, url := startEngine(t, func(c *Config) { c.Exit = func(status int) { exited <- status } })
 	is.True(e.Faults().Set(standin.Fault{Kind: FaultCrashOn, Marker: "boom"}))
 	complete(t, url, "a", "harmless")
 	is.Equal(len(exited), 0)
 	complete(t, url, "a", "goes boom now")
-	is.Equal(<-exited, crashStatus)
+	is.Equal(<-exited, crashExitStatus)
 }
 
-func TestEventsAreLateAndHaveGaps(t *testing.T) {
+func TestEventsAreDelayedAndSomeAreLost(t *testing.T) {
 	is := is.New(t)
-	f := newFeed(time.Second, 0.5, 1)
+	f := newEventFeed(time.Second, 0.5, 1)
 	now := time.Unix(0, 0)
 	for range 100 {
 		f.add(now, OpStored, []prefix.Hash{1})
@@ -231,16 +231,16 @@
 	is.True(len(late) > 20 && len(late) < 80)
 }
 
-func TestReportedLoadLags(t *testing.T) {
+func TestReportedLoadIsDelayedByLag(t *testing.T) {
 	is := is.New(t)
-	var h loadHistory
+	var history loadHistory
 	for ms := range int64(10) {
-		h.add(Load{AsOfMS: ms * 100}, 300*time.Millisecond)
+		history.add(Load{AsOfMS: ms * 100}, 300*time.Millisecond)
 	}
-	is.Equal(h.samples[0].AsOfMS, int64(600))
+	is.Equal(history.samples[0].AsOfMS, int64(600))
 }
 
-func TestQueueHonoursPriority(t *testing.T) {
+func TestQueueOrdersByPriorityThenArrival(t *testing.T) {
 	is := is.New(t)
 	q := newQueue()
 	for _, p := range []int{1, 5, 1, 9} {
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -9,21 +9,21 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// KV is what moves between engines: the names of cached pieces and the scope
-// they may be used in.
-type KV struct {
+// CacheTransfer is the body of an export or import of cached pieces: their hashes
+// and the scope in which they are valid.
+type CacheTransfer struct {
 	Account string `json:"account"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// Incarnation is the source's in an export's answer, and the importing
-	// engine's in an import: one meant for an earlier incarnation of it is
-	// refused.
+	// Incarnation is that of the exporting engine in the response to an export,
+	// and that of the importing engine in an import. An import that names an
+	// earlier incarnation is rejected.
 	Incarnation string   `json:"incarnation"`
 	Pieces      []string `json:"pieces"`
 }
 
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
-	var req KV
+	var req CacheTransfer
 	if !standin.ReadJSON(w, r, &req) {
 		return
 	}
@@ -32,18 +32,18 @@
 		account = r.Header.Get("X-Client-Account")
 	}
 	e.mu.Lock()
-	ans := KV{Account: account, Model: e.weights.model, Version: e.weights.version, Incarnation: e.incarnation, Pieces: []string{}}
+	resp := CacheTransfer{Account: account, Model: e.model.name, Version: e.model.version, Incarnation: e.incarnation, Pieces: []string{}}
 	for _, p := range req.Pieces {
-		if h, err := parseHash(p); err == nil && e.cache.has(account, h) {
-			ans.Pieces = append(ans.Pieces, p)
+		if h, err := parseHash(p); err == nil && e.cache.contains(account, h) {
+			resp.Pieces = append(resp.Pieces, p)
 		}
 	}
 	e.mu.Unlock()
-	standin.WriteJSON(w, http.StatusOK, ans)
+	standin.WriteJSON(w, http.StatusOK, resp)
 }
 
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
-	var req KV
+	var req CacheTransfer
 	if !standin.ReadJSON(w, r, &req) {
 		return
 	}
@@ -54,10 +54,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// importPieces caches the pieces, or returns why not.
-func (e *Engine) importPieces(kv KV) string {
-	chain := make([]prefix.Hash, 0, len(kv.Pieces))
-	for _, p := range kv.Pieces {
+// importPieces caches the pieces. If it rejects them, it returns an error code.
+func (e *Engine) importPieces(transfer CacheTransfer) string {
+	chain := make([]prefix.Hash, 0, len(transfer.Pieces))
+	for _, p := range transfer.Pieces {
 		h, err := parseHash(p)
 		if err != nil {
 			return "wrong_piece"
@@ -67,16 +67,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case kv.Account == "":
+	case transfer.Account == "":
 		return "wrong_account"
-	case kv.Model != e.weights.model:
+	case transfer.Model != e.model.name:
 		return "wrong_model"
-	case kv.Version != e.weights.version:
+	case transfer.Version != e.model.version:
 		return codeWrongVersion
-	case kv.Incarnation != e.incarnation:
+	case transfer.Incarnation != e.incarnation:
 		return "wrong_incarnation"
 	}
-	e.storeLocked(kv.Account, chain)
+	e.storeLocked(transfer.Account, chain)
 	return ""
 }
 
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// loadSample is how often the load is noted while its report lags.
-const loadSample = 20 * time.Millisecond
+// loadSampleInterval is the time between two samples of the load, which are taken
+// if its reports are delayed.
+const loadSampleInterval = 20 * time.Millisecond
 
-// Load is the answer to GET /load.
+// Load is the response to GET /load.
 type Load struct {
 	Incarnation         string `json:"incarnation"`
 	Model               string `json:"model"`
@@ -16,11 +17,11 @@
 	AsOfMS              int64  `json:"as_of_ms"`
 }
 
-// loadHistory is the samples not yet old enough to report, and the last one
-// that was.
+// loadHistory has the sample to report, which is the newest one that is at least as
+// old as the lag, or the first if none is, followed by the newer samples.
 type loadHistory struct{ samples []Load }
 
-// add notes a sample and drops those that no report needs any more.
+// add appends a sample and drops those older than the one to report.
 func (h *loadHistory) add(l Load, lag time.Duration) {
 	h.samples = append(h.samples, l)
 	for len(h.samples) > 1 && h.samples[1].AsOfMS <= l.AsOfMS-lag.Milliseconds() {
@@ -28,44 +29,44 @@
 	}
 }
 
-// loadNow is the load without lag.
-func (e *Engine) loadNow() Load {
+// currentLoad returns the load without a delay.
+func (e *Engine) currentLoad() Load {
 	waiting, tokens := e.queue.size()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Load{
 		Incarnation:         e.incarnation,
-		Model:               e.weights.model,
-		Version:             e.weights.version,
-		QueuedPrefillTokens: tokens + e.prefilling,
-		Running:             len(e.batch),
+		Model:               e.model.name,
+		Version:             e.model.version,
+		QueuedPrefillTokens: tokens + e.prefillingTokens,
+		Running:             len(e.batchSlots),
 		Waiting:             waiting,
 		AsOfMS:              time.Now().UnixMilli(),
 	}
 }
 
-// loadLoop notes samples until the engine closes.
-func (e *Engine) loadLoop() {
+// sampleLoadLoop samples the load until the engine is closed.
+func (e *Engine) sampleLoadLoop() {
 	for e.cfg.LoadReportLag > 0 && e.ctx.Err() == nil {
-		l := e.loadNow()
+		l := e.currentLoad()
 		e.mu.Lock()
-		e.loads.add(l, e.cfg.LoadReportLag)
+		e.loadReports.add(l, e.cfg.LoadReportLag)
 		e.mu.Unlock()
-		if e.sleep(e.ctx, loadSample) != nil {
+		if e.sleep(e.ctx, loadSampleInterval) != nil {
 			return
 		}
 	}
 }
 
-// Load is the load as reported, late by the lag.
+// Load returns the load as reported, which is delayed by LoadReportLag.
 func (e *Engine) Load() Load {
 	if e.cfg.LoadReportLag <= 0 {
-		return e.loadNow()
+		return e.currentLoad()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.loads.samples) == 0 {
-		return Load{Incarnation: e.incarnation, Model: e.weights.model, Version: e.weights.version}
+	if len(e.loadReports.samples) == 0 {
+		return Load{Incarnation: e.incarnation, Model: e.model.name, Version: e.model.version}
 	}
-	return e.loads.samples[0]
+	return e.loadReports.samples[0]
 }
--- a/internal/standin/engine/openai.go
+++ b/internal/standin/engine/openai.go
@@ -2,26 +2,26 @@
 
 import "strings"
 
-// Message is one chat message.
+// Message is a chat message.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Request is the body of a chat or text completion. Chat sets Messages, text
-// sets Prompt.
+// Request is the body of a chat completion request, with Messages, or a text
+// completion request, with Prompt.
 type Request struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages,omitempty"`
 	Prompt    string    `json:"prompt,omitempty"`
 	MaxTokens int       `json:"max_tokens,omitempty"`
-	// MaxCompletionTokens is the newer name of MaxTokens, and stands in
-	// for it when that is not set.
+	// MaxCompletionTokens is the newer name of MaxTokens, used if that is not
+	// set.
 	MaxCompletionTokens int  `json:"max_completion_tokens,omitempty"`
 	Stream              bool `json:"stream,omitempty"`
 }
 
-// PromptText is the text that pieces are cut from.
+// PromptText returns the text that is split into pieces and counted in tokens.
 func (r Request) PromptText() []byte {
 	if len(r.Messages) == 0 {
 		return []byte(r.Prompt)
@@ -33,7 +33,7 @@
 	return []byte(sb.String())
 }
 
-// Usage counts the tokens of one answer.
+// Usage counts the tokens of a request and its response.
 type Usage struct {
 	PromptTokens        int           `json:"prompt_tokens"`
 	CompletionTokens    int           `json:"completion_tokens"`
@@ -41,13 +41,13 @@
 	PromptTokensDetails PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails says how much of the prompt was found in the cache.
+// PromptDetails has the number of prompt tokens that were cached.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Choice is one alternative of an answer or a chunk. Chat chunks set Delta,
-// whole chat answers Message, text completions Text.
+// Choice is one alternative of a completion or a chunk. Chunks of chat completions
+// have Delta, complete chat completions Message, and text completions Text.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Delta   `json:"delta,omitempty"`
@@ -56,12 +56,12 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Delta is the text that a chat chunk adds.
+// Delta is the text that a chunk of a chat completion adds.
 type Delta struct {
 	Content string `json:"content"`
 }
 
-// Completion is a whole answer or one chunk of a stream.
+// Completion is a complete response or one chunk of a stream.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -70,7 +70,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Content is the text of the first choice.
+// Content returns the text of the first choice.
 func (c Completion) Content() string {
 	if len(c.Choices) == 0 {
 		return ""
--- a/internal/standin/engine/queue.go
+++ b/internal/standin/engine/queue.go
@@ -11,9 +11,10 @@
 	prompt   []byte
 	tokens   int
 	priority int
-	// wanted is the version the router counts on; empty takes any.
-	wanted  string
-	arrival uint64
+	// requiredVersion is the weights version that the router expects; empty
+	// accepts any.
+	requiredVersion string
+	arrival         uint64
 }
 
 type jobHeap []*job
@@ -34,30 +35,30 @@
 	return last
 }
 
-// queue hands out jobs by priority, then by arrival.
+// queue orders jobs by descending priority, then by arrival.
 type queue struct {
-	mu       sync.Mutex
-	ready    *sync.Cond
-	jobs     jobHeap
-	arrivals uint64
-	tokens   int
-	closed   bool
+	mu          sync.Mutex
+	nonEmpty    *sync.Cond
+	jobs        jobHeap
+	lastArrival uint64
+	tokens      int
+	closed      bool
 }
 
 func newQueue() *queue {
 	q := &queue{}
-	q.ready = sync.NewCond(&q.mu)
+	q.nonEmpty = sync.NewCond(&q.mu)
 	return q
 }
 
 func (q *queue) push(j *job) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.arrivals++
-	j.arrival = q.arrivals
+	q.lastArrival++
+	j.arrival = q.lastArrival
 	q.tokens += j.tokens
 	heap.Push(&q.jobs, j)
-	q.ready.Signal()
+	q.nonEmpty.Signal()
 }
 
 // close makes pop return nil.
@@ -65,15 +66,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.ready.Broadcast()
+	q.nonEmpty.Broadcast()
 }
 
-// pop waits for a job; nil after close.
+// pop removes and returns the first job, waiting until there is one. It returns nil
+// after close.
 func (q *queue) pop() *job {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for len(q.jobs) == 0 && !q.closed {
-		q.ready.Wait()
+		q.nonEmpty.Wait()
 	}
 	if q.closed {
 		return nil
@@ -83,7 +85,7 @@
 	return j
 }
 
-// size is the number of waiting jobs and their prompt tokens.
+// size returns the number of waiting jobs and the sum of their prompt tokens.
 func (q *queue) size() (jobs, tokens int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -12,14 +12,14 @@
 	"github.com/mastictray/mastictray/internal/standin"
 )
 
-// Error codes of the engine.
+// Error codes in responses.
 const (
 	codeWrongVersion  = "wrong_version"
 	codeUnknownStream = "unknown_stream"
 	codeStaleFence    = "stale_fence"
 )
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the protocol in docs/PROTOCOLS.md.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.handleCompletion(w, r, true) })
@@ -35,12 +35,13 @@
 	return e.withFaults(mux)
 }
 
-// withFaults serves /fault beside next, and holds back next while frozen.
+// withFaults serves POST /fault, and passes other requests to next, which it delays
+// while the freeze fault is active.
 func (e *Engine) withFaults(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", e.faults.Handler(func(f standin.Fault) {
 		if f.Kind == FaultKill {
-			e.cfg.Exit(crashStatus)
+			e.cfg.Exit(crashExitStatus)
 		}
 	}))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -63,17 +64,17 @@
 	}
 	e.submit(j)
 	if req.Stream {
-		e.relay(w, r, j.stream, 0)
+		e.streamEvents(w, r, j.stream, 0)
 		return
 	}
-	e.answerWhole(w, r, j.stream)
+	e.writeCompletion(w, r, j.stream)
 }
 
-// newJob reads the router's headers. It is not ok when the engine serves
-// another version than the router counts on.
+// newJob creates a job from a request and its headers. It returns false if the
+// engine does not serve the weights version that the router requires.
 func (e *Engine) newJob(r *http.Request, req Request, chat bool) (*job, bool) {
-	wanted := r.Header.Get("X-Weights-Version")
-	version, ok := e.serving(wanted)
+	requiredVersion := r.Header.Get("X-Weights-Version")
+	version, ok := e.servedVersion(requiredVersion)
 	if !ok {
 		return nil, false
 	}
@@ -86,79 +87,81 @@
 	s.incarnation, s.version = e.incarnation, version
 	priority, _ := strconv.Atoi(r.Header.Get("X-Priority"))
 	prompt := req.PromptText()
-	return &job{stream: s, prompt: prompt, tokens: CountTokens(prompt), priority: priority, wanted: wanted}, true
+	return &job{stream: s, prompt: prompt, tokens: CountTokens(prompt), priority: priority, requiredVersion: requiredVersion}, true
 }
 
-// answerWhole waits for the end of the stream and answers in one body.
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, s *stream) {
-	s.attach()
-	defer s.detach(e.cfg.ResumeGrace, func() { e.forget(s) })
+// writeCompletion waits for the end of the stream and writes a response that is not
+// streamed.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *stream) {
+	s.addReader()
+	defer s.removeReader(e.cfg.ResumeGrace, func() { e.removeStream(s) })
 	for seq := 0; ; {
-		v, err := s.wait(r.Context(), seq)
+		state, err := s.wait(r.Context(), seq)
 		if err != nil {
 			return
 		}
-		seq += len(v.events)
-		if !v.ended {
+		seq += len(state.events)
+		if !state.ended {
 			continue
 		}
 		switch {
-		case v.refused != "":
-			standin.WriteError(w, http.StatusConflict, v.refused)
-		case !v.complete:
+		case state.rejectCode != "":
+			standin.WriteError(w, http.StatusConflict, state.rejectCode)
+		case !state.complete:
 			standin.AbortConnection()
 		default:
-			e.setHeaders(w, s)
-			standin.WriteJSON(w, http.StatusOK, s.whole())
+			e.setStreamHeaders(w, s)
+			standin.WriteJSON(w, http.StatusOK, s.completion())
 		}
 		return
 	}
 }
 
-func (e *Engine) setHeaders(w http.ResponseWriter, s *stream) {
+func (e *Engine) setStreamHeaders(w http.ResponseWriter, s *stream) {
 	w.Header().Set("X-Request-Id", s.id)
 	w.Header().Set("X-Engine-Incarnation", s.incarnation)
 	w.Header().Set("X-Weights-Version", s.version)
 }
 
-// relay writes the stream's events from seq on as they appear. The headers
-// wait for the first event, so that a refusal can still be a status.
-func (e *Engine) relay(w http.ResponseWriter, r *http.Request, s *stream, seq int) {
-	s.attach()
-	defer s.detach(e.cfg.ResumeGrace, func() { e.forget(s) })
-	started := false
+// streamEvents writes the events of the stream as they are generated, starting at
+// seq. It writes the headers with the first event, so that a rejection before can
+// still set the status.
+func (e *Engine) streamEvents(w http.ResponseWriter, r *http.Request, s *stream, seq int) {
+	s.addReader()
+	defer s.removeReader(e.cfg.ResumeGrace, func() { e.removeStream(s) })
+	headersWritten := false
 	for {
-		v, err := s.wait(r.Context(), seq)
+		state, err := s.wait(r.Context(), seq)
 		if err != nil || e.faults.WaitWhile(r.Context(), FaultFreeze) != nil {
 			return
 		}
-		if !started && v.refused != "" {
-			standin.WriteError(w, http.StatusConflict, v.refused)
+		if !headersWritten && state.rejectCode != "" {
+			standin.WriteError(w, http.StatusConflict, state.rejectCode)
 			return
 		}
-		if !started && (len(v.events) > 0 || v.complete) {
-			e.startEvents(w, s)
-			started = true
+		if !headersWritten && (len(state.events) > 0 || state.complete) {
+			e.writeEventHeaders(w, s)
+			headersWritten = true
 		}
-		if seq, err = writeEvents(w, seq, v.events); err != nil {
+		if seq, err = writeEvents(w, seq, state.events); err != nil {
 			return
 		}
-		if v.ended && !v.complete {
+		if state.ended && !state.complete {
 			standin.AbortConnection()
 		}
-		if v.ended {
+		if state.ended {
 			return
 		}
 	}
 }
 
-func (e *Engine) startEvents(w http.ResponseWriter, s *stream) {
-	e.setHeaders(w, s)
+func (e *Engine) writeEventHeaders(w http.ResponseWriter, s *stream) {
+	e.setStreamHeaders(w, s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 }
 
-// writeEvents sends the events at once and returns the next sequence number.
+// writeEvents writes and flushes the events and returns the next sequence number.
 func writeEvents(w http.ResponseWriter, seq int, events [][]byte) (int, error) {
 	for _, data := range events {
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", seq, data); err != nil {
@@ -170,7 +173,7 @@
 }
 
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
-	s, ok := e.find(r.PathValue("attempt"))
+	s, ok := e.findStream(r.PathValue("attempt"))
 	if !ok {
 		standin.WriteError(w, http.StatusNotFound, codeUnknownStream)
 		return
@@ -179,32 +182,32 @@
 	if err != nil {
 		last = -1
 	}
-	e.relay(w, r, s, last+1)
+	e.streamEvents(w, r, s, last+1)
 }
 
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
-	s, ok := e.find(r.PathValue("attempt"))
+	s, ok := e.findStream(r.PathValue("attempt"))
 	if !ok {
 		standin.WriteError(w, http.StatusNotFound, codeUnknownStream)
 		return
 	}
-	e.forget(s)
+	e.removeStream(s)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	events, next := e.feed.wait(r.Context(), from, time.Duration(wait)*time.Millisecond)
+	events, next := e.feed.longPoll(r.Context(), from, time.Duration(wait)*time.Millisecond)
 	standin.WriteJSON(w, http.StatusOK, Events{Incarnation: e.incarnation, Next: next, Events: events})
 }
 
-type staleFence struct {
+type staleFenceResponse struct {
 	Error string `json:"error"`
 	Fence int64  `json:"fence"`
 }
 
-type orderAnswer struct {
+type orderResponse struct {
 	OrderID string `json:"order_id"`
 }
 
@@ -213,14 +216,14 @@
 	if !standin.ReadJSON(w, r, &o) {
 		return
 	}
-	v, fence := e.order(o)
-	switch v {
-	case orderStale:
-		standin.WriteJSON(w, http.StatusConflict, staleFence{Error: codeStaleFence, Fence: fence})
-	case orderDone:
-		standin.WriteJSON(w, http.StatusOK, orderAnswer{OrderID: o.OrderID})
-	case orderTaken:
-		standin.WriteJSON(w, http.StatusAccepted, orderAnswer{OrderID: o.OrderID})
+	status, fence := e.applyOrder(o)
+	switch status {
+	case orderStaleFence:
+		standin.WriteJSON(w, http.StatusConflict, staleFenceResponse{Error: codeStaleFence, Fence: fence})
+	case orderAlreadyApplied:
+		standin.WriteJSON(w, http.StatusOK, orderResponse{OrderID: o.OrderID})
+	case orderAccepted:
+		standin.WriteJSON(w, http.StatusAccepted, orderResponse{OrderID: o.OrderID})
 	default:
 		standin.WriteError(w, http.StatusBadRequest, "unknown_order")
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// doneData is the data of the event that ends each stream.
+// doneData is the data of the last event of a stream.
 const doneData = "[DONE]"
 
-// stream is one answer being generated. Its events are kept so that a reader
-// can come back for those it missed.
+// stream is a response that is being generated. It retains its events so that a
+// reader that reconnects can get those it missed.
 type stream struct {
 	id          string
 	account     string
@@ -24,9 +24,10 @@
 
 	mu     sync.Mutex
 	events [][]byte
-	// refused is the error code when the engine would not run it.
-	refused string
-	// ended says that no event follows, complete that the end marker came.
+	// rejectCode is the error code if the engine rejected the request.
+	rejectCode string
+	// ended is set when no more events follow, and complete if the last event is
+	// doneData.
 	ended    bool
 	complete bool
 	usage    Usage
@@ -40,8 +41,8 @@
 	return &stream{id: id, account: account, req: req, chat: chat, ctx: ctx, cancel: cancel, changed: make(chan struct{})}
 }
 
-// change runs f under the lock and wakes the readers.
-func (s *stream) change(f func()) {
+// update calls f with the lock held and wakes the waiting readers.
+func (s *stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -49,30 +50,30 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) refuse(code string) {
-	s.change(func() { s.refused, s.ended = code, true })
+func (s *stream) reject(code string) {
+	s.update(func() { s.rejectCode, s.ended = code, true })
 }
 
-// chunk appends one token.
-func (s *stream) chunk(text string) {
-	data := s.encode(text, nil, nil)
-	s.change(func() { s.events, s.text = append(s.events, data), s.text+text })
+// appendToken appends a chunk with one token.
+func (s *stream) appendToken(text string) {
+	data := s.encodeChunk(text, nil, nil)
+	s.update(func() { s.events, s.text = append(s.events, data), s.text+text })
 }
 
-// finish appends the chunk with the usage and the end marker.
+// finish appends the chunk with the usage and the event with doneData.
 func (s *stream) finish(u Usage) {
 	reason := "length"
-	data := s.encode("", &reason, &u)
-	s.change(func() {
+	data := s.encodeChunk("", &reason, &u)
+	s.update(func() {
 		s.events = append(s.events, data, []byte(doneData))
 		s.usage, s.ended, s.complete = u, true, true
 	})
 }
 
-// abort ends the stream without its end marker.
-func (s *stream) abort() { s.change(func() { s.ended = true }) }
+// abort ends the stream without the event with doneData.
+func (s *stream) abort() { s.update(func() { s.ended = true }) }
 
-func (s *stream) encode(text string, reason *string, u *Usage) []byte {
+func (s *stream) encodeChunk(text string, reason *string, u *Usage) []byte {
 	c := Completion{ID: "cmpl-" + s.id, Object: "text_completion", Model: s.req.Model, Usage: u}
 	choice := Choice{FinishReason: reason}
 	if s.chat {
@@ -82,12 +83,12 @@
 		choice.Text = text
 	}
 	c.Choices = []Choice{choice}
-	data, _ := json.Marshal(c) // plain strings and numbers always encode
+	data, _ := json.Marshal(c) // strings and numbers cannot fail to encode
 	return data
 }
 
-// whole is the answer to a request without streaming.
-func (s *stream) whole() Completion {
+// completion returns the response to a request without streaming.
+func (s *stream) completion() Completion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reason, u := "length", s.usage
@@ -103,20 +104,20 @@
 	return c
 }
 
-// view is what a reader sees of a stream at one moment.
-type view struct {
-	events   [][]byte
-	refused  string
-	ended    bool
-	complete bool
+// streamState is the state of a stream and the events that a reader has not read.
+type streamState struct {
+	events     [][]byte
+	rejectCode string
+	ended      bool
+	complete   bool
 }
 
-// wait returns the events from seq on once there are some or the stream has
-// ended. It fails when ctx ends first.
-func (s *stream) wait(ctx context.Context, seq int) (view, error) {
+// wait waits until there are events from seq on or the stream has ended, and
+// returns them. It returns an error if ctx ends first.
+func (s *stream) wait(ctx context.Context, seq int) (streamState, error) {
 	for {
 		s.mu.Lock()
-		v := view{refused: s.refused, ended: s.ended, complete: s.complete}
+		v := streamState{rejectCode: s.rejectCode, ended: s.ended, complete: s.complete}
 		if seq < len(s.events) {
 			v.events = s.events[seq:]
 		}
@@ -133,14 +134,14 @@
 	}
 }
 
-func (s *stream) attach() {
+func (s *stream) addReader() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers++
 }
 
-// detach calls gone after the grace time if no reader has come back.
-func (s *stream) detach(grace time.Duration, gone func()) {
+// removeReader calls onIdle after the grace period if the stream has no reader then.
+func (s *stream) removeReader(grace time.Duration, onIdle func()) {
 	s.mu.Lock()
 	s.readers--
 	s.mu.Unlock()
@@ -149,7 +150,7 @@
 		idle := s.readers == 0
 		s.mu.Unlock()
 		if idle {
-			gone()
+			onIdle()
 		}
 	})
 }
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -12,7 +12,7 @@
 	"github.com/mastictray/mastictray/internal/logline"
 )
 
-// Ops of orders.
+// Operations of orders.
 const (
 	OrderLoad    = "load"
 	OrderAdapter = "adapter"
@@ -26,133 +26,137 @@
 	Version string `json:"version"`
 	Adapter string `json:"adapter"`
 	Role    string `json:"role"`
-	// Fence is the fencing token of the lease the order was given under.
+	// Fence is the fencing token of the lease under which the order was issued.
 	Fence   int64  `json:"fence"`
 	OrderID string `json:"order_id"`
 }
 
-// State is the answer to GET /state.
+// State is the response to GET /state.
 type State struct {
 	Incarnation string   `json:"incarnation"`
 	Model       string   `json:"model"`
 	Version     string   `json:"version"`
 	Adapters    []string `json:"adapters"`
 	Role        string   `json:"role"`
-	// Loading is the version being loaded, or empty.
+	// Loading is the version that is being loaded; empty if none.
 	Loading string `json:"loading"`
 	Fence   int64  `json:"fence"`
 }
 
-// verdict is what becomes of an order.
-type verdict int
+// orderStatus is the outcome of an order.
+type orderStatus int
 
 const (
-	orderTaken verdict = iota
-	orderDone
-	orderStale
-	orderUnknown
+	orderAccepted orderStatus = iota
+	orderAlreadyApplied
+	orderStaleFence
+	orderInvalid
 )
 
-// weights is what the engine serves and what it is loading.
-type weights struct {
-	model    string
-	version  string
-	adapters []string
-	role     string
-	loading  string
-	fence    int64
+// modelState is the model that the engine serves and the weights that it loads.
+// fence is the highest fencing token seen.
+type modelState struct {
+	name           string
+	version        string
+	adapters       []string
+	role           string
+	loadingVersion string
+	fence          int64
 }
 
-// State is what the engine serves now.
+// State returns the model that the engine serves and the load in progress.
 func (e *Engine) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := e.weights
+	m := e.model
 	return State{
 		Incarnation: e.incarnation,
-		Model:       w.model,
-		Version:     w.version,
-		Adapters:    append([]string{}, w.adapters...),
-		Role:        w.role,
-		Loading:     w.loading,
-		Fence:       w.fence,
+		Model:       m.name,
+		Version:     m.version,
+		Adapters:    append([]string{}, m.adapters...),
+		Role:        m.role,
+		Loading:     m.loadingVersion,
+		Fence:       m.fence,
 	}
 }
 
-// serving returns the version in service, and whether it is the wanted one.
-func (e *Engine) serving(wanted string) (string, bool) {
+// servedVersion returns the version that the engine serves, and whether that is the
+// required one. Any version is if requiredVersion is empty.
+func (e *Engine) servedVersion(requiredVersion string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.weights.version, wanted == "" || wanted == e.weights.version
+	return e.model.version, requiredVersion == "" || requiredVersion == e.model.version
 }
 
-// order takes an order, and returns the fence it was held against.
-func (e *Engine) order(o Order) (verdict, int64) {
+// applyOrder executes an order or starts its execution. It returns the outcome and
+// the highest fencing token seen.
+func (e *Engine) applyOrder(o Order) (orderStatus, int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := &e.weights
-	if e.cfg.ChecksFencing && o.Fence < w.fence {
-		return orderStale, w.fence
+	m := &e.model
+	if e.cfg.ChecksFencing && o.Fence < m.fence {
+		return orderStaleFence, m.fence
 	}
-	w.fence = max(w.fence, o.Fence)
+	m.fence = max(m.fence, o.Fence)
 	switch o.Op {
 	case OrderLoad:
-		return e.orderLoadLocked(o), w.fence
+		return e.startLoadLocked(o), m.fence
 	case OrderAdapter:
-		if slices.Contains(w.adapters, o.Adapter) {
-			return orderDone, w.fence
+		if slices.Contains(m.adapters, o.Adapter) {
+			return orderAlreadyApplied, m.fence
 		}
-		w.adapters = append(w.adapters, o.Adapter)
+		m.adapters = append(m.adapters, o.Adapter)
 	case OrderRole:
-		if w.role == o.Role {
-			return orderDone, w.fence
+		if m.role == o.Role {
+			return orderAlreadyApplied, m.fence
 		}
-		w.role = o.Role
+		m.role = o.Role
 	default:
-		return orderUnknown, w.fence
+		return orderInvalid, m.fence
 	}
-	return orderTaken, w.fence
+	return orderAccepted, m.fence
 }
 
-func (e *Engine) orderLoadLocked(o Order) verdict {
-	w := &e.weights
+// startLoadLocked starts loading the weights that the order names. It requires e.mu.
+func (e *Engine) startLoadLocked(o Order) orderStatus {
+	m := &e.model
 	switch {
-	case o.Model != w.model:
-		return orderUnknown
-	case w.loading == o.Version:
-		return orderTaken
-	case w.loading == "" && w.version == o.Version:
-		return orderDone
+	case o.Model != m.name:
+		return orderInvalid
+	case m.loadingVersion == o.Version:
+		return orderAccepted
+	case m.loadingVersion == "" && m.version == o.Version:
+		return orderAlreadyApplied
 	}
-	w.loading = o.Version
-	go e.load(o.Version)
-	return orderTaken
+	m.loadingVersion = o.Version
+	go e.loadWeights(o.Version)
+	return orderAccepted
 }
 
-// load reads the weights and then serves them, unless a later order asked for
-// another version meanwhile. The old version serves until then.
-func (e *Engine) load(version string) {
-	err := e.fetch(version)
+// loadWeights loads a version and then serves it, unless a later order has requested
+// another version. The engine serves the old version during the load.
+func (e *Engine) loadWeights(version string) {
+	err := e.fetchWeights(version)
 	if err == nil {
 		err = e.sleep(e.ctx, e.cfg.WeightsLoadTime)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.weights.loading != version {
+	if e.model.loadingVersion != version {
 		return
 	}
-	e.weights.loading = ""
+	e.model.loadingVersion = ""
 	if err != nil {
-		logline.Error(err, "load failed", "version", version)
+		logline.Error(err, "weights_load_failed", "version", version)
 		return
 	}
-	e.weights.version = version
+	e.model.version = version
 	e.cache.clear()
 	e.feed.add(time.Now(), OpCleared, nil)
 }
 
-// fetch reads the weights from the store, when there is one.
-func (e *Engine) fetch(version string) error {
+// fetchWeights downloads the weights from the store, if one is configured.
+func (e *Engine) fetchWeights(version string) error {
 	if e.cfg.WeightsURL == "" {
 		return nil
 	}
