--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// rateHeadroom is an account's rate as a multiple of what it offers when
-	// it is not noisy, and burstSeconds its burst as time of that rate.
+	// rateHeadroom is the rate of an account as a multiple of its demand when it
+	// is not noisy.
 	rateHeadroom = 1.3
+	// burstSeconds is the burst of an account in seconds of its rate.
 	burstSeconds = 10
 )
 
-// admission is the product's rate limiter before the queues, as one bucket for
-// the whole fleet.
+// admission is the product's rate limiter before the queues. It has one token bucket
+// per account for all routers together.
 type admission struct {
-	f       *fleet
+	sim     *simulation
 	limiter *rate.Limiter
 }
 
-// newAdmission gives every account a rate above its usual demand; nil when the
-// case has no limits.
-func newAdmission(f *fleet, calls []*call) *admission {
-	if !f.c.Limited || len(calls) == 0 {
+// newAdmission sets the rate of each account above its usual demand. It returns nil
+// if the case has no rate limits.
+func newAdmission(sim *simulation, requests []*request) *admission {
+	if !sim.testCase.RateLimited || len(requests) == 0 {
 		return nil
 	}
 	tokens := 0.0
-	for _, c := range calls {
-		tokens += float64(c.tokens)
+	for _, req := range requests {
+		tokens += float64(req.tokens)
 	}
-	perCall := tokens / float64(len(calls))
-	a := &admission{f: f, limiter: rate.New(rate.DefaultSettings("experiment"))}
-	for _, acc := range f.w.Accounts {
-		r := rateHeadroom * f.w.Rate * acc.Share * perCall
-		a.limiter.SetAccount(0, acc.Name, r, r*burstSeconds)
+	tokensPerRequest := tokens / float64(len(requests))
+	a := &admission{sim: sim, limiter: rate.New(rate.DefaultSettings("experiment"))}
+	for _, account := range sim.workload.Accounts {
+		accountRate := rateHeadroom * sim.workload.RequestRate * account.Share * tokensPerRequest
+		a.limiter.SetAccount(0, account.Name, accountRate, accountRate*burstSeconds)
 	}
-	whole := rate.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
-	a.limiter.SetAllocations(0, []rate.Allocation{whole})
+	allocation := rate.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
+	a.limiter.SetAllocations(0, []rate.Allocation{allocation})
 	return a
 }
 
-// allows debits a call, or says that its account is over its rate.
-func (a *admission) allows(c *call) bool {
+// admit charges the request to its account. It returns false if the account is over
+// its rate. A nil admission admits everything.
+func (a *admission) admit(req *request) bool {
 	if a == nil {
 		return true
 	}
-	now := a.f.clock.now
-	o := a.limiter.Admit(now, a.f.w.Accounts[c.account].Name, float64(c.tokens), now)
-	if o.Waiting {
-		a.limiter.Cancel(a.f.w.Accounts[c.account].Name, o.Ticket)
+	now := a.sim.clock.now
+	outcome := a.limiter.Admit(now, a.sim.workload.Accounts[req.account].Name, float64(req.tokens), now)
+	if outcome.Waiting {
+		a.limiter.Cancel(a.sim.workload.Accounts[req.account].Name, outcome.Ticket)
 		return false
 	}
-	return o.Err == nil
+	return outcome.Err == nil
 }
--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// clock runs functions in order of simulated time.
+// clock is the event queue of the simulation. It runs functions in the order of
+// their simulated time, and those with the same time in the order of scheduling.
 type clock struct {
-	now   time.Duration
-	queue eventHeap
-	n     uint64
+	now     time.Duration
+	queue   eventHeap
+	lastSeq uint64
 }
 
 type event struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
 type eventHeap []event
@@ -40,15 +41,15 @@
 	return last
 }
 
-func (c *clock) after(d time.Duration, do func()) {
-	c.n++
-	heap.Push(&c.queue, event{at: c.now + d, seq: c.n, do: do})
+func (c *clock) after(d time.Duration, fn func()) {
+	c.lastSeq++
+	heap.Push(&c.queue, event{at: c.now + d, seq: c.lastSeq, run: fn})
 }
 
-func (c *clock) every(period time.Duration, do func()) {
-	c.after(period, func() {
-		do()
-		c.every(period, do)
+func (c *clock) every(interval time.Duration, fn func()) {
+	c.after(interval, func() {
+		fn()
+		c.every(interval, fn)
 	})
 }
 
@@ -56,7 +57,7 @@
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
 	c.now = end
 }
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,6 +1,6 @@
-// Package experiment compares routing policies on the same seeded trace. It
-// runs the product's own decision code (placement, cacheindex, fairqueue) against
-// engines that are reduced to a queue, a prefill rate and an LRU of pieces.
-// Links are a fixed delay. Time is simulated, so that a run gives the same
-// figures on any machine.
+// Package experiment compares routing policies in a discrete-event simulation. All
+// policies receive the same seeded trace of requests. The product's policy runs its
+// own decision code (packages dispatch, fairqueue, placement and cacheindex). An engine
+// is modelled by a queue, a prefill rate and an LRU cache of pieces, and a link by a
+// fixed delay. Since time is simulated, a run gives the same results on any machine.
 package experiment
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -8,122 +8,128 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// prefillOverhead is the fixed time of one prefill.
+// prefillOverhead is the time of a prefill in addition to that of its tokens.
 const prefillOverhead = 4 * time.Millisecond
 
-// job is one attempt at an engine. Exactly one of done and failed is called.
+// job is one attempt to run a request on an engine. Exactly one of onDone and
+// onFailed is called.
 type job struct {
-	call   *call
-	chain  []prefix.Hash
-	due    time.Duration
-	done   func(cached int)
-	failed func(late bool)
-	// uncached is the tokens to prefill, as known when it was queued.
-	uncached float64
+	request   *request
+	chain     []prefix.Hash
+	expiresAt time.Duration
+	onDone    func(cached int)
+	onFailed  func(late bool)
+	// uncachedTokens is the number of tokens that were not cached when the job
+	// was queued.
+	uncachedTokens float64
 }
 
-// engine is a queue, a prefill rate and an LRU of pieces.
+// engine models a model engine by a queue, a prefill rate and an LRU cache.
 type engine struct {
-	f       *fleet
-	index   int
-	name    string
-	domain  string
-	up      bool
-	version string
-	starts  int
-	cache   *lru
-	waiting []*job
-	running *job
-	ends    time.Duration
-	busy    time.Duration
-	// expected counts the accepted jobs that will leave a piece here.
-	expected map[prefix.Hash]int
-	// inbound is the uncached tokens that are on their way here.
-	inbound float64
-	// history is the cache events that a reader can still ask for.
-	history []cacheChange
+	sim          *simulation
+	index        int
+	name         string
+	domain       string
+	up           bool
+	version      string
+	incarnation  int
+	cache        *lru
+	queue        []*job
+	running      *job
+	runningUntil time.Duration
+	busyTime     time.Duration
+	// expectedPieces counts, for each piece, the jobs sent to this engine that will
+	// store it.
+	expectedPieces map[prefix.Hash]int
+	// inboundTokens is the number of uncached tokens of the jobs in transit to this
+	// engine.
+	inboundTokens float64
+	// retainedEvents has the cache events that a router can still request.
+	retainedEvents []cacheChange
 }
 
-func newEngine(f *fleet, i int) *engine {
-	e := &engine{f: f, index: i, name: fmt.Sprintf("engine-%02d", i), domain: f.w.Domains[i%len(f.w.Domains)], version: "v1"}
+func newEngine(sim *simulation, i int) *engine {
+	e := &engine{sim: sim, index: i, name: fmt.Sprintf("engine-%02d", i), domain: sim.workload.Domains[i%len(sim.workload.Domains)], version: "v1"}
 	e.start()
 	return e
 }
 
 func (e *engine) identity() cacheindex.Identity {
-	return cacheindex.Identity{Target: e.name, Incarnation: fmt.Sprint(e.starts), Version: e.version}
+	return cacheindex.Identity{Target: e.name, Incarnation: fmt.Sprint(e.incarnation), Version: e.version}
 }
 
 func (e *engine) start() {
-	e.starts++
+	e.incarnation++
 	e.up = true
-	e.history = nil
-	e.cache = newLRU(e.f.w.CachePieces)
-	e.expected = map[prefix.Hash]int{}
+	e.retainedEvents = nil
+	e.cache = newLRU(e.sim.workload.CachePieces)
+	e.expectedPieces = map[prefix.Hash]int{}
 }
 
-// stop ends the incarnation; all its jobs fail.
+// stop ends the incarnation of the engine. All its jobs fail.
 func (e *engine) stop() {
 	e.up = false
-	jobs := e.waiting
+	jobs := e.queue
 	if e.running != nil {
 		jobs = append(jobs, e.running)
 	}
-	e.waiting, e.running = nil, nil
+	e.queue, e.running = nil, nil
 	for _, j := range jobs {
-		j.failed(false)
+		j.onFailed(false)
 	}
 }
 
 func (e *engine) submit(j *job) {
 	if !e.up {
-		j.failed(false)
+		j.onFailed(false)
 		return
 	}
-	j.uncached = float64(j.call.tokens - e.cache.lead(j.chain)*e.f.w.PieceTokens)
-	e.waiting = append(e.waiting, j)
-	e.next()
+	j.uncachedTokens = float64(j.request.tokens - e.cache.prefixLen(j.chain)*e.sim.workload.PieceTokens)
+	e.queue = append(e.queue, j)
+	e.startNext()
 }
 
-// expect notes what a job will leave here, n being 1 when it is sent and -1
-// when it ends.
-func (e *engine) expect(chain []prefix.Hash, n int) {
+// addExpected adds delta to the expected pieces of a job's chain: 1 when the job is
+// sent and -1 when it ends.
+func (e *engine) addExpected(chain []prefix.Hash, delta int) {
 	for _, h := range chain {
-		if e.expected[h] += n; e.expected[h] <= 0 {
-			delete(e.expected, h)
+		if e.expectedPieces[h] += delta; e.expectedPieces[h] <= 0 {
+			delete(e.expectedPieces, h)
 		}
 	}
 }
 
-// coming is the number of leading pieces that are here or will be.
-func (e *engine) coming(chain []prefix.Hash) int {
+// expectedPrefixLen returns the number of leading pieces that are cached or
+// expected.
+func (e *engine) expectedPrefixLen(chain []prefix.Hash) int {
 	for i, h := range chain {
-		if e.cache.at[h] == nil && e.expected[h] == 0 {
+		if e.cache.entries[h] == nil && e.expectedPieces[h] == 0 {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// queued is the prompt tokens that wait to be prefilled.
-func (e *engine) queued() float64 {
+// queuedTokens returns the number of uncached tokens that are not yet prefilled.
+func (e *engine) queuedTokens() float64 {
 	sum := 0.0
-	for _, j := range e.waiting {
-		sum += j.uncached
+	for _, j := range e.queue {
+		sum += j.uncachedTokens
 	}
 	if e.running != nil {
-		sum += (e.ends - e.f.clock.now).Seconds() * e.f.w.PrefillRate
+		sum += (e.runningUntil - e.sim.clock.now).Seconds() * e.sim.workload.PrefillRate
 	}
 	return sum
 }
 
-// next starts the prefill of the first job that is not too late.
-func (e *engine) next() {
-	for e.running == nil && len(e.waiting) > 0 {
-		j := e.waiting[0]
-		e.waiting = e.waiting[1:]
-		if e.f.clock.now > j.due {
-			j.failed(true)
+// startNext starts the prefill of the first queued job whose deadline has not
+// passed, and fails the jobs before it.
+func (e *engine) startNext() {
+	for e.running == nil && len(e.queue) > 0 {
+		j := e.queue[0]
+		e.queue = e.queue[1:]
+		if e.sim.clock.now > j.expiresAt {
+			j.onFailed(true)
 			continue
 		}
 		e.prefill(j)
@@ -131,21 +137,21 @@
 }
 
 func (e *engine) prefill(j *job) {
-	cached := e.cache.lead(j.chain)
-	e.f.measure.prefilled(j.call, cached, e.f.bestElsewhere(e, j.chain))
-	uncached := float64(j.call.tokens - cached*e.f.w.PieceTokens)
-	d := prefillOverhead + time.Duration(uncached/e.f.w.PrefillRate*float64(time.Second))
-	e.running, e.ends = j, e.f.clock.now+d
-	e.busy += d
-	e.cache.use(j.chain[:cached])
-	e.f.clock.after(d, func() {
+	cachedPieces := e.cache.prefixLen(j.chain)
+	e.sim.metrics.recordPrefill(j.request, cachedPieces, e.sim.longestPrefixElsewhere(e, j.chain))
+	uncachedTokens := float64(j.request.tokens - cachedPieces*e.sim.workload.PieceTokens)
+	duration := prefillOverhead + time.Duration(uncachedTokens/e.sim.workload.PrefillRate*float64(time.Second))
+	e.running, e.runningUntil = j, e.sim.clock.now+duration
+	e.busyTime += duration
+	e.cache.touch(j.chain[:cachedPieces])
+	e.sim.clock.after(duration, func() {
 		if e.running != j {
 			return // the incarnation ended
 		}
 		e.running = nil
-		stored, evicted := e.cache.use(j.chain)
-		e.f.publish(e, cacheChange{e.f.clock.now, e.identity(), stored, evicted})
-		j.done(cached)
-		e.next()
+		stored, evicted := e.cache.touch(j.chain)
+		e.sim.publish(e, cacheChange{e.sim.clock.now, e.identity(), stored, evicted})
+		j.onDone(cachedPieces)
+		e.startNext()
 	})
 }
--- a/internal/experiment/lru.go
+++ b/internal/experiment/lru.go
@@ -6,43 +6,44 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// lru is an engine's limited prefix cache.
+// lru is the LRU prefix cache of an engine.
 type lru struct {
 	capacity int
-	order    *list.List // front is the newest
-	at       map[prefix.Hash]*list.Element
+	recency  *list.List // most recently used first
+	entries  map[prefix.Hash]*list.Element
 }
 
 func newLRU(capacity int) *lru {
-	return &lru{capacity: capacity, order: list.New(), at: map[prefix.Hash]*list.Element{}}
+	return &lru{capacity: capacity, recency: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// lead is the number of leading pieces held.
-func (l *lru) lead(chain []prefix.Hash) int {
+// prefixLen returns the number of leading pieces of the chain that are cached.
+func (l *lru) prefixLen(chain []prefix.Hash) int {
 	for i, h := range chain {
-		if l.at[h] == nil {
+		if l.entries[h] == nil {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// use makes the chain the newest, root first to go last, and returns the
-// pieces that were stored and evicted.
-func (l *lru) use(chain []prefix.Hash) (stored, evicted []prefix.Hash) {
+// touch marks the pieces of the chain as used, caching those that are missing, and
+// returns the stored and the evicted pieces. The first piece becomes the most
+// recently used, so that it is evicted after the pieces that depend on it.
+func (l *lru) touch(chain []prefix.Hash) (stored, evicted []prefix.Hash) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		h := chain[i]
-		if e := l.at[h]; e != nil {
-			l.order.MoveToFront(e)
+		if e := l.entries[h]; e != nil {
+			l.recency.MoveToFront(e)
 			continue
 		}
-		l.at[h] = l.order.PushFront(h)
+		l.entries[h] = l.recency.PushFront(h)
 		stored = append(stored, h)
 	}
-	for l.order.Len() > l.capacity {
-		back := l.order.Back()
-		h := l.order.Remove(back).(prefix.Hash)
-		delete(l.at, h)
+	for l.recency.Len() > l.capacity {
+		back := l.recency.Back()
+		h := l.recency.Remove(back).(prefix.Hash)
+		delete(l.entries, h)
 		evicted = append(evicted, h)
 	}
 	return stored, evicted
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -16,14 +16,15 @@
 	plotWidth  = 13 * vg.Inch
 	plotHeight = 4 * vg.Inch
 	barWidth   = 9
-	// headroom leaves space above the bars for the legend.
-	headroom = 1.4
+	// yAxisHeadroom scales the maximum of the y axis, to leave space above the bars
+	// for the legend.
+	yAxisHeadroom = 1.4
 )
 
-// chart is one measure drawn for every case and policy.
+// chart is a bar chart of one metric for every case and policy.
 type chart struct {
-	file, title string
-	value       func(Result) float64
+	fileName, title string
+	value           func(Result) float64
 }
 
 var charts = []chart{
@@ -36,16 +37,16 @@
 	}},
 }
 
-// WritePlots draws each measure of each workload as an SVG file in dir.
+// WritePlots writes an SVG file for each workload and metric to dir.
 func WritePlots(dir string, results []Result) error {
 	byWorkload := map[string][]Result{}
 	for _, r := range results {
 		byWorkload[r.Workload] = append(byWorkload[r.Workload], r)
 	}
-	for workload, list := range byWorkload {
+	for workload, group := range byWorkload {
 		for _, c := range charts {
-			name := filepath.Join(dir, fmt.Sprintf("%s-%s.svg", workload, c.file))
-			if err := c.draw(name, workload, list); err != nil {
+			name := filepath.Join(dir, fmt.Sprintf("%s-%s.svg", workload, c.fileName))
+			if err := c.draw(name, workload, group); err != nil {
 				return errors.Wrapf(err, "draw plot file=%s", name)
 			}
 		}
@@ -80,6 +81,6 @@
 		p.Legend.Add(policy, bars)
 	}
 	p.NominalX(labels...)
-	p.Y.Min, p.Y.Max = 0, headroom*p.Y.Max
+	p.Y.Min, p.Y.Max = 0, yAxisHeadroom*p.Y.Max
 	return p.Save(plotWidth, plotHeight, name)
 }
--- a/internal/experiment/policy_baseline.go
+++ b/internal/experiment/policy_baseline.go
@@ -8,104 +8,106 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// baseline sends each request at once to the engine that choose names.
+// baseline sends each request immediately to the engine that choose returns, and
+// refuses the request if that is negative.
 type baseline struct {
-	r           *router
-	choose      func(b *baseline, a *attempt) int
+	router      *router
+	choose      func(b *baseline, routed *routedRequest) int
 	outstanding []int
-	turn        int
+	lastEngine  int
 }
 
-func newBaseline(choose func(*baseline, *attempt) int) func(*router) policy {
+func newBaseline(choose func(*baseline, *routedRequest) int) func(*router) policy {
 	return func(r *router) policy {
-		return &baseline{r: r, choose: choose, outstanding: make([]int, len(r.up)), turn: r.rng.IntN(len(r.up))}
+		return &baseline{router: r, choose: choose, outstanding: make([]int, len(r.seenUp)), lastEngine: r.rng.IntN(len(r.seenUp))}
 	}
 }
 
-func (b *baseline) arrive(a *attempt) {
-	i := b.choose(b, a)
+func (b *baseline) handleRequest(routed *routedRequest) {
+	i := b.choose(b, routed)
 	if i < 0 {
-		b.r.refuse(a)
+		b.router.refuse(routed)
 		return
 	}
 	b.outstanding[i]++
-	b.r.send(i, a)
+	b.router.send(i, routed)
 }
 
-func (b *baseline) report(int, time.Duration, cacheindex.Identity, float64) {}
+func (b *baseline) handleLoadReport(int, time.Duration, cacheindex.Identity, float64) {}
 
-func (b *baseline) cacheEvent(cacheindex.Identity, []prefix.Hash, []prefix.Hash) {}
+func (b *baseline) handleCacheEvent(cacheindex.Identity, []prefix.Hash, []prefix.Hash) {}
 
-func (b *baseline) answered(e int, _ *attempt, _ int) { b.outstanding[e]-- }
+func (b *baseline) handleAnswer(e int, _ *routedRequest, _ int) { b.outstanding[e]-- }
 
-func (b *baseline) failed(e int, _ *attempt) { b.outstanding[e]-- }
+func (b *baseline) handleFailure(e int, _ *routedRequest) { b.outstanding[e]-- }
 
-// restart keeps the count of outstanding requests: the experiment's routers
-// keep their connections.
+// restart keeps the count of outstanding requests, since their connections survive a
+// simulated restart.
 func (b *baseline) restart() {}
 
-func roundRobin(b *baseline, _ *attempt) int {
-	for range b.r.up {
-		b.turn = (b.turn + 1) % len(b.r.up)
-		if b.r.usable(b.turn) {
-			return b.turn
+func roundRobin(b *baseline, _ *routedRequest) int {
+	for range b.router.seenUp {
+		b.lastEngine = (b.lastEngine + 1) % len(b.router.seenUp)
+		if b.router.usable(b.lastEngine) {
+			return b.lastEngine
 		}
 	}
 	return -1
 }
 
-func leastOutstanding(b *baseline, _ *attempt) int {
+func leastOutstanding(b *baseline, _ *routedRequest) int {
 	best := -1
-	start := b.r.rng.IntN(len(b.r.up))
-	for k := range b.r.up {
-		i := (start + k) % len(b.r.up)
-		if b.r.usable(i) && (best < 0 || b.outstanding[i] < b.outstanding[best]) {
+	start := b.router.rng.IntN(len(b.router.seenUp))
+	for k := range b.router.seenUp {
+		i := (start + k) % len(b.router.seenUp)
+		if b.router.usable(i) && (best < 0 || b.outstanding[i] < b.outstanding[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// loadBound is the part over the mean that one engine may hold under prefix
-// hash with bounded load.
-const loadBound = 1.25
+// loadBoundFactor limits the outstanding requests of an engine, as a multiple of the
+// mean, for prefix hashing with bounded load.
+const loadBoundFactor = 1.25
 
-// prefixHashBounded takes the first engine in rendezvous order of the prefix
-// that is within the load bound.
-func prefixHashBounded(b *baseline, a *attempt) int {
-	chain := a.call.chain(b.r.f.w, b.r.f.wanted)
+// prefixHashBounded returns the first engine below the load bound in the rendezvous
+// order of the prompt's prefix.
+func prefixHashBounded(b *baseline, routed *routedRequest) int {
+	chain := routed.request.chain(b.router.sim.workload, b.router.sim.wantedVersion)
 	n := min(len(chain), placement.DefaultOptions().AffinityPieces)
 	if n == 0 {
-		return leastOutstanding(b, a)
+		return leastOutstanding(b, routed)
 	}
 	sum, live := 1, 0
-	usable := make([]bool, len(b.r.up))
+	usable := make([]bool, len(b.router.seenUp))
 	for i := range usable {
-		if usable[i] = b.r.usable(i); usable[i] {
+		if usable[i] = b.router.usable(i); usable[i] {
 			sum += b.outstanding[i]
 			live++
 		}
 	}
-	bound := loadBound * float64(sum) / float64(max(1, live))
-	for _, i := range placement.RendezvousOrder(chain[n-1], b.r.f.names, usable) {
+	bound := loadBoundFactor * float64(sum) / float64(max(1, live))
+	for _, i := range placement.RendezvousOrder(chain[n-1], b.router.sim.engineNames, usable) {
 		if float64(b.outstanding[i]) < bound {
 			return i
 		}
 	}
-	return leastOutstanding(b, a)
+	return leastOutstanding(b, routed)
 }
 
-// oracle knows every cache and every queue at once, also what is on its way.
-func oracle(b *baseline, a *attempt) int {
-	f := b.r.f
-	chain := a.call.chain(f.w, f.wanted)
+// oracle returns the engine with the lowest cost. It knows the current state of every
+// cache and queue, including the requests in transit.
+func oracle(b *baseline, routed *routedRequest) int {
+	sim := b.router.sim
+	chain := routed.request.chain(sim.workload, sim.wantedVersion)
 	best, bestCost := -1, 0.0
-	for i, e := range f.engines {
-		if !e.up || e.version != f.wanted || !f.linked(b.r.domain, e.domain) {
+	for i, e := range sim.engines {
+		if !e.up || e.version != sim.wantedVersion || !sim.reachable(b.router.domain, e.domain) {
 			continue
 		}
-		missing := float64((len(chain) - e.coming(chain)) * f.w.PieceTokens)
-		cost := e.queued() + e.inbound + oracleRecomputeFactor*missing
+		missing := float64((len(chain) - e.expectedPrefixLen(chain)) * sim.workload.PieceTokens)
+		cost := e.queuedTokens() + e.inboundTokens + oracleRecomputeFactor*missing
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -113,6 +115,6 @@
 	return best
 }
 
-// oracleRecomputeFactor weighs a recomputed token against a waiting one; it
-// is the product's.
+// oracleRecomputeFactor is the cost of a recomputed token relative to that of a queued
+// token. It is the same as in the product.
 var oracleRecomputeFactor = placement.DefaultOptions().RecomputeFactor
--- a/internal/experiment/router.go
+++ b/internal/experiment/router.go
@@ -8,126 +8,128 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// maxAttempts bounds the engines tried for one request.
+// maxAttempts limits the attempts to run a request on an engine.
 const maxAttempts = 3
 
-// attempt is one request on its way through a router.
-type attempt struct {
-	call  *call
-	tries int
-	last  int
+// routedRequest is a request that a router is handling, and its attempts so far.
+type routedRequest struct {
+	request    *request
+	attempts   int
+	lastEngine int
 }
 
-// policy decides for one router.
+// policy makes the routing decisions of one router. Engines are identified by their
+// index.
 type policy interface {
-	// arrive takes a request; the policy calls router.send or router.refuse.
-	arrive(a *attempt)
-	// report takes a load report that was true at asOf.
-	report(e int, asOf time.Duration, id cacheindex.Identity, queued float64)
-	// cacheEvent takes a cache event.
-	cacheEvent(id cacheindex.Identity, stored, evicted []prefix.Hash)
-	// answered and failed end an attempt at an engine.
-	answered(e int, a *attempt, cached int)
-	failed(e int, a *attempt)
-	// restart loses everything that the router remembers.
+	// handleRequest handles a new or failed request by calling router.send or
+	// router.refuse, possibly later.
+	handleRequest(routed *routedRequest)
+	// handleLoadReport handles a load report that was accurate at asOf.
+	handleLoadReport(e int, asOf time.Duration, id cacheindex.Identity, queued float64)
+	// handleCacheEvent handles the pieces that an engine stored and evicted.
+	handleCacheEvent(id cacheindex.Identity, stored, evicted []prefix.Hash)
+	// handleAnswer and handleFailure handle the end of an attempt on an engine.
+	handleAnswer(e int, routed *routedRequest, cached int)
+	handleFailure(e int, routed *routedRequest)
+	// restart discards the state that a router loses when it restarts.
 	restart()
 }
 
-// router is the part of an entry instance that all policies share.
+// router models the part of an entry instance that does not depend on the policy.
 type router struct {
-	f      *fleet
+	sim    *simulation
 	index  int
 	domain string
 	rng    *rand.Rand
 	policy policy
-	// up and version are what this router has last seen of each engine.
-	up      []bool
-	version []string
+	// seenUp and seenVersion are the last known state of each engine.
+	seenUp      []bool
+	seenVersion []string
 }
 
-func newRouter(f *fleet, i int, seed uint64, mk func(*router) policy) *router {
-	r := &router{f: f, index: i, domain: f.w.Domains[i%len(f.w.Domains)], rng: rand.New(rand.NewPCG(seed, uint64(i)+10))}
-	for _, e := range f.engines {
-		r.up = append(r.up, true)
-		r.version = append(r.version, e.version)
+func newRouter(sim *simulation, i int, seed uint64, newPolicy func(*router) policy) *router {
+	r := &router{sim: sim, index: i, domain: sim.workload.Domains[i%len(sim.workload.Domains)], rng: rand.New(rand.NewPCG(seed, uint64(i)+10))}
+	for _, e := range sim.engines {
+		r.seenUp = append(r.seenUp, true)
+		r.seenVersion = append(r.seenVersion, e.version)
 	}
-	r.policy = mk(r)
-	offset := reportPeriod * time.Duration(i) / time.Duration(f.w.Routers)
-	f.clock.after(offset, func() { f.clock.every(reportPeriod, r.poll) })
+	r.policy = newPolicy(r)
+	offset := reportInterval * time.Duration(i) / time.Duration(sim.workload.Routers)
+	sim.clock.after(offset, func() { sim.clock.every(reportInterval, r.pollLoads) })
 	return r
 }
 
-// usable reports whether an engine can be sent to.
-func (r *router) usable(i int) bool { return r.up[i] && r.version[i] == r.f.wanted }
+// usable reports whether requests can be sent to an engine.
+func (r *router) usable(i int) bool { return r.seenUp[i] && r.seenVersion[i] == r.sim.wantedVersion }
 
-// poll asks every engine for its load.
-func (r *router) poll() {
-	asOf := r.f.clock.now
-	for i, e := range r.f.engines {
-		if !e.up || !r.f.linked(r.domain, e.domain) {
+// pollLoads requests a load report from every reachable engine.
+func (r *router) pollLoads() {
+	asOf := r.sim.clock.now
+	for i, e := range r.sim.engines {
+		if !e.up || !r.sim.reachable(r.domain, e.domain) {
 			continue
 		}
-		id, queued := e.identity(), e.queued()
-		r.f.clock.after(r.f.c.ReportLag, func() {
-			if !e.up || e.identity() != id || !r.f.linked(r.domain, e.domain) {
+		id, queued := e.identity(), e.queuedTokens()
+		r.sim.clock.after(r.sim.testCase.ReportLag, func() {
+			if !e.up || e.identity() != id || !r.sim.reachable(r.domain, e.domain) {
 				return
 			}
-			r.up[i], r.version[i] = true, id.Version
-			r.policy.report(i, asOf, id, queued)
+			r.seenUp[i], r.seenVersion[i] = true, id.Version
+			r.policy.handleLoadReport(i, asOf, id, queued)
 		})
 	}
 }
 
-// send gives an attempt to an engine.
-func (r *router) send(i int, a *attempt) {
-	e := r.f.engines[i]
-	d := r.f.delay(r.domain, e.domain)
-	due := a.call.at + a.call.deadline
-	a.last = i
-	j := &job{call: a.call, chain: a.call.chain(r.f.w, e.version), due: due}
-	sent := float64(a.call.tokens - e.coming(j.chain)*r.f.w.PieceTokens)
-	e.inbound += sent
-	e.expect(j.chain, 1)
-	j.done = func(cached int) {
-		e.expect(j.chain, -1)
-		r.f.clock.after(d, func() { r.answer(i, a, cached) })
+// send sends a request to an engine.
+func (r *router) send(i int, routed *routedRequest) {
+	e := r.sim.engines[i]
+	delay := r.sim.linkDelay(r.domain, e.domain)
+	expiresAt := routed.request.arrival + routed.request.deadline
+	routed.lastEngine = i
+	j := &job{request: routed.request, chain: routed.request.chain(r.sim.workload, e.version), expiresAt: expiresAt}
+	uncachedTokens := float64(routed.request.tokens - e.expectedPrefixLen(j.chain)*r.sim.workload.PieceTokens)
+	e.inboundTokens += uncachedTokens
+	e.addExpected(j.chain, 1)
+	j.onDone = func(cached int) {
+		e.addExpected(j.chain, -1)
+		r.sim.clock.after(delay, func() { r.completeAttempt(i, routed, cached) })
 	}
-	j.failed = func(late bool) {
-		e.expect(j.chain, -1)
-		r.f.clock.after(d, func() { r.fail(i, a, late) })
+	j.onFailed = func(late bool) {
+		e.addExpected(j.chain, -1)
+		r.sim.clock.after(delay, func() { r.failAttempt(i, routed, late) })
 	}
-	r.f.clock.after(d, func() {
-		e.inbound -= sent
-		if !r.f.linked(r.domain, e.domain) || e.version != r.f.wanted {
-			j.failed(false)
+	r.sim.clock.after(delay, func() {
+		e.inboundTokens -= uncachedTokens
+		if !r.sim.reachable(r.domain, e.domain) || e.version != r.sim.wantedVersion {
+			j.onFailed(false)
 			return
 		}
 		e.submit(j)
 	})
 }
 
-func (r *router) answer(i int, a *attempt, cached int) {
-	if !r.f.linked(r.domain, r.f.engines[i].domain) {
-		r.fail(i, a, false)
+func (r *router) completeAttempt(i int, routed *routedRequest, cached int) {
+	if !r.sim.reachable(r.domain, r.sim.engines[i].domain) {
+		r.failAttempt(i, routed, false)
 		return
 	}
-	r.policy.answered(i, a, cached)
-	r.f.measure.answered(a.call, r.f.clock.now)
+	r.policy.handleAnswer(i, routed, cached)
+	r.sim.metrics.recordAnswered(routed.request, r.sim.clock.now)
 }
 
-func (r *router) fail(i int, a *attempt, late bool) {
-	r.policy.failed(i, a)
+func (r *router) failAttempt(i int, routed *routedRequest, late bool) {
+	r.policy.handleFailure(i, routed)
 	if late {
-		r.f.measure.late(a.call)
+		r.sim.metrics.recordLate(routed.request)
 		return
 	}
-	r.up[i] = false
-	a.tries++
-	if a.tries >= maxAttempts {
-		r.f.measure.lost(a.call)
+	r.seenUp[i] = false
+	routed.attempts++
+	if routed.attempts >= maxAttempts {
+		r.sim.metrics.recordLost(routed.request)
 		return
 	}
-	r.policy.arrive(a)
+	r.policy.handleRequest(routed)
 }
 
-func (r *router) refuse(a *attempt) { r.f.measure.refused(a.call) }
+func (r *router) refuse(routed *routedRequest) { r.sim.metrics.recordRefused(routed.request) }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -8,54 +8,56 @@
 	"github.com/mastictray/mastictray/internal/placement"
 )
 
-// drain is the time after the last arrival in which answers are awaited.
-const drain = 30 * time.Second
+// drainTime is the simulated time after the last arrival in which requests can
+// complete.
+const drainTime = 30 * time.Second
 
-// Policy is one way of routing that is compared.
+// Policy is a routing policy to compare.
 type Policy struct {
-	Name string
-	make func(*router) policy
+	Name      string
+	newPolicy func(*router) policy
 }
 
-// Tuning is what can be varied from the command line.
+// Tuning has the options of the product's policy that the command line can change.
 type Tuning struct {
 	Placement placement.Options
 	Dispatch  dispatch.Options
-	// OwnDomain places requests in the router's failure domain only.
+	// OwnDomain restricts placement to the router's failure domain.
 	OwnDomain bool
 }
 
-// DefaultTuning is the product's.
+// DefaultTuning returns the default options of the product.
 func DefaultTuning() Tuning {
 	return Tuning{Placement: placement.DefaultOptions(), Dispatch: dispatch.DefaultOptions()}
 }
 
-// Policies are the baselines, the oracle and the product.
+// Policies returns the baselines, the oracle, and the product with the given options.
 func Policies(t Tuning) []Policy {
-	own := t
-	own.OwnDomain = true
+	ownDomain := t
+	ownDomain.OwnDomain = true
 	return []Policy{
 		{"round robin", newBaseline(roundRobin)},
 		{"least outstanding", newBaseline(leastOutstanding)},
 		{"prefix hash, bounded load", newBaseline(prefixHashBounded)},
 		{"oracle", newBaseline(oracle)},
-		{"mastictray", newProduct(t)},
-		{"mastictray, own domain", newProduct(own)},
+		{"mastictray", newProductPolicy(t)},
+		{"mastictray, own domain", newProductPolicy(ownDomain)},
 	}
 }
 
-// Run compares the policies on the same traces, one for each seed from 1 on.
+// Run runs the policies on the same traces, one for each seed from 1 to seeds, and
+// returns one result for each policy.
 func Run(w Workload, c Case, policies []Policy, seeds int) []Result {
-	totals := make([]*measure, len(policies))
+	totals := make([]*metrics, len(policies))
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
-		calls := makeTrace(&w, &c, seed)
+		requests := generateTrace(&w, &c, seed)
 		for i, p := range policies {
-			m := runOne(&w, &c, p, calls, seed)
+			m := runPolicy(&w, &c, p, requests, seed)
 			if totals[i] == nil {
 				totals[i] = m
 				continue
 			}
-			totals[i].add(m)
+			totals[i].merge(m)
 		}
 	}
 	var out []Result
@@ -65,45 +67,46 @@
 	return out
 }
 
-func runOne(w *Workload, c *Case, p Policy, calls []*call, seed uint64) *measure {
-	f := &fleet{w: w, c: c, clock: &clock{}, rng: rand.New(rand.NewPCG(seed, 2)), measure: newMeasure(w, c), wanted: "v1"}
+// runPolicy simulates one policy on one trace.
+func runPolicy(w *Workload, c *Case, p Policy, requests []*request, seed uint64) *metrics {
+	sim := &simulation{workload: w, testCase: c, clock: &clock{}, rng: rand.New(rand.NewPCG(seed, 2)), metrics: newMetrics(w, c), wantedVersion: "v1"}
 	for i := range w.Engines {
-		e := newEngine(f, i)
-		f.engines = append(f.engines, e)
-		f.names = append(f.names, e.name)
+		e := newEngine(sim, i)
+		sim.engines = append(sim.engines, e)
+		sim.engineNames = append(sim.engineNames, e.name)
 	}
 	for i := range w.Routers {
-		f.routers = append(f.routers, newRouter(f, i, seed, p.make))
+		sim.routers = append(sim.routers, newRouter(sim, i, seed, p.newPolicy))
 	}
-	f.schedule()
-	limits := newAdmission(f, calls)
-	for _, call := range calls {
-		f.clock.after(call.at, func() {
-			if !limits.allows(call) {
-				f.measure.refused(call)
+	sim.scheduleFaults()
+	limiter := newAdmission(sim, requests)
+	for _, req := range requests {
+		sim.clock.after(req.arrival, func() {
+			if !limiter.admit(req) {
+				sim.metrics.recordRefused(req)
 				return
 			}
-			f.routers[call.router].policy.arrive(&attempt{call: call, last: -1})
+			sim.routers[req.router].policy.handleRequest(&routedRequest{request: req, lastEngine: -1})
 		})
 	}
-	f.clock.runUntil(c.Length)
-	busy := time.Duration(0)
-	for _, e := range f.engines {
-		busy += e.busy
+	sim.clock.runUntil(c.Duration)
+	busyTime := time.Duration(0)
+	for _, e := range sim.engines {
+		busyTime += e.busyTime
 	}
-	f.measure.busy = busy.Seconds() / c.Length.Seconds() / float64(len(f.engines))
-	f.clock.runUntil(c.Length + drain)
-	return f.measure
+	sim.metrics.busyFraction = busyTime.Seconds() / c.Duration.Seconds() / float64(len(sim.engines))
+	sim.clock.runUntil(c.Duration + drainTime)
+	return sim.metrics
 }
 
-// Selection is what RunAll runs; empty names select everything.
+// Selection selects what RunAll runs. An empty name selects everything.
 type Selection struct {
 	Workload, Case, Policy string
 	Seeds                  int
 	Tuning                 Tuning
 }
 
-// RunAll compares the policies under the selected workloads and cases.
+// RunAll runs the selected policies in the selected workloads and cases.
 func RunAll(s Selection) []Result {
 	var out []Result
 	for _, w := range []Workload{Cantonal(), Charter()} {
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -7,27 +7,28 @@
 	"github.com/matryer/is"
 )
 
-func short(c Case) Case {
-	c.Length, c.Warmup = 20*time.Second, 5*time.Second
+func shorten(c Case) Case {
+	c.Duration, c.Warmup = 20*time.Second, 5*time.Second
 	return c
 }
 
-func TestRunIsRepeatable(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	policies := Policies(DefaultTuning())
-	is.Equal(Run(Cantonal(), short(steady()), policies, 1), Run(Cantonal(), short(steady()), policies, 1))
+	is.Equal(Run(Cantonal(), shorten(steadyCase()), policies, 1), Run(Cantonal(), shorten(steadyCase()), policies, 1))
 }
 
-// Engines crash, one after another, under load. Every request is answered,
-// refused, late or lost; one that vanished would flatter the policy.
-func TestEveryRequestIsCounted(t *testing.T) {
+// Engines crash one after another under load. Every request must be counted as
+// answered, refused, late or lost: a request that is not counted would improve the
+// results of the policy.
+func TestAllRequestsAreCounted(t *testing.T) {
 	is := is.New(t)
-	c := short(steady())
-	c.CrashEvery, c.Away, c.Restart = 5*time.Second, 2*time.Second, true
+	c := shorten(steadyCase())
+	c.CrashEvery, c.Downtime, c.RestartRouters = 5*time.Second, 2*time.Second, true
 	w := Charter()
 	want := 0
-	for _, call := range makeTrace(&w, &c, 1) {
-		if call.at >= c.Warmup {
+	for _, req := range generateTrace(&w, &c, 1) {
+		if req.arrival >= c.Warmup {
 			want++
 		}
 	}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the results as aligned text.
+// WriteTable writes the results as a table with aligned columns.
 func WriteTable(w io.Writer, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "workload\tcase\tpolicy\trequests\thit\twasted\tp50 ms\tp99 ms\tworst account p99 ms\trefused\tlate\tlost\tbusy\thit at restart\t")
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -10,13 +10,13 @@
 	"github.com/mastictray/mastictray/internal/prefix"
 )
 
-// contentBytes is the size of a piece's content in a trace: one number stands
-// for the text, so that the product's own hash chain can be run over it.
-const contentBytes = 8
+// contentBytesPerPiece is the size of a piece's content in a trace. One 64-bit number
+// represents the text of a piece, so that prefix.Chain can hash it.
+const contentBytesPerPiece = 8
 
-// call is one request of a trace.
-type call struct {
-	at       time.Duration
+// request is one request of a trace. Its deadline is relative to its arrival.
+type request struct {
+	arrival  time.Duration
 	account  int
 	priority int
 	deadline time.Duration
@@ -26,133 +26,135 @@
 	chains   map[string][]prefix.Hash
 }
 
-// chain is the hash chain of the call's prompt on a weights version.
-func (c *call) chain(w *Workload, version string) []prefix.Hash {
-	if got, ok := c.chains[version]; ok {
-		return got
+// chain returns the hash chain of the prompt for a weights version.
+func (r *request) chain(w *Workload, version string) []prefix.Hash {
+	if hashes, ok := r.chains[version]; ok {
+		return hashes
 	}
-	scope := prefix.Scope{Account: w.Accounts[c.account].Name, Model: "m", Version: version}
-	got := prefix.Chain(nil, scope.Seed(), c.content, contentBytes)
-	c.chains[version] = got
-	return got
+	scope := prefix.Scope{Account: w.Accounts[r.account].Name, Model: "m", Version: version}
+	hashes := prefix.Chain(nil, scope.Seed(), r.content, contentBytesPerPiece)
+	r.chains[version] = hashes
+	return hashes
 }
 
-// document is one dossier or trip log.
+// document is a dossier or trip log that requests include in their prompt.
 type document struct {
-	id     uint64
-	pieces int
-	asked  int
+	id           uint64
+	pieces       int
+	requestCount int
 }
 
-// generator draws the requests of one trace.
+// generator draws the requests of a trace. Its documents are indexed by account and
+// kind, and the cumulative Zipf weights by the number of documents.
 type generator struct {
-	w    *Workload
-	c    *Case
-	rng  *rand.Rand
-	docs map[[2]int][]*document
-	zipf map[int][]float64
-	next uint64
+	workload       *Workload
+	testCase       *Case
+	rng            *rand.Rand
+	documents      map[[2]int][]*document
+	cumulativeZipf map[int][]float64
+	lastDocumentID uint64
 }
 
-// makeTrace draws all requests up to end. The same seed gives the same trace.
-func makeTrace(w *Workload, c *Case, seed uint64) []*call {
-	g := &generator{w: w, c: c, rng: rand.New(rand.NewPCG(seed, 1)), docs: map[[2]int][]*document{}, zipf: map[int][]float64{}}
-	var calls []*call
+// generateTrace draws the requests of a case. The same seed gives the same trace.
+func generateTrace(w *Workload, c *Case, seed uint64) []*request {
+	g := &generator{workload: w, testCase: c, rng: rand.New(rand.NewPCG(seed, 1)), documents: map[[2]int][]*document{}, cumulativeZipf: map[int][]float64{}}
+	var requests []*request
 	shifted := false
 	for a := range w.Accounts {
-		// Each account has its own Poisson arrivals: what one does leaves the
-		// others' requests unchanged between cases.
+		// Each account has its own random source, so that a case that changes the
+		// requests of one account does not change those of the others.
 		g.rng = rand.New(rand.NewPCG(seed, uint64(a)+100))
 		shifted = false
-		for at := g.gap(a, 0); at < c.Length; at += g.gap(a, at) {
-			if c.ShiftAt > 0 && at >= c.ShiftAt && !shifted {
-				g.shift(a)
+		for at := g.nextInterarrival(a, 0); at < c.Duration; at += g.nextInterarrival(a, at) {
+			if c.PopularityShiftAt > 0 && at >= c.PopularityShiftAt && !shifted {
+				g.reversePopularity(a)
 				shifted = true
 			}
-			calls = append(calls, g.draw(a, at))
+			requests = append(requests, g.drawRequest(a, at))
 		}
 	}
-	sort.SliceStable(calls, func(i, j int) bool { return calls[i].at < calls[j].at })
-	return calls
+	sort.SliceStable(requests, func(i, j int) bool { return requests[i].arrival < requests[j].arrival })
+	return requests
 }
 
-// gap draws the time to an account's next request.
-func (g *generator) gap(account int, at time.Duration) time.Duration {
-	rate := g.w.Rate * g.w.Accounts[account].Share
-	if account == noisyAccount && at >= g.c.NoisyAt && g.c.NoisyFactor > 0 {
-		rate *= g.c.NoisyFactor
+// nextInterarrival draws the time until an account's next request. Arrivals are a
+// Poisson process.
+func (g *generator) nextInterarrival(account int, at time.Duration) time.Duration {
+	rate := g.workload.RequestRate * g.workload.Accounts[account].Share
+	if account == noisyAccount && at >= g.testCase.NoisyFrom && g.testCase.NoisyFactor > 0 {
+		rate *= g.testCase.NoisyFactor
 	}
-	if account == noisyAccount && g.c.NoisyAbsent {
-		return g.c.Length
+	if account == noisyAccount && g.testCase.ExcludeNoisy {
+		return g.testCase.Duration
 	}
 	return time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (g *generator) draw(account int, at time.Duration) *call {
-	k, kind := g.kind()
-	c := &call{
-		at: at, account: account, priority: kind.Priority, deadline: kind.Deadline,
-		router: g.rng.IntN(g.w.Routers), chains: map[string][]prefix.Hash{},
+func (g *generator) drawRequest(account int, at time.Duration) *request {
+	k, kind := g.drawKind()
+	req := &request{
+		arrival: at, account: account, priority: kind.Priority, deadline: kind.Deadline,
+		router: g.rng.IntN(g.workload.Routers), chains: map[string][]prefix.Hash{},
 	}
 	opening := uint64(account)<<8 | uint64(k) | 1<<40
 	for i := range kind.OpeningPieces {
-		c.content = binary.LittleEndian.AppendUint64(c.content, opening+uint64(i)<<20)
+		req.content = binary.LittleEndian.AppendUint64(req.content, opening+uint64(i)<<20)
 	}
 	if kind.Documents > 0 {
-		d := g.document(account, k, kind)
+		d := g.drawDocument(account, k, kind)
 		for i := range d.pieces {
-			c.content = binary.LittleEndian.AppendUint64(c.content, d.id<<8|uint64(i))
+			req.content = binary.LittleEndian.AppendUint64(req.content, d.id<<8|uint64(i))
 		}
-		d.asked++
+		d.requestCount++
 		if kind.GrowEvery > 0 && g.rng.IntN(kind.GrowEvery) == 0 && d.pieces < 2*kind.MaxPieces {
 			d.pieces++
 		}
 	}
-	c.tokens = len(c.content)/contentBytes*g.w.PieceTokens + kind.MinQuestion + g.rng.IntN(kind.MaxQuestion-kind.MinQuestion)
-	return c
+	req.tokens = len(req.content)/contentBytesPerPiece*g.workload.PieceTokens + kind.MinQuestion + g.rng.IntN(kind.MaxQuestion-kind.MinQuestion)
+	return req
 }
 
-func (g *generator) kind() (int, *Kind) {
+func (g *generator) drawKind() (int, *RequestKind) {
 	x := g.rng.Float64()
-	for k := range g.w.Kinds {
-		if x -= g.w.Kinds[k].Share; x < 0 {
-			return k, &g.w.Kinds[k]
+	for k := range g.workload.Kinds {
+		if x -= g.workload.Kinds[k].Share; x < 0 {
+			return k, &g.workload.Kinds[k]
 		}
 	}
-	return 0, &g.w.Kinds[0]
+	return 0, &g.workload.Kinds[0]
 }
 
-// document draws one of the account's documents by their heat.
-func (g *generator) document(account, k int, kind *Kind) *document {
-	docs := g.docs[[2]int{account, k}]
+// drawDocument draws one of the account's documents by popularity.
+func (g *generator) drawDocument(account, k int, kind *RequestKind) *document {
+	docs := g.documents[[2]int{account, k}]
 	if docs == nil {
 		docs = g.newDocuments(kind)
-		g.docs[[2]int{account, k}] = docs
+		g.documents[[2]int{account, k}] = docs
 	}
-	cum := g.zipf[kind.Documents]
-	if cum == nil {
+	cumulative := g.cumulativeZipf[kind.Documents]
+	if cumulative == nil {
 		sum := 0.0
 		for n := range kind.Documents {
 			sum += math.Pow(float64(n+1), -zipfExponent)
-			cum = append(cum, sum)
+			cumulative = append(cumulative, sum)
 		}
-		g.zipf[kind.Documents] = cum
+		g.cumulativeZipf[kind.Documents] = cumulative
 	}
-	return docs[sort.SearchFloat64s(cum, g.rng.Float64()*cum[len(cum)-1])]
+	return docs[sort.SearchFloat64s(cumulative, g.rng.Float64()*cumulative[len(cumulative)-1])]
 }
 
-func (g *generator) newDocuments(kind *Kind) []*document {
+func (g *generator) newDocuments(kind *RequestKind) []*document {
 	docs := make([]*document, kind.Documents)
 	for i := range docs {
-		g.next++
-		docs[i] = &document{id: g.next, pieces: kind.MinPieces + g.rng.IntN(kind.MaxPieces-kind.MinPieces+1)}
+		g.lastDocumentID++
+		docs[i] = &document{id: g.lastDocumentID, pieces: kind.MinPieces + g.rng.IntN(kind.MaxPieces-kind.MinPieces+1)}
 	}
 	return docs
 }
 
-// shift makes other documents hot: the heat order is turned around.
-func (g *generator) shift(account int) {
-	for key, docs := range g.docs {
+// reversePopularity reverses the order of the account's documents by popularity.
+func (g *generator) reversePopularity(account int) {
+	for key, docs := range g.documents {
 		if key[0] != account {
 			continue
 		}
