--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -117,19 +117,19 @@
 func (s *stream) wait(ctx context.Context, seq int) (streamState, error) {
 	for {
 		s.mu.Lock()
-		v := streamState{rejectCode: s.rejectCode, ended: s.ended, complete: s.complete}
+		state := streamState{rejectCode: s.rejectCode, ended: s.ended, complete: s.complete}
 		if seq < len(s.events) {
-			v.events = s.events[seq:]
+			state.events = s.events[seq:]
 		}
 		changed := s.changed
 		s.mu.Unlock()
-		if len(v.events) > 0 || v.ended {
-			return v, nil
+		if len(state.events) > 0 || state.ended {
+			return state, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return v, ctx.Err()
+			return state, ctx.Err()
 		}
 	}
 }
