--- a/internal/load/booking.go
+++ b/internal/load/booking.go
@@ -10,18 +10,18 @@
 
 // Booking is one non-idempotent request with the outcomes of its attempts.
 type Booking struct {
-	Key      string
-	Account  Account
-	Body     []byte
+	Key string
+	Account Account
+	Body []byte
 	Attempts []Attempt
 }
 
 // Attempt is the outcome of sending a booking once.
 type Attempt struct {
 	Outcome Outcome
-	Code    string
+	Code string
 	// Answer is the service's answer; it is set only if Outcome is ok.
-	Answer service.Answer
+	Answer service.Response
 }
 
 func newBooking(seed uint64, i int, account Account) Booking {
@@ -108,7 +108,7 @@
 func (b Booking) wrongAnswers() []string {
 	sum := sha256.Sum256(b.Body)
 	wantBodySHA256 := hex.EncodeToString(sum[:])
-	var first *service.Answer
+	var first *service.Response
 	var out []string
 	for _, a := range b.Attempts {
 		if a.Outcome != OutcomeOK {
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -21,7 +21,7 @@
 	// Index counts from 0. It is part of the question, so no two prompts are equal.
 	Index int
 	// At is the time since the start of the run.
-	At      time.Duration
+	At time.Duration
 	Account Account
 	Request engine.Request
 }
@@ -29,13 +29,13 @@
 // Generator produces the arrivals of a run. They depend only on the profile and
 // the seed.
 type Generator struct {
-	profile     Profile
-	seed        uint64
-	rng         *rand.Rand
-	zipf        *rand.Zipf
+	profile Profile
+	seed uint64
+	rng *rand.Rand
+	zipf *rand.Zipf
 	totalWeight float64
-	nextIndex   int
-	now         time.Duration
+	nextIndex int
+	now time.Duration
 	// texts caches openings and dossiers by name.
 	texts map[string]string
 }
@@ -82,9 +82,9 @@
 	body := g.cachedText(fmt.Sprintf("dossier %s %d", a.Name, dossier), pieces*p.PieceBytes-len(userRole)-1)
 	question := g.generateText(fmt.Sprintf("question %d", g.nextIndex), p.QuestionBytes)
 	return engine.Request{
-		Model:     p.Model,
+		Model: p.Model,
 		MaxTokens: p.MaxTokens,
-		Stream:    true,
+		Stream: true,
 		Messages: []engine.Message{
 			{Role: systemRole, Content: opening},
 			{Role: userRole, Content: body + question},
@@ -115,11 +115,11 @@
 // generateText returns a text of the given length that starts with its name. Texts
 // of different names differ.
 func (g *Generator) generateText(name string, bytes int) string {
-	words := engine.NewText(fmt.Appendf(nil, "%d %s", g.seed, name))
+	words := engine.NewTextGenerator(fmt.Appendf(nil, "%d %s", g.seed, name))
 	var sb strings.Builder
 	sb.WriteString(name)
 	for i := 0; sb.Len() < bytes; i++ {
-		sb.WriteString(words.Chunk(i))
+		sb.WriteString(words.TokenText(i))
 	}
 	return sb.String()[:bytes]
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -84,7 +84,7 @@
 // chunkEvent returns the event with the i-th token of a request, as the engine
 // sends it.
 func chunkEvent(req engine.Request, id string, i int) event {
-	c := engine.Completion{ID: id, Choices: []engine.Choice{{Delta: &engine.Delta{Content: engine.NewText(req.PromptText()).Chunk(i)}}}}
+	c := engine.Completion{ID: id, Choices: []engine.Choice{{Delta: &engine.Delta{Content: engine.NewTextGenerator(req.PromptText()).TokenText(i)}}}}
 	data, _ := json.Marshal(c)
 	return event{id: i, data: data}
 }
--- a/internal/load/streamcheck.go
+++ b/internal/load/streamcheck.go
@@ -34,17 +34,17 @@
 // with the one that the stand-in engine generates for the prompt, which detects
 // chunks that are lost, duplicated, out of order or from another request.
 type streamChecker struct {
-	expected   engine.Text
+	expected engine.TextGenerator
 	wantChunks int
-	events     int
-	chunks     int
-	id         string
-	usage      *engine.Usage
-	done       bool
+	events int
+	chunks int
+	id string
+	usage *engine.Usage
+	done bool
 }
 
 func newStreamChecker(req engine.Request) *streamChecker {
-	return &streamChecker{expected: engine.NewText(req.PromptText()), wantChunks: req.MaxTokens}
+	return &streamChecker{expected: engine.NewTextGenerator(req.PromptText()), wantChunks: req.MaxTokens}
 }
 
 // checkEvent checks the next event of the stream.
@@ -84,7 +84,7 @@
 	if text == "" {
 		return nil
 	}
-	if want := c.expected.Chunk(c.chunks); text != want {
+	if want := c.expected.TokenText(c.chunks); text != want {
 		return errors.Wrapf(ErrViolation, "chunk %d is %q, want %q", c.chunks, text, want)
 	}
 	c.chunks++
--- a/internal/wholepath/stream_test.go
+++ b/internal/wholepath/stream_test.go
@@ -41,7 +41,7 @@
 
 // expectedText returns the first n tokens that the engines generate for a prompt.
 func expectedText(prompt string, n int) string {
-	return engine.NewText([]byte("user\n" + prompt + "\n")).First(n)
+	return engine.NewTextGenerator([]byte("user\n" + prompt + "\n")).FirstTokens(n)
 }
 
 // checkStreams sends n prompts concurrently through all entries, calls during while
