--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -37,7 +37,7 @@
 	ClaimKeys float64
 }
 
-// Messages a request, by BenchmarkWrongfulRefusals of internal/rate with all
+// Messages a request, by BenchmarkWrongfulRefusals of internal/ratelease with all
 // links up: one hour of demand at 95% of the rate, 80% of it at one of six
 // instances. Demand that waits for the limit at its caller takes more.
 const (
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/placement"
 	"github.com/mastictray/mastictray/internal/poison"
 	"github.com/mastictray/mastictray/internal/prefix"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 // maxAttempts bounds the targets tried for one request.
@@ -30,7 +30,7 @@
 	print    poison.Fingerprint
 	printed  bool
 	cost     float64
-	reserved rate.Reservation
+	reserved ratelease.Reservation
 	usage    openai.Usage
 	// buf is reused for the events of the answer.
 	buf []byte
@@ -92,18 +92,18 @@
 }
 
 // admit debits the account's rate.
-func (s *server) admit(c *call, cost float64, into *rate.Reservation) error {
+func (s *server) admit(c *call, cost float64, into *ratelease.Reservation) error {
 	o := s.rates.admit(c.r.Context(), c.account.Name, cost, c.due)
 	if o.Err == nil {
 		*into = o.Reservation
 		return nil
 	}
 	switch {
-	case errors.Is(o.Err, rate.ErrTooLarge):
+	case errors.Is(o.Err, ratelease.ErrTooLarge):
 		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more than the account's whole burst", 0)
-	case errors.Is(o.Err, rate.ErrTooManyWaiting):
+	case errors.Is(o.Err, ratelease.ErrTooManyWaiting):
 		return refusal(http.StatusTooManyRequests, openai.CodeOverloaded, "too many requests of the account are waiting", time.Second)
-	case errors.Is(o.Err, rate.ErrOverRate):
+	case errors.Is(o.Err, ratelease.ErrOverRate):
 		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(o.RetryAfter, time.Second))
 	default:
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "the request could not be admitted", time.Second)
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/logline"
 	"github.com/mastictray/mastictray/internal/logrec"
 	"github.com/mastictray/mastictray/internal/platform"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 			slotGrants = append(slotGrants, g)
 		}
 	}
-	d.limiter.SetAllocations(now, rate.AllocationsOf(slotGrants, d.fleet.slots(), floorFraction))
+	d.limiter.SetAllocations(now, ratelease.AllocationsOf(slotGrants, d.fleet.slots(), floorFraction))
 }
 
 // appendRecord appends a lease record and passes the result to the holder.
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -10,7 +10,7 @@
 	"github.com/mastictray/mastictray/internal/logrec"
 	"github.com/mastictray/mastictray/internal/peer"
 	"github.com/mastictray/mastictray/internal/platform"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
@@ -43,8 +43,8 @@
 
 	mu             sync.Mutex
 	holder         *lease.Holder
-	limiter        *rate.Limiter
-	waiters        map[rate.Ticket]chan rate.Outcome
+	limiter        *ratelease.Limiter
+	waiters        map[ratelease.Ticket]chan ratelease.Outcome
 	accounts       map[string]bool // those that the limiter has
 	peers          []wire.Identity
 	peerShares     map[string]float64       // by address: the share that the peer reports to mint
@@ -70,8 +70,8 @@
 		log:         log,
 		fleet:       f,
 		holder:      lease.NewHolder(lease.DefaultSettings(member, wanted)),
-		limiter:     rate.New(rate.DefaultSettings(self.Incarnation)),
-		waiters:     make(map[rate.Ticket]chan rate.Outcome),
+		limiter:     ratelease.New(ratelease.DefaultSettings(self.Incarnation)),
+		waiters:     make(map[ratelease.Ticket]chan ratelease.Outcome),
 		accounts:    make(map[string]bool),
 		peerShares:  make(map[string]float64),
 		heartbeatAt: make(map[string]time.Duration),
@@ -112,14 +112,14 @@
 
 // admit debits the cost of a request. If tokens are missing it waits for them, at
 // most until the deadline.
-func (d *rateDriver) admit(ctx context.Context, account string, cost float64, deadline time.Duration) rate.Outcome {
+func (d *rateDriver) admit(ctx context.Context, account string, cost float64, deadline time.Duration) ratelease.Outcome {
 	d.mu.Lock()
 	o := d.limiter.Admit(d.clock.now(), account, cost, deadline)
 	if !o.Waiting {
 		d.mu.Unlock()
 		return o
 	}
-	ch := make(chan rate.Outcome, 1)
+	ch := make(chan ratelease.Outcome, 1)
 	d.waiters[o.Ticket] = ch
 	d.mu.Unlock()
 	d.wake.notify()
@@ -133,30 +133,30 @@
 
 // cancelWait removes the waiting request of a caller that disconnected. Tokens that
 // were debited for it in the meantime are returned.
-func (d *rateDriver) cancelWait(account string, t rate.Ticket, cause error) rate.Outcome {
+func (d *rateDriver) cancelWait(account string, t ratelease.Ticket, cause error) ratelease.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ch := d.waiters[t]; ch == nil {
-		return rate.Outcome{Err: cause}
+		return ratelease.Outcome{Err: cause}
 	} else if len(ch) > 0 {
 		o := <-ch
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
 	}
 	delete(d.waiters, t)
 	d.limiter.Cancel(account, t)
-	return rate.Outcome{Err: cause}
+	return ratelease.Outcome{Err: cause}
 }
 
 // reservationValid reports whether a request may still be dispatched on its
 // reservation. It is called right before the dispatch.
-func (d *rateDriver) reservationValid(r rate.Reservation) bool {
+func (d *rateDriver) reservationValid(r ratelease.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Confirm(d.clock.now(), r)
 }
 
 // settle ends a reservation. used is the number of tokens that the request cost.
-func (d *rateDriver) settle(r *rate.Reservation, used float64) {
+func (d *rateDriver) settle(r *ratelease.Reservation, used float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limiter.Settle(d.clock.now(), r, used)
@@ -164,7 +164,7 @@
 
 // deliver passes a decision to the request that waits for it. If that request is
 // gone, its tokens are returned. The caller holds mu.
-func (d *rateDriver) deliver(o rate.Outcome) {
+func (d *rateDriver) deliver(o ratelease.Outcome) {
 	ch := d.waiters[o.Ticket]
 	if ch == nil {
 		d.limiter.Settle(d.clock.now(), &o.Reservation, 0)
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
@@ -37,16 +37,16 @@
 // With the log alone, an instance that starts during an outage of the log would
 // know no peer to ask. The caller holds mu.
 func (d *rateDriver) updatePeers() {
-	list := make([]rate.Peer, 0, len(d.peers))
+	list := make([]ratelease.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
 	for _, domain := range d.fleet.domains {
-		factors[domain] = rate.FactorsOf(d.holder.Table(), domain, len(d.fleet.domains))
+		factors[domain] = ratelease.FactorsOf(d.holder.Table(), domain, len(d.fleet.domains))
 	}
 	for _, p := range d.peers {
-		list = append(list, rate.Peer{
+		list = append(list, ratelease.Peer{
 			ID:         p.Address,
 			SameDomain: p.Domain == d.node.Self().Domain,
-			Share:      max(rate.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.peerShares[p.Address]),
+			Share:      max(ratelease.ShareOf(d.holder.Table(), p.Incarnation, d.fleet.slots()), d.peerShares[p.Address]),
 			Factors:    factors[p.Domain],
 		})
 	}
@@ -54,7 +54,7 @@
 }
 
 // requestTokens asks a peer for tokens.
-func (d *rateDriver) requestTokens(ctx context.Context, req rate.Ask) {
+func (d *rateDriver) requestTokens(ctx context.Context, req ratelease.Ask) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	var grant wire.RateGrant
@@ -70,7 +70,7 @@
 }
 
 // returnTokens tells a peer what became of the tokens that it granted.
-func (d *rateDriver) returnTokens(ctx context.Context, r rate.Return) {
+func (d *rateDriver) returnTokens(ctx context.Context, r ratelease.Return) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	_ = d.node.Send(ctx, r.Peer, wire.KindRateReturn, r.Body)
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/logline"
 	"github.com/mastictray/mastictray/internal/openai"
 	"github.com/mastictray/mastictray/internal/overload"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 // forwardedHeaders go from a caller to a plain service. Everything else stays
@@ -33,7 +33,7 @@
 func (s *server) serveService(c *call, route config.Route, pool config.Pool) error {
 	c.route = route
 	c.due = c.began + route.Deadline
-	var reserved rate.Reservation
+	var reserved ratelease.Reservation
 	if err := s.admit(c, route.CostTokens, &reserved); err != nil {
 		return err
 	}
--- a/internal/entry/splitdriver.go
+++ b/internal/entry/splitdriver.go
@@ -6,7 +6,7 @@
 
 	"github.com/mastictray/mastictray/internal/lease"
 	"github.com/mastictray/mastictray/internal/logline"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 const (
@@ -27,7 +27,7 @@
 		return
 	}
 	d.splitVersion = v
-	d.limiter.SetFactors(now, rate.FactorsOf(d.holder.Table(), d.node.Self().Domain, len(d.fleet.domains)))
+	d.limiter.SetFactors(now, ratelease.FactorsOf(d.holder.Table(), d.node.Self().Domain, len(d.fleet.domains)))
 	d.updatePeers()
 }
 
@@ -66,5 +66,5 @@
 			return lease.Split{}
 		}
 	}
-	return rate.PlanSplit(d.holder.Table(), d.fleet.domains, d.limiter.DomainDemand(now, ownDomain, domainOf))
+	return ratelease.PlanSplit(d.holder.Table(), d.fleet.domains, d.limiter.DomainDemand(now, ownDomain, domainOf))
 }
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 const (
@@ -18,7 +18,7 @@
 // the whole fleet.
 type admission struct {
 	f       *fleet
-	limiter *rate.Limiter
+	limiter *ratelease.Limiter
 }
 
 // newAdmission gives every account a rate above its usual demand; nil when the
@@ -32,13 +32,13 @@
 		tokens += float64(c.tokens)
 	}
 	perCall := tokens / float64(len(calls))
-	a := &admission{f: f, limiter: rate.New(rate.DefaultSettings("experiment"))}
+	a := &admission{f: f, limiter: ratelease.New(ratelease.DefaultSettings("experiment"))}
 	for _, acc := range f.w.Accounts {
 		r := rateHeadroom * f.w.Rate * acc.Share * perCall
 		a.limiter.SetAccount(0, acc.Name, r, r*burstSeconds)
 	}
-	whole := rate.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
-	a.limiter.SetAllocations(0, []rate.Allocation{whole})
+	whole := ratelease.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
+	a.limiter.SetAllocations(0, []ratelease.Allocation{whole})
 	return a
 }
 
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/mastictray/mastictray/internal/directory"
-	"github.com/mastictray/mastictray/internal/quota"
+	"github.com/mastictray/mastictray/internal/ratecount"
 	"github.com/mastictray/mastictray/internal/replica"
 	"github.com/mastictray/mastictray/internal/routing"
 	"github.com/mastictray/mastictray/internal/wire"
@@ -58,11 +58,11 @@
 
 // applyPeerChanges applies changes that other instances have published.
 func (g *Gateway) applyPeerChanges(now time.Duration, changes []replica.Change) {
-	reports := make([]quota.Report, 0, len(changes))
+	reports := make([]ratecount.Report, 0, len(changes))
 	g.mu.Lock()
 	for i := range changes {
 		c := &changes[i]
-		reports = append(reports, quota.Report{Incarnation: c.Identity.Incarnation, At: c.At, Spent: c.Spent})
+		reports = append(reports, ratecount.Report{Incarnation: c.Identity.Incarnation, At: c.At, Spent: c.Spent})
 		for _, e := range c.Events {
 			if e.CrashFingerprint != 0 {
 				g.crashes.add(now, e.CrashFingerprint)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,7 +18,7 @@
 	"github.com/mastictray/mastictray/internal/logline"
 	"github.com/mastictray/mastictray/internal/orderlease"
 	"github.com/mastictray/mastictray/internal/overload"
-	"github.com/mastictray/mastictray/internal/quota"
+	"github.com/mastictray/mastictray/internal/ratecount"
 	"github.com/mastictray/mastictray/internal/routing"
 	"github.com/mastictray/mastictray/internal/targetconn"
 	"github.com/mastictray/mastictray/internal/weights"
@@ -49,7 +49,7 @@
 	versions map[string]*namedVersions
 	// oldestServing is the oldest weights version that may serve, by service and model.
 	oldestServing map[string]int64
-	quota         *quota.Limiter
+	quota         *ratecount.Limiter
 	directory     *directory.Directory
 	registrations registrationState
 	engines       map[string]*enginePool
@@ -106,7 +106,7 @@
 		contacts:         keys.NewContactTracker(s.Domain),
 		versions:         map[string]*namedVersions{},
 		oldestServing:    map[string]int64{},
-		quota:            quota.New(),
+		quota:            ratecount.New(),
 		directory:        directory.New(),
 		operatorsOffset:  unreadOffset,
 		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
@@ -117,7 +117,7 @@
 		planner:          weights.New(weights.DefaultSettings()),
 		rolloutIdleSince: never,
 	}
-	g.quota.SetFleetSize(0, unknownFleetSize, quota.PeerTimeout)
+	g.quota.SetFleetSize(0, unknownFleetSize, ratecount.PeerTimeout)
 	leaseSettings := orderlease.DefaultSettings()
 	leaseSettings.HandoverGap = s.LeaseGap
 	g.lease = &sharedLease{lease: orderlease.New(g.self.Incarnation, leaseSettings).WithInstance(g.self.Instance)}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/mastictray/mastictray/internal/logline"
-	"github.com/mastictray/mastictray/internal/quota"
+	"github.com/mastictray/mastictray/internal/ratecount"
 	"github.com/mastictray/mastictray/internal/routing"
 )
 
@@ -357,10 +357,10 @@
 }
 
 // accountLimits returns the rate limits of a configuration's accounts.
-func accountLimits(c *routing.Config) map[string]quota.Limit {
-	limits := make(map[string]quota.Limit, len(c.Accounts))
+func accountLimits(c *routing.Config) map[string]ratecount.Limit {
+	limits := make(map[string]ratecount.Limit, len(c.Accounts))
 	for _, a := range c.Accounts {
-		limits[a.Name] = quota.Limit{Rate: a.Rate, Burst: a.Burst}
+		limits[a.Name] = ratecount.Limit{Rate: a.Rate, Burst: a.Burst}
 	}
 	return limits
 }
--- a/internal/quota/quota.go
+++ b/internal/ratecount/quota.go
@@ -1,4 +1,4 @@
-// Package quota keeps client accounts within their rate and burst over the whole
+// Package ratecount keeps client accounts within their rate and burst over the whole
 // fleet by exchanging usage counts between instances.
 //
 // Each instance counts the tokens that it admits and reports the counts to its
@@ -15,12 +15,12 @@
 // in proportion to the account's recent spending here and elsewhere, plus one
 // request; while the account is not depleted the multiple is larger, since
 // requests arrive unevenly. Overspending leaves a negative balance, which is
-// refilled before anything else is admitted. Leases of mint slots (package rate)
+// refilled before anything else is admitted. Leases of mint slots (package ratelease)
 // allow no overspending but need the log every few seconds; usage counts never
 // need it.
 //
 // The package does no I/O and reads no clock.
-package quota
+package ratecount
 
 import (
 	"math"
--- a/internal/quota/quota_test.go
+++ b/internal/ratecount/quota_test.go
@@ -1,4 +1,4 @@
-package quota
+package ratecount
 
 import (
 	"testing"
--- a/internal/rate/doc.go
+++ b/internal/ratelease/doc.go
@@ -1,4 +1,4 @@
-// Package rate keeps each client account within its rate and burst over the
+// Package ratelease keeps each client account within its rate and burst over the
 // whole fleet, without a coordinator.
 //
 // Each account's rate and burst are divided into allocations, which instances
@@ -11,4 +11,4 @@
 //
 // The package does no I/O and reads no clock: time, messages and lease states
 // are passed in, and messages to send and decisions are returned.
-package rate
+package ratelease
--- a/internal/rate/unmetask.go
+++ b/internal/ratelease/unmetask.go
@@ -1,4 +1,4 @@
-package rate
+package ratelease
 
 import (
 	"time"
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
@@ -51,9 +51,9 @@
 	}
 }
 
-func newLimiter(accounts int) *rate.Limiter {
-	l := rate.New(rate.DefaultSettings(incarnation))
-	l.SetAllocations(0, []rate.Allocation{{Fraction: 1, Until: time.Hour}})
+func newLimiter(accounts int) *ratelease.Limiter {
+	l := ratelease.New(ratelease.DefaultSettings(incarnation))
+	l.SetAllocations(0, []ratelease.Allocation{{Fraction: 1, Until: time.Hour}})
 	for i := range accounts {
 		l.SetAccount(0, fmt.Sprintf("account-%03d", i), 1e9, 1e12)
 	}
