--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -62,7 +62,7 @@
 	member := lease.Member{ID: self.Incarnation, Domain: self.Domain, Address: self.Address}
 	wanted := []lease.Resource{dutyRollout, dutySnapshot}
 	for slot := range f.slotsPerDomain {
-		wanted = append(wanted, lease.MintSlot(self.Domain, slot))
+		wanted = append(wanted, lease.RateSlot(self.Domain, slot))
 	}
 	d := &rateDriver{
 		clock:       c,
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -52,7 +52,7 @@
 	d.setPeers([]wire.Identity{noLease, newHolder})
 
 	member := lease.Member{ID: newHolder.Incarnation, Domain: newHolder.Domain, Address: newHolder.Address}
-	records := acquireLease(t, member, lease.MintSlot("d", 0))
+	records := acquireLease(t, member, lease.RateSlot("d", 0))
 	is.NoErr(d.handleBatch(platform.Batch{Next: platform.Offset(len(records)), Records: records}))
 
 	now := d.clock.now() + time.Second
--- a/internal/lease/checkpoint_test.go
+++ b/internal/lease/checkpoint_test.go
@@ -26,7 +26,7 @@
 // logWithHeldSlot returns a control stream in which a joins, acquires a mint
 // slot and renews it at offset 2.
 func logWithHeldSlot(t *testing.T) []logrec.Envelope {
-	slot := MintSlot("d", 0)
+	slot := RateSlot("d", 0)
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
 	return []logrec.Envelope{
 		encodeEnvelope(t, KindJoin, "a", Join{Member: a}),
@@ -54,10 +54,10 @@
 	c, ok := complete.Checkpoint()
 	is.True(ok)
 	log = append(log, encodeEnvelope(t, KindCheckpoint, "a", c),
-		encodeEnvelope(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: MintSlot("d", 0), Token: 1}}, AppliedThrough: 3, Seq: 3}))
+		encodeEnvelope(t, KindRenew, "a", Renew{Holder: "a", Leases: []Renewal{{Resource: RateSlot("d", 0), Token: 1}}, AppliedThrough: 3, Seq: 3}))
 	applyAll(complete, log, 3)
 
-	h := NewHolder(DefaultSettings(Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}, []Resource{MintSlot("d", 0)}))
+	h := NewHolder(DefaultSettings(Member{ID: "b", Domain: "d", Address: "10.0.0.2:1"}, []Resource{RateSlot("d", 0)}))
 	h.HandleTrim(2)
 	for i, e := range log[2:] {
 		h.MarkCaughtUp()
@@ -98,7 +98,7 @@
 // must renew: otherwise the slot would stay unused.
 func TestOwnLeaseInCheckpointIsRenewedBeforeUse(t *testing.T) {
 	is := is.New(t)
-	slot := MintSlot("d", 0)
+	slot := RateSlot("d", 0)
 	self := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
 	complete := NewTable()
 	applyAll(complete, logWithHeldSlot(t), 0)
@@ -121,7 +121,7 @@
 // still extend it.
 func TestHolderAwaitingCheckpointNamesNoUnappliedRecords(t *testing.T) {
 	is := is.New(t)
-	slot := MintSlot("d", 0)
+	slot := RateSlot("d", 0)
 	h := NewHolder(DefaultSettings(Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, []Resource{slot}))
 	for i, e := range logWithHeldSlot(t) {
 		is.NoErr(h.Apply(0, platform.Offset(i), e))
--- a/internal/lease/records.go
+++ b/internal/lease/records.go
@@ -23,9 +23,9 @@
 
 const mintPrefix = "mint/"
 
-// MintSlot returns the resource of one of the slots into which a domain's share
+// RateSlot returns the resource of one of the slots into which a domain's share
 // of all rates is divided.
-func MintSlot(domain string, slot int) Resource {
+func RateSlot(domain string, slot int) Resource {
 	return Resource(mintPrefix + domain + "/" + strconv.Itoa(slot))
 }
 
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -56,7 +56,7 @@
 const unit = time.Second
 
 // slot is the resource that all processes compete for.
-var slot = MintSlot("d", 0)
+var slot = RateSlot("d", 0)
 
 func searchSettings(self Member, hold time.Duration) Settings {
 	s := DefaultSettings(self, []Resource{slot})
--- a/internal/lease/split_test.go
+++ b/internal/lease/split_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, m := range []Member{{ID: "a", Domain: "d"}, {ID: "b", Domain: "e"}} {
 		apply(Join{Member: m})
-		apply(Acquire{Resource: MintSlot(m.Domain, 0), Holder: m.ID, Basis: BasisFree, ExpectedOffset: NoOffset})
+		apply(Acquire{Resource: RateSlot(m.Domain, 0), Holder: m.ID, Basis: BasisFree, ExpectedOffset: NoOffset})
 	}
 	return table, apply
 }
@@ -46,11 +46,11 @@
 	at := apply(splitTo(800, 200))
 	is.Equal(table.Share("acct", "d", 0.5), 0.5)
 	is.Equal(table.Share("acct", "e", 0.5), 0.2)
-	apply(Renew{Holder: "a", Leases: []Renewal{{Resource: MintSlot("d", 0), Token: 1}}, AppliedThrough: at})
+	apply(Renew{Holder: "a", Leases: []Renewal{{Resource: RateSlot("d", 0), Token: 1}}, AppliedThrough: at})
 	is.Equal(table.Share("acct", "d", 0.5), 0.5) // e may not have applied the split yet
-	apply(Renew{Holder: "b", Leases: []Renewal{{Resource: MintSlot("e", 0), Token: 3}}, AppliedThrough: at - 1})
+	apply(Renew{Holder: "b", Leases: []Renewal{{Resource: RateSlot("e", 0), Token: 3}}, AppliedThrough: at - 1})
 	is.Equal(table.Share("acct", "d", 0.5), 0.5) // written before e applied the split
-	apply(Renew{Holder: "b", Leases: []Renewal{{Resource: MintSlot("e", 0), Token: 3}}, AppliedThrough: at + 1})
+	apply(Renew{Holder: "b", Leases: []Renewal{{Resource: RateSlot("e", 0), Token: 3}}, AppliedThrough: at + 1})
 	is.Equal(table.Share("acct", "d", 0.5), 0.8)
 	is.Equal(table.Share("acct", "e", 0.5), 0.2)
 	is.Equal(table.Share("other", "d", 0.5), 0.5)
--- a/internal/ratelease/fleet_test.go
+++ b/internal/ratelease/fleet_test.go
@@ -103,7 +103,7 @@
 	p.limiter.SetAccount(0, "acct", f.limitScale*f.rate, f.limitScale*f.burst)
 	var wanted []lease.Resource
 	for s := range testSlotsPerDomain {
-		wanted = append(wanted, lease.MintSlot(p.domain, s))
+		wanted = append(wanted, lease.RateSlot(p.domain, s))
 	}
 	set := lease.DefaultSettings(lease.Member{ID: p.id, Domain: p.domain, Address: p.addr}, wanted)
 	set.TTL, set.RenewInterval, set.PromiseTime = 3*time.Second, time.Second, 3*time.Second
--- a/internal/slopes/records.go
+++ b/internal/slopes/records.go
@@ -95,7 +95,7 @@
 		measure("lease-record", "leases in a renewal", "bytes of the record", []int{1, 4, 16, 64}, func(n int) float64 {
 			r := lease.Renew{Holder: incarnation, AppliedThrough: 1 << 30, Seq: 1 << 20}
 			for i := range n {
-				r.Leases = append(r.Leases, lease.Renewal{Resource: lease.MintSlot("domain-01", i), Token: 1 << 30})
+				r.Leases = append(r.Leases, lease.Renewal{Resource: lease.RateSlot("domain-01", i), Token: 1 << 30})
 			}
 			return float64(len(record(lease.KindRenew, r)))
 		}),
@@ -130,7 +130,7 @@
 	add := func(kind logrec.Kind, body any) { out = append(out, record(kind, body)) }
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", incarnation, i)
-		r := lease.MintSlot("domain-01", i)
+		r := lease.RateSlot("domain-01", i)
 		add(lease.KindJoin, lease.Join{Member: lease.Member{ID: id, Domain: "domain-01", Address: fmt.Sprintf("10.0.%d.%d:7000", i>>8, i&255)}})
 		token := platform.Offset(len(out))
 		seen := token - 1
