--- a/internal/lease/checkpoint_test.go
+++ b/internal/lease/checkpoint_test.go
@@ -23,8 +23,8 @@
 	return e
 }
 
-// logWithHeldSlot returns a control stream in which a joins, acquires a mint
-// slot and renews it at offset 2.
+// logWithHeldSlot returns a control stream in which a joins, acquires a slot
+// and renews it at offset 2.
 func logWithHeldSlot(t *testing.T) []logrec.Envelope {
 	slot := RateSlot("d", 0)
 	a := Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against two holders of one mint slot. Instance a holds the slot, the
+// Guards against two holders of one slot. Instance a holds the slot, the
 // log loses the first two records, then b starts. Without a checkpoint b would
 // see a free slot and acquire it, and both would issue the same part of every
 // account's rate. With the checkpoint, b's table equals that of an instance
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -8,12 +8,13 @@
 // counts the validity of its lease from before it sent the record, and the
 // others count the time they wait from when they applied it.
 //
-// Each failure domain issues a share of every account's rate, divided into mint
-// slots. A mint slot is a resource that only members of the domain may hold. A
-// part of each slot is its floor: a holder that cannot renew, such as one that
-// is partitioned, loses the slot when its lease expires but may go on to issue
-// the floor for the hold time. An instance that takes the slot over gets the
-// floor only once the former holder can no longer use it.
+// Each failure domain has a share of every account's rate, divided into slots.
+// A slot is a resource that only members of the domain may hold; its holder
+// issues the tokens of its part of the rates. A part of each slot is its floor:
+// a holder that cannot renew, such as one that is partitioned, loses the slot
+// when its lease expires but may go on to issue the floor for the hold time. An
+// instance that takes the slot over gets the floor only once the former holder
+// can no longer use it.
 //
 // The package does no I/O and reads no clock: times, log records and messages
 // are arguments; records to append and messages to send are results.
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -203,7 +203,7 @@
 
 // Valid reports whether the lease may be used at now. Callers must read the
 // clock right before the action that the lease protects: after an earlier check
-// the process may have been paused past the end of the lease.
+// the process may have been suspended past the end of the lease.
 func (h *Holder) Valid(now time.Duration, r Resource) bool {
 	l := h.held[r]
 	return l != nil && !h.leaving && now < h.validUntil(r, l)
--- a/internal/lease/records.go
+++ b/internal/lease/records.go
@@ -21,18 +21,20 @@
 // "duty/rollout".
 type Resource string
 
-const mintPrefix = "mint/"
+// rateSlotPrefix begins the names of rate slots. A rate slot, or mint slot in the
+// settings, is one of the equal parts of a domain's share of all accounts' rates;
+// its holder issues the tokens of that part.
+const rateSlotPrefix = "mint/"
 
-// RateSlot returns the resource of one of the slots into which a domain's share
-// of all rates is divided.
+// RateSlot returns the resource of a domain's slot with the given number.
 func RateSlot(domain string, slot int) Resource {
-	return Resource(mintPrefix + domain + "/" + strconv.Itoa(slot))
+	return Resource(rateSlotPrefix + domain + "/" + strconv.Itoa(slot))
 }
 
 // Domain returns the failure domain whose members may hold the resource; empty
 // when any instance may.
 func (r Resource) Domain() string {
-	rest, ok := strings.CutPrefix(string(r), mintPrefix)
+	rest, ok := strings.CutPrefix(string(r), rateSlotPrefix)
 	if !ok {
 		return ""
 	}
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -15,7 +15,7 @@
 // simulation is the state of a small fleet: real holders, the log, and all
 // appends and calls in flight. What is in flight may arrive at any later step
 // or never, so losses, delays and reordering need no steps of their own. A
-// process that takes no step is paused.
+// process that takes no step is suspended.
 type simulation struct {
 	trueTime       time.Duration
 	log            []logrec.Envelope
--- a/internal/lease/split.go
+++ b/internal/lease/split.go
@@ -17,9 +17,9 @@
 
 // Split is the body of a KindSplit record. It takes effect in two steps, so
 // that a domain never issues what another has not given up yet: from the
-// record's offset on, each mint slot uses the lower of the old and the new
-// share. Once the holder of every slot has written a record that shows it has
-// applied the split, the new shares are in force.
+// record's offset on, each slot uses the lower of the old and the new share.
+// Once the holder of every slot has written a record that shows it has applied
+// the split, the new shares are in force.
 type Split struct {
 	Accounts []AccountSplit `msgpack:"r"`
 }
--- a/internal/lease/yield.go
+++ b/internal/lease/yield.go
@@ -4,7 +4,7 @@
 
 // yields returns records that release floors which this instance, or a dead
 // incarnation at its address, kept when others took the leases over. Without
-// them, the part of every rate that belongs to the floor of a holder paused
+// them, the part of every rate that belongs to the floor of a holder suspended
 // past its lease would stay unused until the hold time has passed.
 //
 // Releasing the floor is safe because it is not in use here: the table has
--- a/internal/lease/yield_test.go
+++ b/internal/lease/yield_test.go
@@ -44,11 +44,11 @@
 	return Yield{}, false
 }
 
-// Guards against a floor that nobody uses. Instance a is paused past its lease,
-// b takes the slot over without the floor, and a resumes. Unless a releases the
-// floor, a quarter of the slot's rate is issued by nobody for the hold time of
-// six hours, and callers are refused.
-func TestThawedFormerHolderYieldsItsFloor(t *testing.T) {
+// Guards against a floor that nobody uses. Instance a is suspended past its
+// lease, b takes the slot over without the floor, and a resumes. Unless a
+// releases the floor, a quarter of the slot's rate is issued by nobody for the
+// hold time of six hours, and callers are refused.
+func TestResumedFormerHolderYieldsItsFloor(t *testing.T) {
 	is := is.New(t)
 	log := logWithTakeover(t)
 	a := replayedHolder(t, Member{ID: "a", Domain: "d", Address: "10.0.0.1:1"}, log)
