--- a/internal/ratelease/allocations.go
+++ b/internal/ratelease/allocations.go
@@ -22,15 +22,15 @@
 	l.applyShare(now)
 }
 
-// Share returns the fraction of all rates that this instance mints at now.
+// Share returns the fraction of all rates that this instance issues at now.
 func (l *Limiter) Share(now time.Duration) float64 {
 	l.advanceShare(now)
 	return l.share
 }
 
 // advanceShare applies the starts and ends of allocations up to now. If the
-// process was paused past the end of a lease, its balances are cut here before
-// it can spend tokens that another instance may mint by now.
+// process was suspended past the end of a lease, its balances are cut here
+// before it can spend tokens that another instance may issue by now.
 func (l *Limiter) advanceShare(now time.Duration) {
 	for l.nextShareChange <= now {
 		l.applyShare(l.nextShareChange)
@@ -42,7 +42,7 @@
 func (l *Limiter) applyShare(t time.Duration) {
 	share, next := 0.0, never
 	for _, alloc := range l.allocations {
-		from := alloc.Since + l.settings.mintDelay()
+		from := alloc.Since + l.settings.issueDelay()
 		if from <= t && t < alloc.Until {
 			share += alloc.Fraction
 		}
@@ -73,7 +73,7 @@
 func (l *Limiter) takeInitialFraction(t time.Duration) float64 {
 	sum := 0.0
 	for _, alloc := range l.allocations {
-		if alloc.StartFull && !l.initialBurstGiven[alloc.Name] && alloc.Since+l.settings.mintDelay() <= t && t < alloc.Until {
+		if alloc.StartFull && !l.initialBurstGiven[alloc.Name] && alloc.Since+l.settings.issueDelay() <= t && t < alloc.Until {
 			l.initialBurstGiven[alloc.Name] = true
 			sum += alloc.Fraction
 		}
@@ -81,8 +81,8 @@
 	return sum
 }
 
-// AllocationsOf converts mint leases into allocations. Each of the slots of the
-// fleet is 1/slots of all rates, and floor (0 to 1) is the fraction of a slot
+// AllocationsOf converts leases of slots into allocations. Each of the slots of
+// the fleet is 1/slots of all rates, and floor (0 to 1) is the fraction of a slot
 // that forms its floor. While the holder cannot renew the lease, it keeps the
 // floor for longer than the rest of the slot.
 func AllocationsOf(grants []lease.Grant, slots int, floor float64) []Allocation {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// ShareOf returns the fraction of all rates that a peer mints according to the
+// ShareOf returns the fraction of all rates that a peer issues according to the
 // log. It is only used to choose which peers to ask.
 func ShareOf(f *lease.Table, peer string, slots int) float64 {
 	n := 0
--- a/internal/ratelease/allocations_test.go
+++ b/internal/ratelease/allocations_test.go
@@ -21,13 +21,13 @@
 			l.SetAccount(0, "acc", 0.001, 1000)
 			alloc := Allocation{Name: "mint/d/0", StartFull: c.neverHeld, Fraction: 1, Until: time.Hour}
 			l.SetAllocations(0, []Allocation{alloc})
-			mintStart := l.settings.mintDelay()
-			o := l.Admit(mintStart, "acc", 900, mintStart)
+			issueStart := l.settings.issueDelay()
+			o := l.Admit(issueStart, "acc", 900, issueStart)
 			is.Equal(o.Err == nil && !o.Waiting, c.neverHeld)
 
 			// Setting the same allocation again, as each renewal does, adds nothing.
-			l.SetAllocations(mintStart+time.Second, []Allocation{alloc})
-			again := l.Admit(mintStart+time.Second, "acc", 900, mintStart+time.Second)
+			l.SetAllocations(issueStart+time.Second, []Allocation{alloc})
+			again := l.Admit(issueStart+time.Second, "acc", 900, issueStart+time.Second)
 			is.True(again.Err != nil || again.Waiting)
 		})
 	}
--- a/internal/ratelease/askplan.go
+++ b/internal/ratelease/askplan.go
@@ -117,8 +117,8 @@
 	return candidates[:min(len(candidates), l.settings.FanOut)]
 }
 
-// estimateBalance estimates a peer's balance: the last hint plus what it has
-// minted since.
+// estimateBalance estimates a peer's balance: the last hint plus the refill
+// since.
 func (l *Limiter) estimateBalance(a *account, p Peer, now time.Duration) float64 {
 	limit := p.share(a.name) * a.bucket.burst
 	h, ok := a.peerHints[p.ID]
@@ -129,10 +129,10 @@
 }
 
 // equalizeFill distributes the need over the sources and the own balance such
-// that all end up with the same fill ratio: a source that stays full loses what
-// it mints. If all of them together have too little, each is also asked for a
-// part of the shortfall, which it may have minted since its hint. sources is
-// ordered by descending fill ratio.
+// that all end up with the same fill ratio: a source that stays full loses its
+// refill. If all of them together have too little, each is also asked for a part
+// of the shortfall, which may have been refilled there since its hint. sources
+// is ordered by descending fill ratio.
 func equalizeFill(sources []tokenSource, own tokenSource, need float64) []tokenSource {
 	tokens, limits, n := own.tokens-need, own.limit, 0
 	for n < len(sources) && (limits <= 0 || tokens < limits*sources[n].fillRatio()) {
--- a/internal/ratelease/askplan_test.go
+++ b/internal/ratelease/askplan_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// A new instance mints nothing and has no hints. If it asked only peers known to
+// A new instance issues nothing and has no hints. If it asked only peers known to
 // have tokens, its first caller would be refused although the account is within
 // its rate.
 func TestFreshInstanceAsksPeersItKnowsNothingOf(t *testing.T) {
--- a/internal/ratelease/bucket.go
+++ b/internal/ratelease/bucket.go
@@ -8,8 +8,8 @@
 // bucket is the token bucket of one account on this instance.
 type bucket struct {
 	rate, burst float64 // of the whole fleet
-	share       float64 // fraction of both that this instance mints
-	balance     float64 // tokens minted here or moved here from credits, at most limit()
+	share       float64 // fraction of both that this instance issues
+	balance     float64 // tokens refilled here or moved here from credits, at most limit()
 	updatedAt   time.Duration
 	seq         uint64 // number of the latest spend or loan change
 	loans       []loan // ordered by expiry
@@ -49,31 +49,31 @@
 
 // advance brings the bucket up to now. It returns the credits, or parts of them,
 // that expired unspent and did not fit into the bucket.
-func (b *bucket) advance(now time.Duration, mintFactor float64) []credit {
+func (b *bucket) advance(now time.Duration, refillFactor float64) []credit {
 	var leftover []credit
 	for {
 		loanEnds := len(b.loans) > 0 && b.loans[0].until <= now
 		creditEnds := len(b.credits) > 0 && b.credits[0].until <= now
 		if creditEnds && (!loanEnds || b.credits[0].until <= b.loans[0].until) {
-			leftover = b.expireCredit(leftover, mintFactor)
+			leftover = b.expireCredit(leftover, refillFactor)
 			continue
 		}
 		if !loanEnds {
 			break
 		}
-		b.accrue(b.loans[0].until, mintFactor)
+		b.accrue(b.loans[0].until, refillFactor)
 		b.closeLoan(0)
 	}
-	b.accrue(now, mintFactor)
+	b.accrue(now, refillFactor)
 	return leftover
 }
 
 // expireCredit moves the credit that expires first into the balance, as far as
 // there was room at its expiry, and appends the rest to leftover.
-func (b *bucket) expireCredit(leftover []credit, mintFactor float64) []credit {
+func (b *bucket) expireCredit(leftover []credit, refillFactor float64) []credit {
 	c := b.credits[0]
 	b.credits = append(b.credits[:0], b.credits[1:]...)
-	b.accrue(c.until, mintFactor)
+	b.accrue(c.until, refillFactor)
 	moved := min(c.tokens, max(0, b.limit()-b.balance))
 	b.balance += moved
 	b.clamp()
@@ -83,10 +83,10 @@
 	return leftover
 }
 
-// accrue mints tokens up to time t with the current loans.
-func (b *bucket) accrue(t time.Duration, mintFactor float64) {
+// accrue refills the balance up to time t with the current loans.
+func (b *bucket) accrue(t time.Duration, refillFactor float64) {
 	if t > b.updatedAt {
-		b.balance += b.rate * b.share * mintFactor * (t - b.updatedAt).Seconds()
+		b.balance += b.rate * b.share * refillFactor * (t - b.updatedAt).Seconds()
 		b.updatedAt = t
 	}
 	b.clamp()
--- a/internal/ratelease/exchange.go
+++ b/internal/ratelease/exchange.go
@@ -20,8 +20,8 @@
 	ID string
 	// SameDomain is true for peers in this instance's failure domain.
 	SameDomain bool
-	// Share is the fraction of all rates that the peer mints, as far as known; 0
-	// for a peer that mints nothing.
+	// Share is the fraction of all rates that the peer issues, as far as known; 0
+	// for a peer that issues nothing.
 	Share float64
 	// Factors are those of the peer's domain; see SetFactors.
 	Factors map[string]float64
@@ -29,7 +29,7 @@
 	backoffUntil time.Duration
 }
 
-// share returns the fraction of one account's rate that the peer mints.
+// share returns the fraction of one account's rate that the peer issues.
 func (p Peer) share(account string) float64 {
 	if factor, ok := p.Factors[account]; ok {
 		return p.Share * factor
@@ -57,7 +57,7 @@
 	accounts []string
 }
 
-// SetPeers replaces the peers to ask for tokens, nearest first. Peers that mint
+// SetPeers replaces the peers to ask for tokens, nearest first. Peers that issue
 // nothing are left out, since they have nothing to grant. If no share is known,
 // as on an instance that starts while the log is down, all peers are assumed to
 // have equal shares; otherwise nobody would be asked and every request would be
--- a/internal/ratelease/factor.go
+++ b/internal/ratelease/factor.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/lease"
 )
 
-// shareFactor is the ratio of what this instance mints of one account to the
+// shareFactor is the ratio of what this instance issues of one account to the
 // equal split; it is above 1 if the account's split favors this domain.
 type shareFactor struct {
 	value  float64
@@ -29,15 +29,15 @@
 }
 
 // SetFactors applies the split over the domains, by account; accounts that are
-// not listed have factor 1. Call it whenever Fold.SplitVersion has changed,
-// before the next record is appended: the next renewal states that the split has
-// been applied.
+// not listed have factor 1. Call it whenever lease.Table.SplitVersion has
+// changed, before the next record is appended: the next renewal states that the
+// split has been applied.
 func (l *Limiter) SetFactors(now time.Duration, factors map[string]float64) {
 	l.advanceShare(now)
 	l.factors = factors
 	for _, a := range l.accounts {
 		l.advance(a, now)
-		a.factor.set(l.factorOf(a.name), now+l.settings.mintDelay())
+		a.factor.set(l.factorOf(a.name), now+l.settings.issueDelay())
 		a.bucket.share = l.share * a.factor.value
 		a.bucket.clamp()
 	}
--- a/internal/ratelease/fleet_test.go
+++ b/internal/ratelease/fleet_test.go
@@ -34,7 +34,7 @@
 	id, domain, addr string
 	clockRate        float64
 	started          time.Duration
-	frozen, dead     bool
+	suspended, dead  bool
 	logOffset        platform.Offset
 	logReadAt        time.Duration
 	splitSeen        int
@@ -43,8 +43,8 @@
 }
 
 // fleet simulates limiters and lease holders on one event queue: with a fake
-// log, links with delays and failures, processes that die, freeze and restart,
-// and clocks that drift.
+// log, links with delays and failures, processes that die, are suspended and
+// restart, and clocks that drift.
 type fleet struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -132,7 +132,7 @@
 	for end := f.now + span; f.now < end; f.now += f.stepLen {
 		f.deliver()
 		for i, p := range f.procs {
-			if !p.dead && !p.frozen {
+			if !p.dead && !p.suspended {
 				f.step(p, f.demand[i])
 			}
 		}
@@ -141,7 +141,7 @@
 }
 
 // spendable returns the tokens that all processes together could spend now; for
-// a frozen process, those it could spend right after it thaws.
+// a suspended process, those it could spend right after it resumes.
 func (f *fleet) spendable() float64 {
 	sum := 0.0
 	for _, p := range f.procs {
@@ -154,15 +154,15 @@
 	return sum
 }
 
-// deliver runs the events that are due; those of a frozen process wait until it
-// thaws.
+// deliver runs the events that are due; those of a suspended process wait until
+// it resumes.
 func (f *fleet) deliver() {
 	due := f.events[:0:0]
 	kept := f.events[:0:0]
 	for _, e := range f.events {
 		switch {
 		case e.to != nil && e.to.dead:
-		case e.at > f.now || (e.to != nil && e.to.frozen):
+		case e.at > f.now || (e.to != nil && e.to.suspended):
 			kept = append(kept, e)
 		default:
 			due = append(due, e)
@@ -271,8 +271,8 @@
 	}
 }
 
-// handleOutcome dispatches an admitted request at once or, after a freeze, not
-// at all. The request ends some time later and leaves a part of its tokens
+// handleOutcome dispatches an admitted request at once or, after a suspension,
+// not at all. The request ends some time later and leaves a part of its tokens
 // unused.
 func (f *fleet) handleOutcome(p *process, out Outcome) {
 	if out.Err != nil {
--- a/internal/ratelease/limiter.go
+++ b/internal/ratelease/limiter.go
@@ -52,7 +52,7 @@
 	// Err is nil or one of the reasons of a refusal.
 	Err error
 	// RetryAfter is set with ErrOverRate and ErrTooManyWaiting: the time until the
-	// missing tokens will have been minted.
+	// missing tokens will have been refilled.
 	RetryAfter time.Duration
 }
 
@@ -164,8 +164,8 @@
 }
 
 // Confirm reports whether a reservation may still be dispatched. A process that
-// was paused between the debit and the dispatch must Settle it with 0 used and
-// call Admit again, since the tokens belong to the time window of the debit.
+// was suspended between the debit and the dispatch must Settle it with 0 used
+// and call Admit again, since the tokens belong to the time window of the debit.
 func (l *Limiter) Confirm(now time.Duration, r Reservation) bool {
 	return now-r.At <= l.settings.MaxDispatchDelay
 }
@@ -225,14 +225,15 @@
 }
 
 func (l *Limiter) advanceTo(a *account, now time.Duration) {
-	for _, c := range a.bucket.advance(now, l.mintFactor()) {
+	for _, c := range a.bucket.advance(now, l.refillFactor()) {
 		l.queueUnspent(a, c, c.tokens)
 	}
 }
 
-// mintFactor returns the fraction of the rate that is minted: with a clock that
-// runs fast, an instance must not mint more than the rate in true time.
-func (l *Limiter) mintFactor() float64 { return 1 / (1 + l.settings.MaxClockDrift) }
+// refillFactor returns the factor by which buckets are refilled below the rate:
+// with a clock that runs fast, an instance must not issue more than the rate in
+// true time.
+func (l *Limiter) refillFactor() float64 { return 1 / (1 + l.settings.MaxClockDrift) }
 
 // recordRequest updates the demand, which the split follows, and the typical cost
 // of a request, which prefetching uses.
--- a/internal/ratelease/limiter_test.go
+++ b/internal/ratelease/limiter_test.go
@@ -12,8 +12,9 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// newFullMinter returns an instance that mints the whole rate from time 0 on.
-func newFullMinter(name string) *Limiter {
+// newFullShareLimiter returns an instance that issues the whole rate from time 0
+// on.
+func newFullShareLimiter(name string) *Limiter {
 	l := New(DefaultSettings(name))
 	l.SetAllocations(0, []Allocation{{Fraction: 1, Since: -time.Second, Until: time.Hour}})
 	l.SetAccount(0, "acct", 1000, 5000)
@@ -22,7 +23,7 @@
 
 func TestAdmitWithinRate(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	out := l.Admit(now, "acct", 4000, now)
 	is.NoErr(out.Err)
@@ -34,7 +35,7 @@
 
 func TestWaitThenAdmitOrRefuse(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	l.Admit(now, "acct", 5000, now)
 	soon := l.Admit(now, "acct", 100, now+time.Second)
@@ -54,10 +55,10 @@
 
 func TestRefundClampsToRoomSinceDebit(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	first := l.Admit(now, "acct", 4000, now).Reservation
-	now += time.Second // 2000 minted and kept, room for 3000
+	now += time.Second // 2000 refilled and kept, room for 3000
 	l.Settle(now, &first, 1000)
 	is.True(l.accounts["acct"].bucket.balance > 4990)
 	// The bucket is full between the second debit and its refund: nothing is
@@ -73,7 +74,7 @@
 
 func TestTransferMovesTokensOnce(t *testing.T) {
 	is := is.New(t)
-	a, b := newFullMinter("a"), New(DefaultSettings("b"))
+	a, b := newFullShareLimiter("a"), New(DefaultSettings("b"))
 	balance := func() int { return int(math.Round(a.accounts["acct"].bucket.balance)) }
 	b.SetAccount(0, "acct", 1000, 5000)
 	b.SetPeers([]Peer{{ID: "a", Share: 1}})
@@ -87,15 +88,15 @@
 	is.Equal(len(work.Done), 1)
 	is.NoErr(work.Done[0].Err)
 	now += time.Millisecond
-	is.Equal(len(work.Returns), 1) // tells a that the tokens are spent
+	is.Equal(len(work.Returns), 1) // reports to a that the tokens are spent
 	a.HandleReturn(now, work.Returns[0].Body)
-	// What b did not use goes back to a, as b mints nothing itself.
+	// What b did not use goes back to a, as b issues nothing itself.
 	b.Settle(now, &work.Done[0].Reservation, 1000)
 	b.Settle(now, &work.Done[0].Reservation, 1000) // a second Settle has no effect
 	ret := b.Tick(now).Returns
 	is.Equal(len(ret), 1)
 	a.HandleReturn(now+time.Millisecond, ret[0].Body)
-	is.Equal(balance(), 4000) // one less kept, one minted
+	is.Equal(balance(), 4000) // one less kept, one refilled
 }
 
 // Guards against taking a refund out of an open loan. A receiver spends a part
@@ -106,7 +107,7 @@
 // of 647.
 func TestRefundLeavesOpenLoanUnchanged(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	b := &l.accounts["acct"].bucket
 	g := l.HandleAsk(now, wire.RateRequest{Items: []wire.RateItem{{Account: "acct", Tokens: 1000}}})
@@ -125,12 +126,12 @@
 	is.True(b.balance <= 5000)
 }
 
-// A process is paused between the debit and the dispatch, for longer than its
+// A process is suspended between the debit and the dispatch, for longer than its
 // lease. Meanwhile other instances have admitted requests in the later window,
 // so the request must not be dispatched on the old debit.
 func TestPausedReservationIsNotDispatched(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	out := l.Admit(now, "acct", 1000, now)
 	is.True(l.Confirm(now+time.Millisecond, out.Reservation))
@@ -139,9 +140,9 @@
 
 // An instance's clock runs fast by the maximum drift. An account that sends all
 // it can for an hour must stay within its rate in true time.
-func TestFastClockMintsNoMoreThanTheRate(t *testing.T) {
+func TestFastClockIssuesNoMoreThanTheRate(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	l.SetAllocations(0, []Allocation{{Fraction: 1, Since: -time.Second, Until: never}})
 	const hour = 3600.0
 	sum, fast := 0.0, 1+l.settings.MaxClockDrift
@@ -156,7 +157,7 @@
 }
 
 // A holder sends tokens to a peer and releases its slot at once. The next holder
-// must not mint before those tokens are spent or expired.
+// must not issue tokens before those tokens are spent or expired.
 func TestNewHolderWaitsForOutstandingGrants(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("i2"))
@@ -169,7 +170,7 @@
 
 // An instance that starts while the log is down has no lease and does not know
 // its peers' shares. It must ask all peers, so that its callers are served from
-// what they mint.
+// what they issue.
 func TestInstanceStartedDuringLogOutageAsksAllPeers(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("i3"))
@@ -180,11 +181,11 @@
 }
 
 // A domain loses a fraction of an account while its grants are still in flight.
-// The domain that gains the fraction must not mint it before they have expired;
+// The domain that gains the fraction must not issue it before they have expired;
 // the one that loses it stops at once.
 func TestHigherFactorWaitsForOutstandingGrants(t *testing.T) {
 	is := is.New(t)
-	l := newFullMinter("i1")
+	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	share := func(after time.Duration) float64 {
 		l.Hints(now + after)
@@ -215,11 +216,11 @@
 }
 
 // A large request waits at b for more than a has; then a small one waits at c.
-// If c got what a mints meanwhile, the large one, which came first and is within
+// If c got a's refill meanwhile, the large one, which came first and is within
 // the rate, would be refused.
 func TestLongerWaitingRequestGoesFirst(t *testing.T) {
 	is := is.New(t)
-	a, now := newFullMinter("a"), 10*time.Second
+	a, now := newFullShareLimiter("a"), 10*time.Second
 	ask := func(from string, tokens float64, waited time.Duration) float64 {
 		item := wire.RateItem{Account: "acct", Tokens: tokens, WaitedMicros: waited.Microseconds()}
 		return a.HandleAsk(now, wire.RateRequest{From: from, Items: []wire.RateItem{item}}).Items[0].Tokens
--- a/internal/ratelease/settings.go
+++ b/internal/ratelease/settings.go
@@ -43,14 +43,14 @@
 	return time.Duration(float64(s.GrantLifetime) * (1 - 2*s.MaxClockDrift))
 }
 
-// mintDelay is how long a new holder of an allocation waits before it mints. By
-// then the grants that the previous holder sent have expired.
-func (s Settings) mintDelay() time.Duration {
+// issueDelay is how long a new holder of an allocation waits before it issues
+// tokens. By then the grants that the previous holder sent have expired.
+func (s Settings) issueDelay() time.Duration {
 	return time.Duration(float64(s.GrantLifetime) * (1 + 2*s.MaxClockDrift))
 }
 
 // Allocation is a fraction of every account's rate and burst that this instance
-// mints while it holds the lease.
+// issues while it holds the lease.
 type Allocation struct {
 	// Name identifies the allocation.
 	Name string
@@ -59,7 +59,7 @@
 	StartFull bool
 	// Fraction of the account's rate and burst, above 0 and at most 1.
 	Fraction float64
-	// Since is when this process acquired the allocation. Minting starts one
+	// Since is when this process acquired the allocation. Issuing starts one
 	// GrantLifetime later, plus an allowance for clock drift.
 	Since time.Duration
 	// Until is when the allocation ends unless it is renewed.
--- a/internal/ratelease/split.go
+++ b/internal/ratelease/split.go
@@ -44,8 +44,8 @@
 // PlanSplit returns the change that makes the split follow the demand (by
 // account and domain, in tokens per second), without rows if the current split
 // is close enough. Call it on the holder of a duty lease, at most every 30 s,
-// and only while all domains are heard: the demand of a partitioned domain is
-// unknown, not 0.
+// and only while heartbeats of all domains arrive: the demand of a partitioned
+// domain is unknown, not 0.
 func PlanSplit(f *lease.Table, domains []string, demand map[string]map[string]float64) lease.Split {
 	var s lease.Split
 	if f.SplitPending() {
--- a/internal/ratelease/waiter.go
+++ b/internal/ratelease/waiter.go
@@ -97,7 +97,7 @@
 }
 
 // unsatisfiable reports whether a request is expected to time out: all peers
-// have just answered, and even with all their tokens and all that is minted
+// have just answered, and even with all their tokens and all that is refilled
 // until its deadline it would not be admitted. It is then better refused at
 // once.
 func (l *Limiter) unsatisfiable(a *account, now time.Duration, w waiter, ahead []waiter) bool {
@@ -111,7 +111,7 @@
 	return need > l.estimateFleetBalance(a, now)+a.bucket.rate*(w.until-now).Seconds()
 }
 
-// retryAfter returns the time in which the fleet mints the missing tokens.
+// retryAfter returns the time in which the fleet refills the missing tokens.
 func (l *Limiter) retryAfter(a *account, cost float64) time.Duration {
 	for _, w := range a.waiters {
 		cost += w.cost
--- a/internal/ratelease/window_test.go
+++ b/internal/ratelease/window_test.go
@@ -11,11 +11,11 @@
 	"github.com/mastictray/mastictray/internal/lease"
 )
 
-// A caller sends several times its rate while processes die, freeze, thaw and
-// restart, domains are partitioned from each other and from the log, and answers
-// are lost or late. No window may hold more than rate*window + burst. This
-// detects a token minted twice, a grant spent after its granter refilled, and a
-// lease used past its end.
+// A caller sends several times its rate while processes die, are suspended,
+// resume and restart, domains are partitioned from each other and from the log,
+// and answers are lost or late. No window may hold more than rate*window +
+// burst. This detects a token issued twice, a grant spent after its granter
+// refilled, and a lease used past its end.
 func TestWindowInvariantUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 3, 2, 1000, float64(rapid.IntRange(500, 5000).Draw(t, "burst")), 10*time.Second)
@@ -54,7 +54,7 @@
 			f.demand[index] = 0.5
 		}
 	case "large request": // collects tokens from all peers and often times out
-		if !p.dead && !p.frozen {
+		if !p.dead && !p.suspended {
 			f.request(p, f.burst)
 		}
 	case "lower limits":
@@ -66,7 +66,7 @@
 	case "kill":
 		p.dead = true
 	case "freeze", "thaw":
-		p.frozen = kind == "freeze"
+		p.suspended = kind == "freeze"
 	case "restart":
 		f.start(index)
 	case "restart all":
