--- a/internal/ratecount/quota.go
+++ b/internal/ratecount/limiter.go
@@ -1,23 +1,23 @@
-// Package ratecount keeps client accounts within their rate and burst over the whole
-// fleet by exchanging usage counts between instances.
+// Package ratecount keeps client accounts within their rate and burst over the
+// whole fleet by exchanging usage counts between instances.
 //
 // Each instance counts the tokens that it admits and reports the counts to its
-// peers every few hundred milliseconds. An instance that hears from all others
-// uses the whole bucket of an account and deducts what the others report as
-// spent. An instance that hears from only some of the fleet uses their fraction
-// of the bucket: the fractions of two halves of a partitioned fleet add up to
-// the whole, and each half keeps serving.
+// peers every few hundred milliseconds. An instance that receives the reports
+// of all others uses the whole bucket of an account and deducts what they report
+// as spent. An instance that receives only some of the reports uses the fraction
+// of the bucket that belongs to itself and to the senders: the fractions of two
+// halves of a partitioned fleet add up to the whole, and each half keeps serving.
 //
-// Spending between two reports is seen late. If each instance admitted against
-// the whole balance that it sees, callers that were told to come back when the
-// bucket refills would be admitted by all instances at once. Between two reports
-// an instance therefore admits at most twice its share of the remaining tokens,
-// in proportion to the account's recent spending here and elsewhere, plus one
-// request; while the account is not depleted the multiple is larger, since
-// requests arrive unevenly. Overspending leaves a negative balance, which is
-// refilled before anything else is admitted. Leases of mint slots (package ratelease)
-// allow no overspending but need the log every few seconds; usage counts never
-// need it.
+// Spending between two reports becomes known late. If each instance admitted
+// against its whole balance, refused callers that retry once the bucket is
+// refilled would be admitted by all instances at the same time. Between two
+// reports an instance therefore admits at most twice its share of the remaining
+// tokens, in proportion to the account's recent spending here and elsewhere,
+// plus one request; while the account is not depleted the multiple is larger,
+// since requests arrive unevenly. Overspending leaves a negative balance, which
+// is refilled before anything else is admitted. Shares held by lease (package
+// ratelease) allow no overspending but need the log every few seconds; usage
+// counts never need it.
 //
 // The package does no I/O and reads no clock.
 package ratecount
@@ -85,10 +85,9 @@
 	// tokens, and uneven arrivals are rarely refused while tokens are left.
 	depletedShareFactor = 2.0
 	// normalShareFactor is the multiple of its share that an instance may admit
-	// while the account is not depleted. In a simulation of 61 instances with
-	// 300 ms between reports, requests that arrive three at a time were then
-	// refused no more often than without shares; with a factor of 4 one in a
-	// hundred was refused.
+	// while the account is not depleted. With 61 instances and 300 ms between
+	// reports, requests that arrive three at a time are refused no more often than
+	// without shares; a factor of 4 refuses one in a hundred.
 	normalShareFactor = 8.0
 )
 
@@ -211,7 +210,7 @@
 // share returns the fraction of an account's tokens that this instance may admit
 // before its next report: its fraction of the recent spending (these add up to
 // one over the fleet) times a factor that allows for uneven arrivals. An
-// instance that no longer hears its peers soon has a share of one.
+// instance that no longer receives reports soon has a share of one.
 func (l *Limiter) share(now time.Duration, a *account, limit Limit, fraction float64) float64 {
 	reporting := float64(l.reportingInstances(now))
 	evenSpend := evenSpendFraction * fraction * limit.Rate * recentSpendDecay.Seconds()
--- a/internal/ratecount/retry_test.go
+++ b/internal/ratecount/retry_test.go
@@ -28,7 +28,7 @@
 )
 
 // retryFleet is a fleet whose instances report at the same moments, and an
-// account whose refused callers retry as soon as they were told to.
+// account whose refused callers retry after the wait that Admit returned.
 type retryFleet struct {
 	fleet
 	rng         *rand.Rand
@@ -91,11 +91,11 @@
 	f.retries[f.now+max(wait, minRetryDelay).Truncate(arrivalInterval)+arrivalInterval]++
 }
 
-// Guards against synchronized retries. Refused callers on all instances are told
-// to come back when the account's bucket has refilled, so they return together.
-// Each instance sees tokens in the bucket, learns of the others' spending only
-// with their next report, and admits everyone. The account then gets far more
-// than its rate and burst within one window, and nothing for the next seconds.
+// Guards against synchronized retries. Refused callers on all instances wait
+// until the account's bucket is refilled, so they retry together. Each instance
+// has tokens in the bucket, receives the others' spending only with their next
+// report, and admits everyone. The account then gets far more than its rate and
+// burst within one window, and nothing for the next seconds.
 func TestCallersThatComeBackTogetherStayWithinTheRate(t *testing.T) {
 	is := is.New(t)
 	f := newRetryFleet(largeFleet, largeFleetInterval, accountRate)
