--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -33,8 +33,9 @@
 	return r.lastNoticeID
 }
 
-// Receive handles a message from a peer: a PoisonNotice, PoisonAck, PoisonAsk,
-// PoisonGrant, PoisonHold or PoisonDone. Other messages are ignored.
+// Receive handles a message from a peer: a PoisonNotice, PoisonAck,
+// PoisonPermitRequest, PoisonPermitResponse, PoisonPermitRenewal or
+// PoisonPermitRelease. Other messages are ignored.
 func (r *Registry) Receive(now time.Duration, from string, body any) {
 	r.receive(now, from, body)
 }
