--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/placement"
 	"github.com/mastictray/mastictray/internal/poison"
 	"github.com/mastictray/mastictray/internal/prefix"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 // maxAttempts is the maximum number of targets tried for one request.
@@ -22,16 +22,16 @@
 // engineCall is a call to a model, with its pool, placement and cost.
 type engineCall struct {
 	*call
-	pool      config.Pool
-	model     config.Model
-	req       openai.Request
+	pool config.Pool
+	model config.Model
+	req openai.Request
 	placement placement.Request
 	// cachedFingerprint is the request's fingerprint if fingerprinted is set.
 	cachedFingerprint poison.Fingerprint
-	fingerprinted     bool
-	cost              float64
-	reservation       rate.Reservation
-	usage             openai.Usage
+	fingerprinted bool
+	cost float64
+	reservation ratelease.Reservation
+	usage openai.Usage
 	// eventBuf is reused for each event of the response.
 	eventBuf []byte
 }
@@ -62,8 +62,8 @@
 func newPlacementRequest(account string, m config.Model, version string, prompt []byte) placement.Request {
 	scope := prefix.Scope{Account: account, Model: m.Name, Version: version}
 	return placement.Request{
-		Chain:        prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
-		PieceTokens:  int(float64(m.PieceBytes) / m.BytesPerToken),
+		Chain: prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
+		PieceTokens: int(float64(m.PieceBytes) / m.BytesPerToken),
 		PromptTokens: int(float64(len(prompt))/m.BytesPerToken) + 1,
 	}
 }
@@ -94,18 +94,18 @@
 }
 
 // reserveRate debits the cost from the account's rate limit.
-func (s *server) reserveRate(c *call, cost float64, reservation *rate.Reservation) error {
+func (s *server) reserveRate(c *call, cost float64, reservation *ratelease.Reservation) error {
 	outcome := s.rates.admit(c.r.Context(), c.account.Name, cost, c.deadline)
 	if outcome.Err == nil {
 		*reservation = outcome.Reservation
 		return nil
 	}
 	switch {
-	case errors.Is(outcome.Err, rate.ErrTooLarge):
+	case errors.Is(outcome.Err, ratelease.ErrTooLarge):
 		return refusal(http.StatusRequestEntityTooLarge, openai.CodeOverBurst, "the request costs more tokens than the account's burst limit", 0)
-	case errors.Is(outcome.Err, rate.ErrTooManyWaiting):
+	case errors.Is(outcome.Err, ratelease.ErrTooManyWaiting):
 		return refusal(http.StatusTooManyRequests, openai.CodeOverloaded, "too many requests of the account are waiting", time.Second)
-	case errors.Is(outcome.Err, rate.ErrOverRate):
+	case errors.Is(outcome.Err, ratelease.ErrOverRate):
 		return refusal(http.StatusTooManyRequests, openai.CodeRateLimited, "the account is over its rate", max(outcome.RetryAfter, time.Second))
 	default:
 		return refusal(http.StatusServiceUnavailable, openai.CodeNotReady, "the request could not be admitted", time.Second)
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -13,7 +13,7 @@
 	"github.com/mastictray/mastictray/internal/logline"
 	"github.com/mastictray/mastictray/internal/openai"
 	"github.com/mastictray/mastictray/internal/overload"
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 // forwardedRequestHeaders are the request headers that are forwarded to a plain
@@ -28,13 +28,13 @@
 type serviceResponse struct {
 	status int
 	header http.Header
-	body   []byte
+	body []byte
 }
 
 func (s *server) serveService(c *call, route config.Route, pool config.Pool) error {
 	c.route = route
 	c.deadline = c.startedAt + route.Deadline
-	var reservation rate.Reservation
+	var reservation ratelease.Reservation
 	if err := s.reserveRate(c, route.CostTokens, &reservation); err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	answer, err := s.claims.acquire(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
 		RequestHash: claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
-		Deadline:    c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
+		Deadline: c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
 	})
 	if err != nil {
 		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller disconnected before the request ran", time.Second)
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/mastictray/mastictray/internal/rate"
+	"github.com/mastictray/mastictray/internal/ratelease"
 )
 
 const (
@@ -18,8 +18,8 @@
 // admission is the product's rate limiter before the queues. It has one token bucket
 // per account for all routers together.
 type admission struct {
-	sim     *simulation
-	limiter *rate.Limiter
+	sim *simulation
+	limiter *ratelease.Limiter
 }
 
 // newAdmission sets the rate of each account above its usual demand. It returns nil
@@ -33,13 +33,13 @@
 		tokens += float64(req.tokens)
 	}
 	tokensPerRequest := tokens / float64(len(requests))
-	a := &admission{sim: sim, limiter: rate.New(rate.DefaultSettings("experiment"))}
+	a := &admission{sim: sim, limiter: ratelease.New(ratelease.DefaultSettings("experiment"))}
 	for _, account := range sim.workload.Accounts {
 		accountRate := rateHeadroom * sim.workload.RequestRate * account.Share * tokensPerRequest
 		a.limiter.SetAccount(0, account.Name, accountRate, accountRate*burstSeconds)
 	}
-	allocation := rate.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
-	a.limiter.SetAllocations(0, []rate.Allocation{allocation})
+	allocation := ratelease.Allocation{Name: "all", StartFull: true, Fraction: 1, Since: -time.Second, Until: math.MaxInt64}
+	a.limiter.SetAllocations(0, []ratelease.Allocation{allocation})
 	return a
 }
 
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -15,7 +15,7 @@
 // simulation is the state of a small fleet: real holders, the log, and all
 // appends and calls in flight. What is in flight may arrive at any later step
 // or never, so losses, delays and reordering need no steps of their own. A
-// process that takes no step is paused.
+// process that takes no step is suspended.
 type simulation struct {
 	trueTime       time.Duration
 	log            []logrec.Envelope
@@ -56,7 +56,7 @@
 const unit = time.Second
 
 // slot is the resource that all processes compete for.
-var slot = MintSlot("d", 0)
+var slot = RateSlot("d", 0)
 
 func searchSettings(self Member, hold time.Duration) Settings {
 	s := DefaultSettings(self, []Resource{slot})
