--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -13,7 +13,7 @@
 	// SharedLoadPolling the nodes of a domain share the polling and forward
 	// load digests along a tree of fan-out DigestFanOut.
 	LoadPollIntervalSeconds, DigestFanOut float64
-	SharedLoadPolling bool
+	SharedLoadPolling                     bool
 	// ReadCacheEvents means that every node reads the cache events of all targets
 	// into an index of at most CacheIndexBytes.
 	ReadCacheEvents bool
@@ -44,7 +44,7 @@
 // at one of six instances. Requests arrive as a Poisson process, or are deferred by
 // their callers to stay within the limit, which takes more messages.
 const (
-	poissonMessagesPerRequest = 18.51
+	poissonMessagesPerRequest  = 18.51
 	deferredMessagesPerRequest = 47.46
 )
 
--- a/internal/entry/engineserve.go
+++ b/internal/entry/engineserve.go
@@ -22,16 +22,16 @@
 // engineCall is a call to a model, with its pool, placement and cost.
 type engineCall struct {
 	*call
-	pool config.Pool
-	model config.Model
-	req openai.Request
+	pool      config.Pool
+	model     config.Model
+	req       openai.Request
 	placement placement.Request
 	// cachedFingerprint is the request's fingerprint if fingerprinted is set.
 	cachedFingerprint poison.Fingerprint
-	fingerprinted bool
-	cost float64
-	reservation ratelease.Reservation
-	usage openai.Usage
+	fingerprinted     bool
+	cost              float64
+	reservation       ratelease.Reservation
+	usage             openai.Usage
 	// eventBuf is reused for each event of the response.
 	eventBuf []byte
 }
@@ -62,8 +62,8 @@
 func newPlacementRequest(account string, m config.Model, version string, prompt []byte) placement.Request {
 	scope := prefix.Scope{Account: account, Model: m.Name, Version: version}
 	return placement.Request{
-		Chain: prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
-		PieceTokens: int(float64(m.PieceBytes) / m.BytesPerToken),
+		Chain:        prefix.Chain(nil, scope.Seed(), prompt, m.PieceBytes),
+		PieceTokens:  int(float64(m.PieceBytes) / m.BytesPerToken),
 		PromptTokens: int(float64(len(prompt))/m.BytesPerToken) + 1,
 	}
 }
--- a/internal/entry/serviceserve.go
+++ b/internal/entry/serviceserve.go
@@ -28,7 +28,7 @@
 type serviceResponse struct {
 	status int
 	header http.Header
-	body []byte
+	body   []byte
 }
 
 func (s *server) serveService(c *call, route config.Route, pool config.Pool) error {
@@ -191,7 +191,7 @@
 	answer, err := s.claims.acquire(c.r.Context(), claim.Request{
 		ID: c.id, Account: c.account.Name, Key: key,
 		RequestHash: claim.HashRequest(c.r.Method, c.r.URL.RequestURI(), c.body),
-		Deadline: c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
+		Deadline:    c.deadline, RunWhenLogDown: c.route.RunWhenLogDown,
 	})
 	if err != nil {
 		return refusal(http.StatusServiceUnavailable, openai.CodeClaimsUnavailable, "the caller disconnected before the request ran", time.Second)
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -18,7 +18,7 @@
 // admission is the product's rate limiter before the queues. It has one token bucket
 // per account for all routers together.
 type admission struct {
-	sim *simulation
+	sim     *simulation
 	limiter *ratelease.Limiter
 }
 
--- a/internal/load/booking.go
+++ b/internal/load/booking.go
@@ -10,16 +10,16 @@
 
 // Booking is one non-idempotent request with the outcomes of its attempts.
 type Booking struct {
-	Key string
-	Account Account
-	Body []byte
+	Key      string
+	Account  Account
+	Body     []byte
 	Attempts []Attempt
 }
 
 // Attempt is the outcome of sending a booking once.
 type Attempt struct {
 	Outcome Outcome
-	Code string
+	Code    string
 	// Answer is the service's answer; it is set only if Outcome is ok.
 	Answer service.Response
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -21,7 +21,7 @@
 	// Index counts from 0. It is part of the question, so no two prompts are equal.
 	Index int
 	// At is the time since the start of the run.
-	At time.Duration
+	At      time.Duration
 	Account Account
 	Request engine.Request
 }
@@ -29,13 +29,13 @@
 // Generator produces the arrivals of a run. They depend only on the profile and
 // the seed.
 type Generator struct {
-	profile Profile
-	seed uint64
-	rng *rand.Rand
-	zipf *rand.Zipf
+	profile     Profile
+	seed        uint64
+	rng         *rand.Rand
+	zipf        *rand.Zipf
 	totalWeight float64
-	nextIndex int
-	now time.Duration
+	nextIndex   int
+	now         time.Duration
 	// texts caches openings and dossiers by name.
 	texts map[string]string
 }
@@ -82,9 +82,9 @@
 	body := g.cachedText(fmt.Sprintf("dossier %s %d", a.Name, dossier), pieces*p.PieceBytes-len(userRole)-1)
 	question := g.generateText(fmt.Sprintf("question %d", g.nextIndex), p.QuestionBytes)
 	return engine.Request{
-		Model: p.Model,
+		Model:     p.Model,
 		MaxTokens: p.MaxTokens,
-		Stream: true,
+		Stream:    true,
 		Messages: []engine.Message{
 			{Role: systemRole, Content: opening},
 			{Role: userRole, Content: body + question},
--- a/internal/load/streamcheck.go
+++ b/internal/load/streamcheck.go
@@ -34,13 +34,13 @@
 // with the one that the stand-in engine generates for the prompt, which detects
 // chunks that are lost, duplicated, out of order or from another request.
 type streamChecker struct {
-	expected engine.TextGenerator
+	expected   engine.TextGenerator
 	wantChunks int
-	events int
-	chunks int
-	id string
-	usage *engine.Usage
-	done bool
+	events     int
+	chunks     int
+	id         string
+	usage      *engine.Usage
+	done       bool
 }
 
 func newStreamChecker(req engine.Request) *streamChecker {
