--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -104,12 +104,12 @@
 		g.limits.observe(c.placedAt, a.target.Incarnation(), info.RateLimit)
 	}
 	if info.WeightsVersion > 0 && c.Prompt != nil {
-		g.enginePoolOf(c).recordServedVersion(a.target.Incarnation(), c.Prompt.Model, info.WeightsVersion)
+		g.engineServiceOf(c).recordServedVersion(a.target.Incarnation(), c.Prompt.Model, info.WeightsVersion)
 	}
 	switch {
 	case info.NotRun:
 		if c.service.Engine != nil {
-			g.enginePoolOf(c).recordRefusal(a.target.Incarnation())
+			g.engineServiceOf(c).recordRefusal(a.target.Incarnation())
 		}
 		return outcomeNotRun, errors.Newf("target did not run the request: status %d", resp.StatusCode)
 	case !info.Signed:
--- a/internal/gateway/enginefilters.go
+++ b/internal/gateway/enginefilters.go
@@ -41,19 +41,19 @@
 // time.
 const refusalBackoff = 200 * time.Millisecond
 
-// isExcluded reports whether a target must not get requests now. The caller holds p.mu.
-func (p *enginePool) isExcluded(r *directory.Registration) bool {
-	at, refused := p.refusedAt[r.ID]
-	return p.loading[r.ID] || hasOlderWeights(r, p.bounds.minToSend) || refused && p.now()-at < refusalBackoff
+// isExcluded reports whether a target must not get requests now. The caller holds s.mu.
+func (s *engineService) isExcluded(r *directory.Registration) bool {
+	at, refused := s.refusedAt[r.ID]
+	return s.loading[r.ID] || hasOlderWeights(r, s.bounds.minToSend) || refused && s.now()-at < refusalBackoff
 }
 
 // recordRefusal records that a target refused a request as a whole.
-func (p *enginePool) recordRefusal(id directory.Incarnation) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if r, ok := p.registrations[id.ID]; ok && r.Incarnation() == id {
-		p.refusedAt[id.ID] = p.now()
-		p.refreshFilters(id.ID, &r)
+func (s *engineService) recordRefusal(id directory.Incarnation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r, ok := s.registrations[id.ID]; ok && r.Incarnation() == id {
+		s.refusedAt[id.ID] = s.now()
+		s.refreshFilters(id.ID, &r)
 	}
 }
 
@@ -68,58 +68,58 @@
 
 // applyRollout sets the version bounds and the targets that load weights, and ends the
 // attempts that must not go on because of them.
-func (p *enginePool) applyRollout(b versionBounds, loading map[string]bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.bounds, p.loading = b, loading
-	p.trackLoading()
-	p.refreshAllFilters()
-	p.cancelOutdatedWaits()
-	p.moveStreams()
-	p.step()
+func (s *engineService) applyRollout(b versionBounds, loading map[string]bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.bounds, s.loading = b, loading
+	s.trackLoading()
+	s.refreshAllFilters()
+	s.cancelOutdatedWaits()
+	s.moveStreams()
+	s.step()
 }
 
 // cancelOutdatedWaits cancels the attempts that wait for their first token at targets whose
 // weights are too old. A request that was sent in time may wait at its target for longer
-// than usual, and would then start on weights past the bound. The caller holds p.mu.
-func (p *enginePool) cancelOutdatedWaits() {
-	for pl := range p.running {
-		r, known := p.registrations[pl.target.ID]
-		if pl.firstTokenSeen || !known || r.Incarnation() != pl.target.Incarnation() || !hasOlderWeights(&r, p.bounds.minToWait) {
+// than usual, and would then start on weights past the bound. The caller holds s.mu.
+func (s *engineService) cancelOutdatedWaits() {
+	for pl := range s.running {
+		r, known := s.registrations[pl.target.ID]
+		if pl.firstTokenSeen || !known || r.Incarnation() != pl.target.Incarnation() || !hasOlderWeights(&r, s.bounds.minToWait) {
 			continue
 		}
-		logline.Info("waiting_cut", "target", r.ID, "versions", r.Versions, "oldest", p.bounds.minToWait, "waited", p.now()-pl.send.SentAt)
+		logline.Info("waiting_cut", "target", r.ID, "versions", r.Versions, "oldest", s.bounds.minToWait, "waited", s.now()-pl.send.SentAt)
 		pl.cancelledHere = true
 		pl.cancel()
-		delete(p.running, pl)
+		delete(s.running, pl)
 	}
 }
 
-// refreshAllFilters calls refreshFilters for every target. The caller holds p.mu.
-func (p *enginePool) refreshAllFilters() {
-	for id, r := range p.registrations {
-		p.refreshFilters(id, &r)
+// refreshAllFilters calls refreshFilters for every target. The caller holds s.mu.
+func (s *engineService) refreshAllFilters() {
+	for id, r := range s.registrations {
+		s.refreshFilters(id, &r)
 	}
 }
 
 // refreshFilters updates what the placement filters know of a target's weights and load
-// state. The caller holds p.mu.
-func (p *enginePool) refreshFilters(id string, r *directory.Registration) {
-	i, ok := p.pool.Find(id)
+// state. The caller holds s.mu.
+func (s *engineService) refreshFilters(id string, r *directory.Registration) {
+	i, ok := s.pool.Find(id)
 	if !ok {
 		return
 	}
-	t := p.pool.Target(i)
-	t.Outdated, t.Loading = hasOlderWeights(r, p.bounds.preferred), p.isExcluded(r)
-	p.pool.ApplyFilters(i)
+	t := s.pool.Target(i)
+	t.Outdated, t.Loading = hasOlderWeights(r, s.bounds.preferred), s.isExcluded(r)
+	s.pool.ApplyFilters(i)
 }
 
 // recordServedVersion records the weights version that a response was made with. Responses
 // report a new version earlier than registrations do.
-func (p *enginePool) recordServedVersion(id directory.Incarnation, model string, version int64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r, ok := p.registrations[id.ID]
+func (s *engineService) recordServedVersion(id directory.Incarnation, model string, version int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.registrations[id.ID]
 	if !ok || r.Incarnation() != id || r.Versions[model] >= version {
 		return
 	}
@@ -129,27 +129,27 @@
 	}
 	versions[model] = version
 	r.Versions = versions
-	p.registrations[id.ID] = r
-	if i, ok := p.pool.Find(id.ID); ok {
-		t := p.pool.Target(i)
+	s.registrations[id.ID] = r
+	if i, ok := s.pool.Find(id.ID); ok {
+		t := s.pool.Target(i)
 		identity := cacheIdentity(&r)
 		t.Version = identity.Version
-		t.Cache = p.index.Observe(p.now(), identity)
-		p.refreshFilters(id.ID, &r)
+		t.Cache = s.index.Observe(s.now(), identity)
+		s.refreshFilters(id.ID, &r)
 	}
 }
 
 // expireRefusalBackoffs makes targets available again whose refusalBackoff has passed. The
-// caller holds p.mu.
-func (p *enginePool) expireRefusalBackoffs() {
-	now := p.now()
-	for id, at := range p.refusedAt {
+// caller holds s.mu.
+func (s *engineService) expireRefusalBackoffs() {
+	now := s.now()
+	for id, at := range s.refusedAt {
 		if now-at < refusalBackoff {
 			continue
 		}
-		delete(p.refusedAt, id)
-		if r, ok := p.registrations[id]; ok {
-			p.refreshFilters(id, &r)
+		delete(s.refusedAt, id)
+		if r, ok := s.registrations[id]; ok {
+			s.refreshFilters(id, &r)
 		}
 	}
 }
--- a/internal/gateway/enginepeers.go
+++ b/internal/gateway/enginepeers.go
@@ -17,12 +17,12 @@
 }
 
 // targetLoads returns the work of this instance at each target that has any.
-func (p *enginePool) targetLoads() map[string]targetLoad {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) targetLoads() map[string]targetLoad {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	out := map[string]targetLoad{}
-	for i := range p.pool.Len() {
-		t := p.pool.Target(i)
+	for i := range s.pool.Len() {
+		t := s.pool.Target(i)
 		if l := (targetLoad{PendingPromptTokens: t.Load.Unanswered(), KVCacheTokens: t.HeldTokens}); l != (targetLoad{}) {
 			out[t.Name] = l
 		}
@@ -33,12 +33,12 @@
 // setPeerLoads sets the total work of the other instances at each target. Their reports are
 // up to delay old, so the backlog limit is raised by the part of the delay that exceeds the
 // exchange interval.
-func (p *enginePool) setPeerLoads(delay time.Duration, peers map[string]targetLoad) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.dispatcher.SetMaxTargetBacklog(maxTargetBacklog + delay - exchangeInterval)
-	for i := range p.pool.Len() {
-		t := p.pool.Target(i)
+func (s *engineService) setPeerLoads(delay time.Duration, peers map[string]targetLoad) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.dispatcher.SetMaxTargetBacklog(maxTargetBacklog + delay - exchangeInterval)
+	for i := range s.pool.Len() {
+		t := s.pool.Target(i)
 		l := peers[t.Name]
 		t.PeersHeldTokens = l.KVCacheTokens
 		t.Load.SetPeerUnanswered(l.PendingPromptTokens)
@@ -53,13 +53,13 @@
 
 // recordPeerPrompt records a prompt that a target has prefilled for a peer, and the number
 // of tokens that it has added to the target's cache.
-func (p *enginePool) recordPeerPrompt(id directory.Incarnation, chain []prefix.Hash, tokens int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r, ok := p.registrations[id.ID]
+func (s *engineService) recordPeerPrompt(id directory.Incarnation, chain []prefix.Hash, tokens int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.registrations[id.ID]
 	if !ok || r.Incarnation() != id {
 		return
 	}
-	p.index.AddInsertedTokens(cacheIdentity(&r), float64(tokens))
-	p.index.Stored(cacheIdentity(&r), chain)
+	s.index.AddInsertedTokens(cacheIdentity(&r), float64(tokens))
+	s.index.Stored(cacheIdentity(&r), chain)
 }
--- a/internal/gateway/enginerollout_test.go
+++ b/internal/gateway/enginerollout_test.go
@@ -18,17 +18,17 @@
 func TestWaitsAtOutdatedTargetsAreCancelled(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2)}, "a")
-	pool := p.enginePoolFor("engines")
+	service := p.engineServiceFor("engines")
 	send := func() (pl *enginePlacement, cancelled *bool) {
-		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
+		pl, refusal := service.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
 		cancelled = new(bool)
-		pool.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{})
+		service.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{})
 		return pl, cancelled
 	}
 	_, waitCancelled := send()
 	answeredAttempt, answeredCancelled := send()
-	pool.recordFirstToken(answeredAttempt)
+	service.recordFirstToken(answeredAttempt)
 	setWeightsAge := func(age time.Duration) {
 		p.applyExchangeResponse(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{
 			{Model: "m", Version: 3, AgeMillis: age.Milliseconds(), Observed: true},
@@ -48,53 +48,53 @@
 func TestCancelledWaitsDoNotOpenBreaker(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2)}, "a")
-	pool := p.enginePoolFor("engines")
+	service := p.engineServiceFor("engines")
 	var waiting []*enginePlacement
 	for range 8 {
-		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
+		pl, refusal := service.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
-		pool.startAttempt(pl, func() {}, cancelPolicy{})
+		service.startAttempt(pl, func() {}, cancelPolicy{})
 		waiting = append(waiting, pl)
 	}
 	p.applyExchangeResponse(p.clock.Now(), wire.Identity{}, 0, wire.ExchangeResponse{Weights: []wire.NamedWeights{{Model: "m", Version: 3, AgeMillis: 9600, Observed: true}}})
 	p.excludedVersions()
 	for _, pl := range waiting {
-		pool.endAttempt(pl, overload.Failed)
+		service.endAttempt(pl, overload.Failed)
 	}
-	is.Equal(pool.breaker("a").State(), overload.Closed)
+	is.Equal(service.breaker("a").State(), overload.Closed)
 }
 
 // Guards against a load that is delayed by the long streams on its target.
 func TestStreamsMoveBeforeWeightsLoad(t *testing.T) {
 	is := is.New(t)
 	p := startTestGateway(&memoryStore{newest: 3, targets: targetsOnVersions(2, 2)}, "a")
-	pool := p.enginePoolFor("engines")
+	service := p.engineServiceFor("engines")
 	now := time.Duration(0)
-	pool.now = func() time.Duration { return now }
+	service.now = func() time.Duration { return now }
 	start := func(resumable bool) (pl *enginePlacement, cancelled *bool) {
-		pl, refusal := pool.acquire(t.Context(), &engineRequest{Account: "acc"})
+		pl, refusal := service.acquire(t.Context(), &engineRequest{Account: "acc"})
 		is.True(refusal == nil)
 		cancelled = new(bool)
-		pool.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{reserveResume: func() bool { return resumable }})
-		pool.recordFirstToken(pl)
+		service.startAttempt(pl, func() { *cancelled = true }, cancelPolicy{reserveResume: func() bool { return resumable }})
+		service.recordFirstToken(pl)
 		return pl, cancelled
 	}
 	pl, movableCancelled := start(true)
 	_, otherCancelled := start(false)
 	loading := map[string]bool{}
-	for id := range pool.registrations {
+	for id := range service.registrations {
 		loading[id] = true
 	}
-	pool.applyRollout(versionBounds{}, loading)
+	service.applyRollout(versionBounds{}, loading)
 	now += streamMoveDelay
-	pool.applyRollout(versionBounds{}, loading)
+	service.applyRollout(versionBounds{}, loading)
 	is.True(!*movableCancelled) // no other target is available
 	loading = map[string]bool{pl.target.ID: true}
-	pool.applyRollout(versionBounds{}, loading)
+	service.applyRollout(versionBounds{}, loading)
 	is.True(*movableCancelled)
 	is.True(!*otherCancelled)
-	pool.endAttempt(pl, overload.Failed)
-	is.Equal(pool.breaker(pl.target.ID).State(), overload.Closed)
+	service.endAttempt(pl, overload.Failed)
+	is.Equal(service.breaker(pl.target.ID).State(), overload.Closed)
 }
 
 // Guards against refusing to resume a stream because it began longer ago than callers wait
--- a/internal/gateway/enginepool.go
+++ b/internal/gateway/engineservice.go
@@ -54,9 +54,9 @@
 	firstTokenSeen bool
 }
 
-// enginePool schedules the requests of one service of model servers. Its lock is held for
-// decisions only, never during I/O.
-type enginePool struct {
+// engineService schedules the requests of one service of model servers. Its lock is held
+// for decisions only, never during I/O.
+type engineService struct {
 	now         func() time.Duration
 	domain      string
 	prefillRate float64
@@ -94,8 +94,8 @@
 	stepScheduled bool
 }
 
-func newEnginePool(now func() time.Duration, domain string, prefill float64, limits *targetLimits) *enginePool {
-	p := &enginePool{
+func newEngineService(now func() time.Duration, domain string, prefill float64, limits *targetLimits) *engineService {
+	s := &engineService{
 		now: now, domain: domain, prefillRate: prefill, limits: limits, serviceTimes: servicetime.New(prefill),
 		registrations: map[string]directory.Registration{}, breakers: map[string]*overload.Breaker{},
 		stallDetectors: map[string]*overload.StallDetector{}, running: map[*enginePlacement]struct{}{}, stalledAt: map[string]time.Duration{},
@@ -103,71 +103,71 @@
 		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		refusedAt: map[string]time.Duration{}, loadingSince: map[string]time.Duration{},
 	}
-	p.rebuild(nil)
+	s.rebuild(nil)
 	o := dispatch.DefaultOptions()
 	o.MaxTargetBacklog = maxTargetBacklog
 	o.RecomputeBacklogUnit, o.MaxRecomputeFactor = recomputeBacklogUnit, maxRecomputeFactor
 	o.Queue.MaxItems = maxQueuedRequests
 	o.Queue.MinRate = prefill
-	p.dispatcher = dispatch.New[chan placementResult](p.pool, p.index, p.picker, o)
-	return p
+	s.dispatcher = dispatch.New[chan placementResult](s.pool, s.index, s.picker, o)
+	return s
 }
 
 // updateTargets sets the usable targets of the service. The state of targets that remain is
 // kept; a new incarnation starts without any.
-func (p *enginePool) updateTargets(regs []directory.Registration, e *routing.Engine) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.memoryTokens = e.MemoryTokens
-	p.index.SetCapacity(cacheMemoryShare * float64(e.MemoryTokens))
+func (s *engineService) updateTargets(regs []directory.Registration, e *routing.Engine) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.memoryTokens = e.MemoryTokens
+	s.index.SetCapacity(cacheMemoryShare * float64(e.MemoryTokens))
 	if e.BytesPerToken > 0 {
-		p.transferRate = transferLinkShare * e.LinkMbps * bytesPerMbit / float64(e.BytesPerToken)
+		s.transferRate = transferLinkShare * e.LinkMbps * bytesPerMbit / float64(e.BytesPerToken)
 	}
-	p.rebuild(regs)
-	p.dispatcher.ReplacePool(p.pool, p.picker)
-	p.step()
+	s.rebuild(regs)
+	s.dispatcher.ReplacePool(s.pool, s.picker)
+	s.step()
 }
 
-// rebuild replaces the placement pool and the picker. The caller holds p.mu.
-func (p *enginePool) rebuild(regs []directory.Registration) {
+// rebuild replaces the placement pool and the picker. The caller holds s.mu.
+func (s *engineService) rebuild(regs []directory.Registration) {
 	next := map[string]directory.Registration{}
 	targets := make([]placement.Target, 0, len(regs))
 	for _, r := range regs {
 		next[r.ID] = r
-		targets = append(targets, p.targetState(r))
+		targets = append(targets, s.targetState(r))
 	}
-	for id, old := range p.registrations {
+	for id, old := range s.registrations {
 		if r, ok := next[id]; !ok || r.Incarnation() != old.Incarnation() {
-			delete(p.breakers, id)
-			delete(p.stallDetectors, id)
+			delete(s.breakers, id)
+			delete(s.stallDetectors, id)
 		}
 	}
-	p.registrations = next
-	p.serviceTimes.Retain(func(id string) bool { _, exists := next[id]; return exists })
-	p.pool = placement.NewPool(targets, "", placement.DefaultFilters())
+	s.registrations = next
+	s.serviceTimes.Retain(func(id string) bool { _, exists := next[id]; return exists })
+	s.pool = placement.NewPool(targets, "", placement.DefaultFilters())
 	o := placement.DefaultOptions()
-	o.MaxCandidates, o.EquivalentTokens = maxCandidates, p.serviceTimes.EquivalentTokens
+	o.MaxCandidates, o.EquivalentTokens = maxCandidates, s.serviceTimes.EquivalentTokens
 	o.QueueSlack = queueSlack
-	o.Domain, o.OutdatedPenalty = p.domain, outdatedWeightsPenalty
-	o.TransferTokensPerSecond, o.TransferSetup = p.transferRate, transferSetup
-	p.picker = placement.NewPicker(p.pool, p.index, o)
+	o.Domain, o.OutdatedPenalty = s.domain, outdatedWeightsPenalty
+	o.TransferTokensPerSecond, o.TransferSetup = s.transferRate, transferSetup
+	s.picker = placement.NewPicker(s.pool, s.index, o)
 }
 
 // targetState returns the placement target for a registration, with the state that was
 // observed of the same incarnation.
-func (p *enginePool) targetState(r directory.Registration) placement.Target {
-	t := placement.Target{Name: r.ID, PrefillTokensPerSecond: p.prefillRate}
-	if p.pool != nil && p.registrations[r.ID].Incarnation() == r.Incarnation() {
-		if i, ok := p.pool.Find(r.ID); ok {
-			t = *p.pool.Target(i)
+func (s *engineService) targetState(r directory.Registration) placement.Target {
+	t := placement.Target{Name: r.ID, PrefillTokensPerSecond: s.prefillRate}
+	if s.pool != nil && s.registrations[r.ID].Incarnation() == r.Incarnation() {
+		if i, ok := s.pool.Find(r.ID); ok {
+			t = *s.pool.Target(i)
 		}
 	}
-	t.PrefillTokensPerSecond = p.serviceTimes.Rate(r.ID)
+	t.PrefillTokensPerSecond = s.serviceTimes.Rate(r.ID)
 	id := cacheIdentity(&r)
 	t.Domain, t.Incarnation, t.Version = r.Domain, id.Incarnation, id.Version
-	t.Limit, t.MemoryTokens = r.Slots, p.memoryTokens
-	t.Outdated, t.Loading = hasOlderWeights(&r, p.bounds.preferred), p.isExcluded(&r)
-	t.Cache = p.index.Observe(p.now(), id)
+	t.Limit, t.MemoryTokens = r.Slots, s.memoryTokens
+	t.Outdated, t.Loading = hasOlderWeights(&r, s.bounds.preferred), s.isExcluded(&r)
+	t.Cache = s.index.Observe(s.now(), id)
 	return t
 }
 
@@ -179,193 +179,193 @@
 
 // acquire waits for a target. It returns a refusal if there is none, and neither a target
 // nor a refusal if ctx ended.
-func (p *enginePool) acquire(ctx context.Context, r *engineRequest) (*enginePlacement, *dispatch.Refusal[chan placementResult]) {
+func (s *engineService) acquire(ctx context.Context, r *engineRequest) (*enginePlacement, *dispatch.Refusal[chan placementResult]) {
 	r.Value = make(chan placementResult, 1)
-	p.mu.Lock()
-	p.nextID++
-	r.ID = p.nextID
-	p.refreshBreakers()
-	p.refreshRateLimits()
-	p.expireRefusalBackoffs()
-	p.applyStep(p.dispatcher.Push(p.now(), r, p.rng))
-	p.scheduleStep()
-	p.mu.Unlock()
+	s.mu.Lock()
+	s.nextID++
+	r.ID = s.nextID
+	s.refreshBreakers()
+	s.refreshRateLimits()
+	s.expireRefusalBackoffs()
+	s.applyStep(s.dispatcher.Push(s.now(), r, s.rng))
+	s.scheduleStep()
+	s.mu.Unlock()
 	select {
 	case out := <-r.Value:
 		return out.placed, out.refusal
 	case <-ctx.Done():
 	}
-	p.mu.Lock()
-	p.dispatcher.Cancel(r.Account, r.ID)
-	p.mu.Unlock()
+	s.mu.Lock()
+	s.dispatcher.Cancel(r.Account, r.ID)
+	s.mu.Unlock()
 	select {
 	case out := <-r.Value: // a target was chosen in the meantime
 		if out.placed != nil {
-			p.endAttempt(out.placed, overload.Cancelled)
+			s.endAttempt(out.placed, overload.Cancelled)
 		}
 	default:
 	}
 	return nil, nil
 }
 
-// scheduleStep runs a step after queueStepInterval if requests wait. The caller holds p.mu.
-func (p *enginePool) scheduleStep() {
-	if p.stepScheduled || p.dispatcher.Waiting() == 0 {
+// scheduleStep runs a step after queueStepInterval if requests wait. The caller holds s.mu.
+func (s *engineService) scheduleStep() {
+	if s.stepScheduled || s.dispatcher.Waiting() == 0 {
 		return
 	}
-	p.stepScheduled = true
+	s.stepScheduled = true
 	time.AfterFunc(queueStepInterval, func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.stepScheduled = false
-		p.step()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.stepScheduled = false
+		s.step()
 	})
 }
 
-// step sends and refuses the waiting requests that are due. The caller holds p.mu.
-func (p *enginePool) step() {
-	p.refreshBreakers()
-	p.refreshRateLimits()
-	p.expireRefusalBackoffs()
-	p.applyStep(p.dispatcher.Step(p.now(), p.rng))
-	p.scheduleStep()
+// step sends and refuses the waiting requests that are due. The caller holds s.mu.
+func (s *engineService) step() {
+	s.refreshBreakers()
+	s.refreshRateLimits()
+	s.expireRefusalBackoffs()
+	s.applyStep(s.dispatcher.Step(s.now(), s.rng))
+	s.scheduleStep()
 }
 
 // applyStep passes the results of a dispatcher step to the waiting requests. The caller
-// holds p.mu.
-func (p *enginePool) applyStep(s dispatch.Step[chan placementResult]) {
-	for i := range s.Sends {
-		send := s.Sends[i]
-		p.limits.recordSend(p.registrations[send.Identity.Target].Incarnation())
-		b := p.breaker(send.Identity.Target)
+// holds s.mu.
+func (s *engineService) applyStep(step dispatch.Step[chan placementResult]) {
+	for i := range step.Sends {
+		send := step.Sends[i]
+		s.limits.recordSend(s.registrations[send.Identity.Target].Incarnation())
+		b := s.breaker(send.Identity.Target)
 		pl := &enginePlacement{
-			target: p.registrations[send.Identity.Target], send: send, breaker: b, ticket: b.Begin(),
-			heldTokens: send.Request.Placement.HeldTokens, eligibleTargets: p.pool.EligibleCount(),
+			target: s.registrations[send.Identity.Target], send: send, breaker: b, ticket: b.Begin(),
+			heldTokens: send.Request.Placement.HeldTokens, eligibleTargets: s.pool.EligibleCount(),
 		}
-		if from, n, ok := p.picker.FetchSource(send.Decision, &send.Request.Placement); ok {
-			pl.fetchSource, pl.fetchSourcePieces = p.registrations[p.pool.Target(from).Name].Address, n
+		if from, n, ok := s.picker.FetchSource(send.Decision, &send.Request.Placement); ok {
+			pl.fetchSource, pl.fetchSourcePieces = s.registrations[s.pool.Target(from).Name].Address, n
 		}
 		send.Request.Value <- placementResult{placed: pl}
 	}
-	for i := range s.Refusals {
-		refusal := s.Refusals[i]
+	for i := range step.Refusals {
+		refusal := step.Refusals[i]
 		refusal.Request.Value <- placementResult{refusal: &refusal}
 	}
 }
 
-// breaker returns the circuit breaker of a target. The caller holds p.mu.
-func (p *enginePool) breaker(id string) *overload.Breaker {
-	b := p.breakers[id]
+// breaker returns the circuit breaker of a target. The caller holds s.mu.
+func (s *engineService) breaker(id string) *overload.Breaker {
+	b := s.breakers[id]
 	if b == nil {
 		b = overload.NewBreaker(overload.BreakerConfig{})
-		p.breakers[id] = b
+		s.breakers[id] = b
 	}
 	return b
 }
 
 // refreshBreakers updates the placement filters with the targets whose breakers allow a
-// request now. The caller holds p.mu.
-func (p *enginePool) refreshBreakers() {
-	now := p.now()
-	for id, b := range p.breakers {
-		i, ok := p.pool.Find(id)
+// request now. The caller holds s.mu.
+func (s *engineService) refreshBreakers() {
+	now := s.now()
+	for id, b := range s.breakers {
+		i, ok := s.pool.Find(id)
 		if !ok {
 			continue
 		}
-		t := p.pool.Target(i)
+		t := s.pool.Target(i)
 		if open := !b.Ready(now); open != t.BreakerOpen {
 			t.BreakerOpen = open
-			p.pool.ApplyFilters(i)
+			s.pool.ApplyFilters(i)
 		}
 	}
 }
 
 // refreshRateLimits updates the placement filters with the targets whose advertised rate
-// limits allow a request now. The caller holds p.mu.
-func (p *enginePool) refreshRateLimits() {
-	canSend := p.limits.limitedTargets()
-	if len(canSend)+len(p.rateLimited) == 0 {
+// limits allow a request now. The caller holds s.mu.
+func (s *engineService) refreshRateLimits() {
+	canSend := s.limits.limitedTargets()
+	if len(canSend)+len(s.rateLimited) == 0 {
 		return
 	}
-	for id := range p.rateLimited {
-		p.setRateLimit(id, false, false)
+	for id := range s.rateLimited {
+		s.setRateLimit(id, false, false)
 	}
-	p.rateLimited = map[string]bool{}
+	s.rateLimited = map[string]bool{}
 	for id, allowed := range canSend {
-		if r, ok := p.registrations[id.ID]; ok && r.Incarnation() == id {
-			p.rateLimited[id.ID] = true
-			p.setRateLimit(id.ID, true, !allowed)
+		if r, ok := s.registrations[id.ID]; ok && r.Incarnation() == id {
+			s.rateLimited[id.ID] = true
+			s.setRateLimit(id.ID, true, !allowed)
 		}
 	}
 }
 
 // setRateLimit sets whether a target advertises a rate limit and whether that limit allows
-// no request now. The caller holds p.mu.
-func (p *enginePool) setRateLimit(id string, limited, overRate bool) {
-	if i, ok := p.pool.Find(id); ok {
-		t := p.pool.Target(i)
+// no request now. The caller holds s.mu.
+func (s *engineService) setRateLimit(id string, limited, overRate bool) {
+	if i, ok := s.pool.Find(id); ok {
+		t := s.pool.Target(i)
 		t.RateLimited, t.OverRate = limited, overRate
-		p.pool.ApplyFilters(i)
+		s.pool.ApplyFilters(i)
 	}
 }
 
 // recordFirstToken records the first token of a response. Further calls for the same
 // attempt have no effect.
-func (p *enginePool) recordFirstToken(pl *enginePlacement) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) recordFirstToken(pl *enginePlacement) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if pl.firstTokenSeen {
 		return
 	}
 	pl.firstTokenSeen = true
-	p.observeFirstToken(pl)
-	p.dispatcher.Answered(&pl.send)
-	p.index.AddInsertedTokens(pl.send.Identity, float64(pl.newlyCachedTokens()))
-	p.step()
+	s.observeFirstToken(pl)
+	s.dispatcher.Answered(&pl.send)
+	s.index.AddInsertedTokens(pl.send.Identity, float64(pl.newlyCachedTokens()))
+	s.step()
 }
 
 // observeFirstToken updates the service time estimates with the first token of a response.
-// The caller holds p.mu.
-func (p *enginePool) observeFirstToken(pl *enginePlacement) {
-	now, r := p.now(), &pl.send.Request.Placement
-	p.serviceTimes.Observe(pl.target.ID, servicetime.Sample{
+// The caller holds s.mu.
+func (s *engineService) observeFirstToken(pl *enginePlacement) {
+	now, r := s.now(), &pl.send.Request.Placement
+	s.serviceTimes.Observe(pl.target.ID, servicetime.Sample{
 		At: now, Elapsed: now - pl.send.SentAt, PromptTokens: float64(r.PromptTokens),
 		UncachedTokens: max(0, float64(r.PromptTokens-r.LeadingTokens(max(pl.send.Decision.CachedPieces, pl.fetchSourcePieces)))),
 		NoOtherWork:    pl.send.Decision.Queued == 0,
 	})
-	if l := p.serviceTimes.Latency(); l > 0 {
-		p.dispatcher.SetLatency(l)
+	if l := s.serviceTimes.Latency(); l > 0 {
+		s.dispatcher.SetLatency(l)
 	}
-	if i, ok := p.pool.Find(pl.target.ID); ok {
-		p.pool.Target(i).PrefillTokensPerSecond = p.serviceTimes.Rate(pl.target.ID)
+	if i, ok := s.pool.Find(pl.target.ID); ok {
+		s.pool.Target(i).PrefillTokensPerSecond = s.serviceTimes.Rate(pl.target.ID)
 	}
 }
 
 // endAttempt records the end of an attempt and reports its result to the target's breaker.
-func (p *enginePool) endAttempt(pl *enginePlacement, result overload.Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) endAttempt(pl *enginePlacement, result overload.Result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if pl.cancelledHere {
 		result = overload.Cancelled
 	}
 	if !pl.firstTokenSeen {
 		pl.firstTokenSeen = true
-		p.dispatcher.Failed(&pl.send)
+		s.dispatcher.Failed(&pl.send)
 	}
-	if i, ok := p.pool.Find(pl.target.ID); ok && p.registrations[pl.target.ID].Incarnation() == pl.target.Incarnation() {
-		t := p.pool.Target(i)
+	if i, ok := s.pool.Find(pl.target.ID); ok && s.registrations[pl.target.ID].Incarnation() == pl.target.Incarnation() {
+		t := s.pool.Target(i)
 		t.InFlight--
 		t.HeldTokens -= pl.heldTokens
 	}
-	pl.breaker.End(p.now(), pl.ticket, result, p.rng)
-	p.stallDetector(pl.target.ID).End(pl.stallID)
-	delete(p.running, pl)
-	p.step()
+	pl.breaker.End(s.now(), pl.ticket, result, s.rng)
+	s.stallDetector(pl.target.ID).End(pl.stallID)
+	delete(s.running, pl)
+	s.step()
 }
 
 // recordUnreachable records that no connection to the target could be made.
-func (p *enginePool) recordUnreachable(pl *enginePlacement) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	pl.breaker.Unreachable(p.now(), p.rng)
+func (s *engineService) recordUnreachable(pl *enginePlacement) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pl.breaker.Unreachable(s.now(), s.rng)
 }
--- a/internal/gateway/enginestall.go
+++ b/internal/gateway/enginestall.go
@@ -16,13 +16,13 @@
 )
 
 // recentlyStalled returns the targets found to have stalled within stallReportPeriod.
-func (p *enginePool) recentlyStalled() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) recentlyStalled() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var ids []string
-	for id, at := range p.stalledAt {
-		if p.now()-at > stallReportPeriod {
-			delete(p.stalledAt, id)
+	for id, at := range s.stalledAt {
+		if s.now()-at > stallReportPeriod {
+			delete(s.stalledAt, id)
 		} else {
 			ids = append(ids, id)
 		}
@@ -31,11 +31,11 @@
 }
 
 // openBreakers returns the targets whose breakers are open at this instance.
-func (p *enginePool) openBreakers() map[string]bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) openBreakers() map[string]bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	ids := map[string]bool{}
-	for id, b := range p.breakers {
+	for id, b := range s.breakers {
 		if b.State() == overload.Open {
 			ids[id] = true
 		}
@@ -46,73 +46,73 @@
 // suspectStalled stops sending to targets that several peers have found to have stalled,
 // unless one has responded to this instance recently: this instance may reach targets that
 // the peers do not. A probe by the breaker soon shows whether a target responds.
-func (p *enginePool) suspectStalled(ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.now()
+func (s *engineService) suspectStalled(ids []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
 	for _, id := range ids {
-		r, known := p.registrations[id]
-		b := p.breaker(id)
-		if !known || b.State() == overload.Open || p.stallDetector(id).AnsweredSince(now-ownAnswerValidity) {
+		r, known := s.registrations[id]
+		b := s.breaker(id)
+		if !known || b.State() == overload.Open || s.stallDetector(id).AnsweredSince(now-ownAnswerValidity) {
 			continue
 		}
-		b.Unreachable(now, p.rng)
+		b.Unreachable(now, s.rng)
 		logline.Info("target_suspected", "target", id, "address", r.Address, "domain", r.Domain)
 	}
-	p.step()
+	s.step()
 }
 
 // checkStalled stops sending to targets that have stalled and cancels the attempts there
 // that may run at other targets. It returns the addresses of the stalled targets.
-func (p *enginePool) checkStalled() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.now()
+func (s *engineService) checkStalled() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
 	var stalled []string
-	for id, s := range p.stallDetectors {
-		b := p.breaker(id)
-		if b.State() == overload.Open || !s.Stalled(now) {
+	for id, detector := range s.stallDetectors {
+		b := s.breaker(id)
+		if b.State() == overload.Open || !detector.Stalled(now) {
 			continue
 		}
-		b.Unreachable(now, p.rng)
-		stalled = append(stalled, p.registrations[id].Address)
-		p.stalledAt[id] = now
-		logline.Info("target_silent", "target", id, "address", p.registrations[id].Address, "domain", p.registrations[id].Domain)
-		for pl := range p.running {
+		b.Unreachable(now, s.rng)
+		stalled = append(stalled, s.registrations[id].Address)
+		s.stalledAt[id] = now
+		logline.Info("target_silent", "target", id, "address", s.registrations[id].Address, "domain", s.registrations[id].Domain)
+		for pl := range s.running {
 			// Attempts that must not be repeated wait, because the target may recover.
 			if pl.target.ID == id && pl.repeatable {
 				pl.cancel()
 			}
 		}
 	}
-	p.step()
+	s.step()
 	return stalled
 }
 
 // startAttempt records that an attempt has been sent. cancel is called if its target
 // stalls, is about to load new weights, or keeps the attempt waiting until its weights are
 // too old.
-func (p *enginePool) startAttempt(pl *enginePlacement, cancel func(), policy cancelPolicy) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *engineService) startAttempt(pl *enginePlacement, cancel func(), policy cancelPolicy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	pl.cancel, pl.cancelPolicy = cancel, policy
-	pl.stallID = p.stallDetector(pl.target.ID).Begin(p.now())
-	p.running[pl] = struct{}{}
+	pl.stallID = s.stallDetector(pl.target.ID).Begin(s.now())
+	s.running[pl] = struct{}{}
 }
 
-// stallDetector returns the stall detector of a target. The caller holds p.mu.
-func (p *enginePool) stallDetector(id string) *overload.StallDetector {
-	s := p.stallDetectors[id]
-	if s == nil {
-		s = &overload.StallDetector{}
-		p.stallDetectors[id] = s
+// stallDetector returns the stall detector of a target. The caller holds s.mu.
+func (s *engineService) stallDetector(id string) *overload.StallDetector {
+	detector := s.stallDetectors[id]
+	if detector == nil {
+		detector = &overload.StallDetector{}
+		s.stallDetectors[id] = detector
 	}
-	return s
+	return detector
 }
 
 // recordProgress records that a part of an attempt's response has arrived.
-func (p *enginePool) recordProgress(pl *enginePlacement) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stallDetector(pl.target.ID).Progress(p.now(), pl.stallID)
+func (s *engineService) recordProgress(pl *enginePlacement) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stallDetector(pl.target.ID).Progress(s.now(), pl.stallID)
 }
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -21,11 +21,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	state.LoadingTargets = g.orderedTargets
-	for _, pool := range g.engines {
-		for id, l := range pool.targetLoads() {
+	for _, service := range g.engineServices {
+		for id, l := range service.targetLoads() {
 			state.Loads[id] = wire.TargetLoad{PendingPromptTokens: int(l.PendingPromptTokens), KVCacheTokens: l.KVCacheTokens}
 		}
-		state.SilentTargets = append(state.SilentTargets, pool.recentlyStalled()...)
+		state.SilentTargets = append(state.SilentTargets, service.recentlyStalled()...)
 	}
 	return state, g.quota.ReportSpent()
 }
@@ -71,7 +71,7 @@
 	}
 	g.quota.ApplyReports(now, reports...)
 	g.mu.Unlock()
-	pools := g.enginePools()
+	services := g.listEngineServices()
 	for i := range changes {
 		g.limits.applyReports(changes[i].State.TargetLimits)
 		if stores := changes[i].State.CacheStores; len(stores) > 0 {
@@ -82,7 +82,7 @@
 		}
 		for _, e := range changes[i].Events {
 			if e.Prompt != nil {
-				g.applyPrefilledPrompt(pools, e.Prompt)
+				g.applyPrefilledPrompt(services, e.Prompt)
 			}
 		}
 	}
@@ -90,13 +90,13 @@
 
 // applyPrefilledPrompt records a prompt that a target has prefilled for another
 // instance.
-func (g *Gateway) applyPrefilledPrompt(pools []*enginePool, prompt *wire.PrefilledPrompt) {
+func (g *Gateway) applyPrefilledPrompt(services []*engineService, prompt *wire.PrefilledPrompt) {
 	if len(prompt.SavedPieces) > 0 {
 		g.cache.recordSave(prompt.CacheScope, hashesFromUint64(prompt.SavedPieces))
 	}
 	chain := hashesFromUint64(prompt.SharedPieces)
-	for _, pool := range pools {
-		pool.recordPeerPrompt(directory.Incarnation{ID: prompt.Target, StartedMs: prompt.Born}, chain, prompt.CachedTokens)
+	for _, service := range services {
+		service.recordPeerPrompt(directory.Incarnation{ID: prompt.Target, StartedMs: prompt.Born}, chain, prompt.CachedTokens)
 	}
 }
 
@@ -169,14 +169,14 @@
 	return sentAt - age
 }
 
-// suspectTargets passes the targets that peers report as silent on to every engine
-// pool.
+// suspectTargets passes the targets that peers report as silent on to every service
+// of model servers.
 func (g *Gateway) suspectTargets(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	for _, pool := range g.enginePools() {
-		pool.suspectStalled(ids)
+	for _, service := range g.listEngineServices() {
+		service.suspectStalled(ids)
 	}
 }
 
@@ -193,7 +193,7 @@
 	g.crashes.unreported = nil
 	g.loadingTargets = union(loading, g.orderedTargets)
 	g.updateVersionBounds()
-	for _, pool := range g.engines {
-		pool.setPeerLoads(updateDelay, loads)
+	for _, service := range g.engineServices {
+		service.setPeerLoads(updateDelay, loads)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,14 +48,14 @@
 	// each was named.
 	versions map[string]*namedVersions
 	// oldestServing is the oldest weights version that may serve, by service and model.
-	oldestServing map[string]int64
-	quota         *quota.Limiter
-	directory     *directory.Directory
-	registrations registrationState
-	engines       map[string]*enginePool
-	services      map[string]*servicePool
-	retryBudgets  map[string]*overload.SharedRetryBudget
-	crashes       crashCounts
+	oldestServing  map[string]int64
+	quota          *quota.Limiter
+	directory      *directory.Directory
+	registrations  registrationState
+	engineServices map[string]*engineService
+	plainServices  map[string]*plainService
+	retryBudgets   map[string]*overload.SharedRetryBudget
+	crashes        crashCounts
 
 	feeds feedReachability
 	peers *peers
@@ -110,8 +110,8 @@
 		directory:        directory.New(),
 		operatorsOffset:  unreadOffset,
 		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
-		engines:          map[string]*enginePool{},
-		services:         map[string]*servicePool{},
+		engineServices:   map[string]*engineService{},
+		plainServices:    map[string]*plainService{},
 		retryBudgets:     map[string]*overload.SharedRetryBudget{},
 		crashes:          newCrashCounts(),
 		planner:          weights.New(weights.DefaultSettings()),
@@ -220,8 +220,8 @@
 // checkSilentTargets looks for targets that stopped responding and drops their idle
 // connections, so that a probe has to dial a new one.
 func (g *Gateway) checkSilentTargets() {
-	for _, pool := range g.enginePools() {
-		for _, address := range pool.checkStalled() {
+	for _, service := range g.listEngineServices() {
+		for _, address := range service.checkStalled() {
 			g.targets.Forget(address)
 		}
 	}
@@ -251,34 +251,34 @@
 	}
 }
 
-// enginePoolFor returns the pool of a service of model servers and creates it if
+// engineServiceFor returns the state of a service of model servers and creates it if
 // needed. The caller holds g.mu.
-func (g *Gateway) enginePoolFor(name string) *enginePool {
-	p := g.engines[name]
-	if p == nil {
-		p = newEnginePool(g.clock.Now, g.settings.Domain, g.settings.PrefillTokensPerSecond, g.limits)
-		g.engines[name] = p
+func (g *Gateway) engineServiceFor(name string) *engineService {
+	s := g.engineServices[name]
+	if s == nil {
+		s = newEngineService(g.clock.Now, g.settings.Domain, g.settings.PrefillTokensPerSecond, g.limits)
+		g.engineServices[name] = s
 	}
-	return p
+	return s
 }
 
-// enginePools returns the pools of all services of model servers, for calls that are
-// made without g.mu.
-func (g *Gateway) enginePools() []*enginePool {
+// listEngineServices returns all services of model servers, for calls that are made without
+// g.mu.
+func (g *Gateway) listEngineServices() []*engineService {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Collect(maps.Values(g.engines))
+	return slices.Collect(maps.Values(g.engineServices))
 }
 
-// servicePoolFor returns the pool of a plain service and creates it if needed. The
-// caller holds g.mu.
-func (g *Gateway) servicePoolFor(name string) *servicePool {
-	p := g.services[name]
-	if p == nil {
-		p = newServicePool(g.clock.Now, g.settings.Domain, g.limits)
-		g.services[name] = p
+// plainServiceFor returns the state of a plain service and creates it if needed. The caller
+// holds g.mu.
+func (g *Gateway) plainServiceFor(name string) *plainService {
+	s := g.plainServices[name]
+	if s == nil {
+		s = newPlainService(g.clock.Now, g.settings.Domain, g.limits)
+		g.plainServices[name] = s
 	}
-	return p
+	return s
 }
 
 var _ http.Handler = (*Gateway)(nil)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -207,7 +207,7 @@
 		g.recordStoreContact(contact)
 	}
 	g.quota.SetLimits(now, accountLimits(c))
-	g.updatePools()
+	g.updateServiceTargets()
 	logline.Info("config_in_force", "version", c.Version, "from", from, "routes", len(c.Routes),
 		"services", len(c.Services), "accounts", len(c.Accounts))
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -55,19 +55,19 @@
 		return g.chooseEngineTarget(ctx, c)
 	}
 	g.mu.Lock()
-	pool := g.servicePoolFor(c.service.Name)
+	service := g.plainServiceFor(c.service.Name)
 	g.mu.Unlock()
-	choice, ok := pool.acquire(c.lastTarget)
+	choice, ok := service.acquire(c.lastTarget)
 	if !ok && c.lastTarget != "" {
-		choice, ok = pool.acquire("")
+		choice, ok = service.acquire("")
 	}
 	if !ok {
 		return nil, unavailableRefusal("no_target", noTargetRetry)
 	}
 	return &targetAttempt{
 		target: choice.target, onSend: func(func(), cancelPolicy) {}, onProgress: func() {}, onAnswer: func() {},
-		onEnd:         func(r overload.Result) { pool.endAttempt(choice, r) },
-		onUnreachable: func() { pool.recordUnreachable(choice) },
+		onEnd:         func(r overload.Result) { service.endAttempt(choice, r) },
+		onUnreachable: func() { service.recordUnreachable(choice) },
 	}, nil
 }
 
@@ -78,9 +78,9 @@
 // chooseEngineTarget is chooseTarget for services of model servers.
 func (g *Gateway) chooseEngineTarget(ctx context.Context, c *call) (*targetAttempt, *Refusal) {
 	g.mu.Lock()
-	pool := g.enginePoolFor(c.service.Name)
+	service := g.engineServiceFor(c.service.Name)
 	g.mu.Unlock()
-	pl, refusal := pool.acquire(ctx, g.newEngineRequest(c))
+	pl, refusal := service.acquire(ctx, g.newEngineRequest(c))
 	switch {
 	case refusal != nil:
 		reason := "queue_" + string(refusal.Reason)
@@ -99,12 +99,12 @@
 			if !pl.firstTokenSeen {
 				g.recordPrefill(c, a, pl)
 			}
-			pool.recordFirstToken(pl)
+			service.recordFirstToken(pl)
 		},
-		onSend:        func(cancel func(), policy cancelPolicy) { pool.startAttempt(pl, cancel, policy) },
-		onProgress:    func() { pool.recordProgress(pl) },
-		onEnd:         func(r overload.Result) { pool.endAttempt(pl, r) },
-		onUnreachable: func() { pool.recordUnreachable(pl) },
+		onSend:        func(cancel func(), policy cancelPolicy) { service.startAttempt(pl, cancel, policy) },
+		onProgress:    func() { service.recordProgress(pl) },
+		onEnd:         func(r overload.Result) { service.endAttempt(pl, r) },
+		onUnreachable: func() { service.recordUnreachable(pl) },
 	}
 	return a, nil
 }
--- a/internal/gateway/servicepool.go
+++ b/internal/gateway/plainservice.go
@@ -10,8 +10,8 @@
 	"github.com/mastictray/mastictray/internal/placement"
 )
 
-// servicePool chooses targets for the requests of one service without model servers.
-type servicePool struct {
+// plainService chooses targets for the requests of one service without model servers.
+type plainService struct {
 	now    func() time.Duration
 	domain string
 	limits *targetLimits
@@ -28,32 +28,32 @@
 	breaker      *overload.Breaker
 }
 
-func newServicePool(now func() time.Duration, domain string, limits *targetLimits) *servicePool {
-	return &servicePool{now: now, domain: domain, limits: limits, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+func newPlainService(now func() time.Duration, domain string, limits *targetLimits) *plainService {
+	return &plainService{now: now, domain: domain, limits: limits, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
 // updateTargets sets the usable targets of the service. The state of targets that remain is
 // kept.
-func (p *servicePool) updateTargets(regs []directory.Registration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *plainService) updateTargets(regs []directory.Registration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	next := make([]serviceTarget, 0, len(regs))
 	for _, r := range regs {
 		t := serviceTarget{registration: r}
-		if old := p.find(r.Incarnation()); old != nil {
+		if old := s.find(r.Incarnation()); old != nil {
 			t.inFlight, t.breaker = old.inFlight, old.breaker
 		} else {
 			t.breaker = overload.NewBreaker(overload.BreakerConfig{})
 		}
 		next = append(next, t)
 	}
-	p.targets = next
+	s.targets = next
 }
 
-func (p *servicePool) find(id directory.Incarnation) *serviceTarget {
-	for i := range p.targets {
-		if p.targets[i].registration.Incarnation() == id {
-			return &p.targets[i]
+func (s *plainService) find(id directory.Incarnation) *serviceTarget {
+	for i := range s.targets {
+		if s.targets[i].registration.Incarnation() == id {
+			return &s.targets[i]
 		}
 	}
 	return nil
@@ -68,23 +68,23 @@
 
 // acquire chooses the target with the fewest requests of this instance and, among equals,
 // one in its own domain. It returns false if no target may get a request.
-func (p *servicePool) acquire(exclude string) (*serviceChoice, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.now()
-	p.scratch = p.scratch[:0]
-	for _, t := range p.targets {
-		p.scratch = append(p.scratch, placement.ServiceTarget{
-			Name: t.registration.ID, Domain: t.registration.Domain, Outstanding: t.inFlight, Usable: t.breaker.Ready(now) && p.limits.canSend(t.registration.Incarnation()),
+func (s *plainService) acquire(exclude string) (*serviceChoice, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	s.scratch = s.scratch[:0]
+	for _, t := range s.targets {
+		s.scratch = append(s.scratch, placement.ServiceTarget{
+			Name: t.registration.ID, Domain: t.registration.Domain, Outstanding: t.inFlight, Usable: t.breaker.Ready(now) && s.limits.canSend(t.registration.Incarnation()),
 		})
 	}
-	i, ok := placement.LeastOutstanding(p.scratch, p.domain, exclude, maxOutstanding, p.rng)
+	i, ok := placement.LeastOutstanding(s.scratch, s.domain, exclude, maxOutstanding, s.rng)
 	if !ok {
 		return nil, false
 	}
-	t := &p.targets[i]
+	t := &s.targets[i]
 	t.inFlight++
-	p.limits.recordSend(t.registration.Incarnation())
+	s.limits.recordSend(t.registration.Incarnation())
 	return &serviceChoice{target: t.registration, breaker: t.breaker, ticket: t.breaker.Begin()}, true
 }
 
@@ -93,18 +93,18 @@
 const maxOutstanding = 64
 
 // endAttempt records the end of an attempt and reports its result to the target's breaker.
-func (p *servicePool) endAttempt(c *serviceChoice, result overload.Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if t := p.find(c.target.Incarnation()); t != nil {
+func (s *plainService) endAttempt(c *serviceChoice, result overload.Result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if t := s.find(c.target.Incarnation()); t != nil {
 		t.inFlight--
 	}
-	c.breaker.End(p.now(), c.ticket, result, p.rng)
+	c.breaker.End(s.now(), c.ticket, result, s.rng)
 }
 
 // recordUnreachable records that no connection to the target could be made.
-func (p *servicePool) recordUnreachable(c *serviceChoice) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c.breaker.Unreachable(p.now(), p.rng)
+func (s *plainService) recordUnreachable(c *serviceChoice) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.breaker.Unreachable(s.now(), s.rng)
 }
--- a/internal/gateway/registrations.go
+++ b/internal/gateway/registrations.go
@@ -103,7 +103,7 @@
 		logRegistrationEvent(e)
 	}
 	g.limits.retain(g.directory.Has)
-	g.updatePools()
+	g.updateServiceTargets()
 }
 
 // registrationChanges returns the changes since an offset, for a peer. It returns nil
@@ -140,9 +140,8 @@
 		"born", r.StartedMs, "seq", r.Seq, "versions", r.Versions)
 }
 
-// updatePools passes the current targets on to the pool of each service. The caller
-// holds g.mu.
-func (g *Gateway) updatePools() {
+// updateServiceTargets passes the current targets on to each service. The caller holds g.mu.
+func (g *Gateway) updateServiceTargets() {
 	t := g.table.Load()
 	if t == nil {
 		return
@@ -151,19 +150,19 @@
 		s := &t.Config().Services[i]
 		switch {
 		case s.Engine != nil:
-			g.enginePoolFor(s.Name).updateTargets(g.directory.Usable(s.Name), s.Engine)
+			g.engineServiceFor(s.Name).updateTargets(g.directory.Usable(s.Name), s.Engine)
 		case s.Cache == nil:
-			g.servicePoolFor(s.Name).updateTargets(g.directory.Usable(s.Name))
+			g.plainServiceFor(s.Name).updateTargets(g.directory.Usable(s.Name))
 		}
 	}
 	g.updateVersionBounds()
 }
 
-// enginePoolOf returns the pool of a call's service.
-func (g *Gateway) enginePoolOf(c *call) *enginePool {
+// engineServiceOf returns the state of a call's service.
+func (g *Gateway) engineServiceOf(c *call) *engineService {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.enginePoolFor(c.service.Name)
+	return g.engineServiceFor(c.service.Name)
 }
 
 // forEachModel calls visit for every model of every service with known weights
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -218,10 +218,10 @@
 	const trueAge = 10 * time.Second
 	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(3*time.Second - trueAge)}}}
 	p := startTestGateway(store, "a")
-	pl, refusal := p.enginePoolFor("engines").acquire(t.Context(), &engineRequest{Account: "acc"})
+	pl, refusal := p.engineServiceFor("engines").acquire(t.Context(), &engineRequest{Account: "acc"})
 	is.True(refusal == nil)
 	cut := false
-	p.enginePoolFor("engines").startAttempt(pl, func() { cut = true }, cancelPolicy{})
+	p.engineServiceFor("engines").startAttempt(pl, func() { cut = true }, cancelPolicy{})
 	p.versionRecordStep(t.Context())
 	is.True(cut)
 }
@@ -287,12 +287,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateVersionBounds()
-	pool := p.enginePoolFor("engines")
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
+	service := p.engineServiceFor("engines")
+	service.mu.Lock()
+	defer service.mu.Unlock()
 	var versions []int64
 	for _, r := range p.targets {
-		if hasOlderWeights(&r, pool.bounds.minToSend) {
+		if hasOlderWeights(&r, service.bounds.minToSend) {
 			versions = append(versions, r.Versions["m"])
 		}
 	}
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -98,8 +98,8 @@
 		goal := weights.Goal{Service: s.Name, Model: model, Version: newest.version, OldestServing: g.oldestServing[s.Name+"/"+model]}
 		goal.Deadlines = g.weightsDeadlines(versions)
 		targets := g.directory.Usable(s.Name)
-		if pool := g.engines[s.Name]; pool != nil {
-			goal.Unreachable = pool.openBreakers()
+		if service := g.engineServices[s.Name]; service != nil {
+			goal.Unreachable = service.openBreakers()
 		}
 		if g.planner.HasPending(goal, targets) {
 			pending = append(pending, pendingRollout{goal: goal, targets: targets, namedAt: newest.namedAt})
@@ -234,8 +234,8 @@
 	o.QueriedAt = queriedAt
 	g.planner.HandleObservation(g.clock.Now(), t.Incarnation(), &o)
 	for model, v := range o.Versions {
-		if pool := g.engines[t.Service]; pool != nil && !o.Busy {
-			pool.recordServedVersion(t.Incarnation(), model, v)
+		if service := g.engineServices[t.Service]; service != nil && !o.Busy {
+			service.recordServedVersion(t.Incarnation(), model, v)
 		}
 	}
 }
--- a/internal/gateway/streammove.go
+++ b/internal/gateway/streammove.go
@@ -61,33 +61,33 @@
 // failures.
 const streamMoveReserve = 0.5
 
-// trackLoading updates since when each target has been loading. The caller holds p.mu.
-func (p *enginePool) trackLoading() {
-	for id := range p.loadingSince {
-		if !p.loading[id] {
-			delete(p.loadingSince, id)
+// trackLoading updates since when each target has been loading. The caller holds s.mu.
+func (s *engineService) trackLoading() {
+	for id := range s.loadingSince {
+		if !s.loading[id] {
+			delete(s.loadingSince, id)
 		}
 	}
-	for id := range p.loading {
-		if _, known := p.loadingSince[id]; !known {
-			p.loadingSince[id] = p.now()
+	for id := range s.loading {
+		if _, known := s.loadingSince[id]; !known {
+			s.loadingSince[id] = s.now()
 		}
 	}
 }
 
 // moveStreams cancels the streams on targets that are about to load weights if they can be
 // resumed at another target. A load waits for everything that runs on its target, which
-// takes several times as long as the load itself. The caller holds p.mu.
-func (p *enginePool) moveStreams() {
-	now := p.now()
-	for pl := range p.running {
-		since, loads := p.loadingSince[pl.target.ID]
-		if !loads || now-since < streamMoveDelay || !pl.firstTokenSeen || p.pool.EligibleCount() == 0 || !pl.reserveResume() {
+// takes several times as long as the load itself. The caller holds s.mu.
+func (s *engineService) moveStreams() {
+	now := s.now()
+	for pl := range s.running {
+		since, loads := s.loadingSince[pl.target.ID]
+		if !loads || now-since < streamMoveDelay || !pl.firstTokenSeen || s.pool.EligibleCount() == 0 || !pl.reserveResume() {
 			continue
 		}
 		logline.Info("stream_moved", "target", pl.target.ID, "ran", now-pl.send.SentAt)
 		pl.cancelledHere = true
 		pl.cancel()
-		delete(p.running, pl)
+		delete(s.running, pl)
 	}
 }
--- a/internal/gateway/weightbounds.go
+++ b/internal/gateway/weightbounds.go
@@ -27,8 +27,8 @@
 	waitBoundShare = 0.95
 )
 
-// updateVersionBounds passes the version bounds and the loading targets to the pools. The
-// caller holds g.mu.
+// updateVersionBounds passes the version bounds and the loading targets to the services
+// of model servers. The caller holds g.mu.
 func (g *Gateway) updateVersionBounds() {
 	now := g.clock.Now()
 	boundAge := func(share float64) time.Duration { return time.Duration(share * float64(g.settings.WeightsBound)) }
@@ -51,12 +51,12 @@
 		b.minToSend[model] = minVersion
 		g.setMinVersion(s.Name, model, minVersion, reason)
 	})
-	for name, pool := range g.engines {
+	for name, service := range g.engineServices {
 		b := versionBounds{}
 		if known := bounds[name]; known != nil {
 			b = *known
 		}
-		pool.applyRollout(b, g.loadingTargets)
+		service.applyRollout(b, g.loadingTargets)
 	}
 }
 
