--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -33,7 +33,7 @@
 	stop := context.AfterFunc(ctx, conn.Close)
 	result, err := g.roundTrip(ctx, c, a, relay, conn)
 	if !stop() {
-		conn.Break()
+		conn.MarkBroken()
 	}
 	// End the attempt before its connection returns to the pool. Cancelling it later would
 	// close a connection that may serve another request by then.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -211,7 +211,7 @@
 		g.mu.Lock()
 		g.updateVersionBounds() // bounds also pass while no peer reports
 		g.mu.Unlock()
-		g.targets.Sweep()
+		g.targets.CloseExpired()
 		g.callers.closeIdle()
 		g.checkSilentTargets()
 	}
@@ -222,7 +222,7 @@
 func (g *Gateway) checkSilentTargets() {
 	for _, service := range g.listEngineServices() {
 		for _, address := range service.checkStalled() {
-			g.targets.Forget(address)
+			g.targets.CloseIdle(address)
 		}
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -78,7 +78,7 @@
 	r.firstByteAfter = r.g.clock.Now() - r.c.startedAt
 	a.onAnswer()
 	if len(body) < maxBufferedBody {
-		conn.Finished()
+		conn.FinishExchange()
 		r.writeHead(resp, int64(len(body)))
 		_, err = r.c.w.Write(body)
 		return outcomeDelivered, r.deliveredError(resp, err)
@@ -90,7 +90,7 @@
 	if _, err := io.Copy(r.c.w, resp.Body); err != nil {
 		return outcomeTruncated, errors.Wrap(err, "relay response body")
 	}
-	conn.Finished()
+	conn.FinishExchange()
 	return outcomeDelivered, r.deliveredError(resp, nil)
 }
 
@@ -175,9 +175,9 @@
 // endStream ends the relay of a complete stream.
 func (r *responseRelay) endStream(conn *targetconn.Conn, resp *http.Response) (outcome, error) {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		conn.Break() // the end of the connection marked the end of the body
+		conn.MarkBroken() // the end of the connection marked the end of the body
 	}
-	conn.Finished()
+	conn.FinishExchange()
 	if !r.started {
 		r.writeHead(resp, -1)
 	}
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -22,16 +22,16 @@
 	// maxHeadBytes bounds the head of an answer: a faulty target may send a
 	// line without an end.
 	maxHeadBytes = 64 << 10
-	// inlineBytes is the request size up to which the write cannot block:
+	// maxInlineWriteBytes is the request size up to which the write cannot block:
 	// it fits the socket's buffer. A longer one is written beside the read,
 	// since a target may answer before it has read the body.
-	inlineBytes = 8 << 10
-	// maxForeignAnswers bounds the answers to earlier requests that are
+	maxInlineWriteBytes = 8 << 10
+	// maxStaleResponses bounds the answers to earlier requests that are
 	// passed over before the one that is waited for.
-	maxForeignAnswers = 2
-	// keepMargin is taken off the time for which a target says it keeps an
+	maxStaleResponses = 2
+	// keepAliveMargin is taken off the time for which a target says it keeps an
 	// idle connection, for the way there and a late timer.
-	keepMargin = time.Second
+	keepAliveMargin = time.Second
 )
 
 // ErrMalformed is an answer that is not in the protocol.
@@ -40,21 +40,21 @@
 // Conn is one connection to a target.
 type Conn struct {
 	addr    string
-	raw     net.Conn
+	netConn     net.Conn
 	limited *limitedReader
 	r       *bufio.Reader
 
 	idleSince time.Duration
-	keepFor   time.Duration
+	idleTimeout   time.Duration
 	reused    bool
 	broken    bool
-	written   chan error // of a write beside the read; nil when it was inline
+	writeDone   chan error // of a write beside the read; nil when it was inline
 }
 
 // limitedReader fails once left bytes were read, while bounded is set.
 type limitedReader struct {
 	r       io.Reader
-	left    int
+	remaining    int
 	bounded bool
 }
 
@@ -62,11 +62,11 @@
 	if !l.bounded {
 		return l.r.Read(b)
 	}
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, errors.Wrapf(ErrMalformed, "head over %d bytes", maxHeadBytes)
 	}
-	n, err := l.r.Read(b[:min(len(b), l.left)])
-	l.left -= n
+	n, err := l.r.Read(b[:min(len(b), l.remaining)])
+	l.remaining -= n
 	return n, err
 }
 
@@ -99,18 +99,18 @@
 // Send writes the request and reads the head of its answer. Answers for which
 // mine is false belong to an earlier request on this connection and are passed
 // over. The context bounds the exchange up to the end of the body.
-func (c *Conn) Send(ctx context.Context, r *Request, mine func(*http.Response) bool) (*http.Response, error) {
+func (c *Conn) Send(ctx context.Context, r *Request, matches func(*http.Response) bool) (*http.Response, error) {
 	if err := c.write(r.encode()); err != nil {
 		return nil, err
 	}
-	for range maxForeignAnswers + 1 {
+	for range maxStaleResponses + 1 {
 		resp, err := c.readHead(r.Method)
 		if err != nil {
 			c.broken = true
 			return nil, errors.Wrapf(err, "read answer target=%s", c.addr)
 		}
-		if mine(resp) {
-			c.noteKeep(resp)
+		if matches(resp) {
+			c.updateKeepAlive(resp)
 			return resp, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -124,26 +124,26 @@
 
 // write sends the request. After an error some bytes may have arrived.
 func (c *Conn) write(raw []byte) error {
-	c.written = nil
-	if len(raw) <= inlineBytes {
-		if _, err := c.raw.Write(raw); err != nil {
+	c.writeDone = nil
+	if len(raw) <= maxInlineWriteBytes {
+		if _, err := c.netConn.Write(raw); err != nil {
 			c.broken = true
 			return errors.Wrapf(err, "write request target=%s", c.addr)
 		}
 		return nil
 	}
-	c.written = make(chan error, 1)
+	c.writeDone = make(chan error, 1)
 	go func(done chan<- error) {
-		_, err := c.raw.Write(raw)
+		_, err := c.netConn.Write(raw)
 		done <- err
-	}(c.written)
+	}(c.writeDone)
 	return nil
 }
 
 // readHead reads the head of a final answer.
 func (c *Conn) readHead(method string) (*http.Response, error) {
 	for {
-		c.limited.bounded, c.limited.left = true, maxHeadBytes
+		c.limited.bounded, c.limited.remaining = true, maxHeadBytes
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		c.limited.bounded = false
 		if err != nil {
@@ -155,13 +155,13 @@
 	}
 }
 
-// noteKeep takes in how long the target keeps the connection.
-func (c *Conn) noteKeep(resp *http.Response) {
+// updateKeepAlive takes in how long the target keeps the connection.
+func (c *Conn) updateKeepAlive(resp *http.Response) {
 	if resp.Close {
 		c.broken = true
 	}
 	if s, ok := keepAliveSeconds(resp.Header.Get("Keep-Alive")); ok {
-		c.keepFor = max(0, time.Duration(s)*time.Second-keepMargin)
+		c.idleTimeout = max(0, time.Duration(s)*time.Second-keepAliveMargin)
 	}
 }
 
@@ -176,15 +176,15 @@
 	return 0, false
 }
 
-// Finished is called once the body was read to its end. A request that was
+// FinishExchange is called once the body was read to its end. A request that was
 // answered before it was written whole leaves the connection unusable: what
 // the target reads next would be the rest of the body.
-func (c *Conn) Finished() {
-	if c.written == nil {
+func (c *Conn) FinishExchange() {
+	if c.writeDone == nil {
 		return
 	}
 	select {
-	case err := <-c.written:
+	case err := <-c.writeDone:
 		if err != nil {
 			c.broken = true
 		}
@@ -193,20 +193,20 @@
 	}
 }
 
-// Break marks the connection as unusable for another exchange.
-func (c *Conn) Break() { c.broken = true }
+// MarkBroken marks the connection as unusable for another exchange.
+func (c *Conn) MarkBroken() { c.broken = true }
 
 // Close ends the connection; it may be called at any time.
 func (c *Conn) Close() {
 	// The other side learns from it; there is nothing to do about an error.
-	_ = c.raw.Close()
+	_ = c.netConn.Close()
 }
 
-// quiet says that an idle connection is open and has nothing to read. A closed
+// isReusable says that an idle connection is open and has nothing to read. A closed
 // one would lose the next request without telling whether it ran; bytes that
 // nobody asked for would be read as its answer.
-func (c *Conn) quiet() bool {
-	sys, ok := c.raw.(syscall.Conn)
+func (c *Conn) isReusable() bool {
+	sys, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -214,12 +214,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		empty = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -16,9 +16,9 @@
 	"github.com/matryer/is"
 )
 
-// script is a target that answers the requests of each connection with the
+// scriptedTarget is a target that answers the requests of each connection with the
 // given bytes, one after the other, and then closes it.
-type script struct {
+type scriptedTarget struct {
 	listener net.Listener
 	requests atomic.Int64
 	bodies   sync.Map // request number to body
@@ -26,15 +26,15 @@
 	wg       sync.WaitGroup
 }
 
-func newScript(t *testing.T, answers ...string) *script {
+func newScriptedTarget(t *testing.T, responses ...string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{listener: l}
+	s := &scriptedTarget{listener: l}
 	s.wg.Add(1)
-	go s.run(answers)
+	go s.run(responses)
 	t.Cleanup(func() {
 		l.Close()
 		s.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *script) run(answers []string) {
+func (s *scriptedTarget) run(responses []string) {
 	defer s.wg.Done()
 	for {
 		c, err := s.listener.Accept()
@@ -56,14 +56,14 @@
 			defer s.wg.Done()
 			defer c.Close()
 			r := bufio.NewReader(c)
-			for _, answer := range answers {
+			for _, response := range responses {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				body, _ := io.ReadAll(req.Body)
 				s.bodies.Store(s.requests.Add(1), string(body))
-				if _, err := io.WriteString(c, answer); err != nil {
+				if _, err := io.WriteString(c, response); err != nil {
 					return
 				}
 			}
@@ -71,7 +71,7 @@
 	}
 }
 
-func answer(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -102,13 +102,13 @@
 		return "", c, err
 	}
 	raw, err := io.ReadAll(resp.Body)
-	c.Finished()
+	c.FinishExchange()
 	return string(raw), c, err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"), answer("2", "two"))
+	s := newScriptedTarget(t, okResponse("1", "one"), okResponse("2", "two"))
 	for i, want := range []string{"one", "two"} {
 		got, c, err := f.exchange(s.listener.Addr().String(), itoa(i+1), "b")
 		f.NoErr(err)
@@ -116,14 +116,14 @@
 		f.Equal(c.Reused(), i == 1)
 		f.pool.Put(c)
 	}
-	f.Equal(f.pool.Dialed(), int64(1))
+	f.Equal(f.pool.DialCount(), int64(1))
 }
 
 // A target answers an earlier request a second time, late. The caller of the
 // next request on the connection must get its own answer, not that one.
-func TestEarlierAnswerIsPassedOver(t *testing.T) {
+func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("0", "late")+answer("1", "mine"))
+	s := newScriptedTarget(t, okResponse("0", "late")+okResponse("1", "mine"))
 	got, _, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.NoErr(err)
 	f.Equal(got, "mine")
@@ -131,9 +131,9 @@
 
 // Bytes follow a whole answer. The connection must not be used again: they
 // would be read as the answer to the next request.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+func TestConnectionWithSurplusBytesIsClosed(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "mine")+"junk", answer("2", "two"))
+	s := newScriptedTarget(t, okResponse("1", "mine")+"junk", okResponse("2", "two"))
 	_, c, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.NoErr(err)
 	f.pool.Put(c)
@@ -144,14 +144,14 @@
 
 // The target closes an idle connection. The next request must not be lost on
 // it: nothing would tell whether it ran.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"))
+	s := newScriptedTarget(t, okResponse("1", "one"))
 	addr := s.listener.Addr().String()
 	_, c, err := f.exchange(addr, "1", "")
 	f.NoErr(err)
 	f.pool.Put(c)
-	for c.quiet() { // until the close has arrived
+	for c.isReusable() { // until the close has arrived
 		time.Sleep(time.Millisecond)
 	}
 	got, c, err := f.exchange(addr, "1", "")
@@ -163,16 +163,16 @@
 
 // The connection breaks before the answer. The request is sent once: a second
 // send would be a second run.
-func TestBrokenExchangeIsNotSentAgain(t *testing.T) {
+func TestFailedExchangeIsNotRetried(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le")
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le")
 	_, _, err := f.exchange(s.listener.Addr().String(), "1", "b")
 	f.True(err != nil)
 	f.True(!errors.Is(err, ErrNotSent))
 	f.Equal(s.requests.Load(), int64(1))
 }
 
-func TestRefusedDialIsKnownNotSent(t *testing.T) {
+func TestRefusedDialReturnsErrNotSent(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	f.NoErr(err)
@@ -185,7 +185,7 @@
 // A target answers a long request before it has read all of it. The answer
 // counts, but what the target reads next is the rest of the body: another
 // request on the connection would run with wrong bytes.
-func TestAnswerBeforeTheBodyWasReadEndsTheConnection(t *testing.T) {
+func TestEarlyResponseMarksConnectionBroken(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	f.NoErr(err)
@@ -200,7 +200,7 @@
 		if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer("1", "early"))
+		_, _ = io.WriteString(c, okResponse("1", "early"))
 		<-release
 	}()
 	got, c, err := f.exchange(l.Addr().String(), "1", strings.Repeat("x", 16<<20))
@@ -213,18 +213,18 @@
 
 // A target sends a head without an end. Reading stops at the bound instead of
 // filling the memory.
-func TestEndlessHeadIsCut(t *testing.T) {
+func TestResponseHeadSizeIsLimited(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", maxHeadBytes))
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", maxHeadBytes))
 	_, _, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.True(errors.Is(err, ErrMalformed))
 }
 
 // A target says how long it keeps an idle connection. A request sent later
 // would meet its close.
-func TestKeepAliveOfTheTargetIsObeyed(t *testing.T) {
+func TestKeepAliveTimeoutOfTargetIsHonored(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", answer("1", "two"))
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", okResponse("1", "two"))
 	addr := s.listener.Addr().String()
 	_, c, err := f.exchange(addr, "1", "")
 	f.NoErr(err)
@@ -235,23 +235,23 @@
 	f.True(!c.Reused())
 }
 
-func TestSweepAndForgetCloseIdleConnections(t *testing.T) {
+func TestIdleAndExpiredConnectionsAreClosed(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"), answer("1", "two"))
+	s := newScriptedTarget(t, okResponse("1", "one"), okResponse("1", "two"))
 	addr := s.listener.Addr().String()
-	for _, drop := range []func(){
-		func() { f.pool.Forget(addr) },
-		func() { f.now.Store(int64(time.Hour)); f.pool.Sweep() },
+	for _, closeIdle := range []func(){
+		func() { f.pool.CloseIdle(addr) },
+		func() { f.now.Store(int64(time.Hour)); f.pool.CloseExpired() },
 	} {
 		_, c, err := f.exchange(addr, "1", "")
 		f.NoErr(err)
 		f.pool.Put(c)
-		drop()
+		closeIdle()
 		f.Equal(len(f.pool.idle[addr]), 0)
 	}
 }
 
-func TestRequestBytes(t *testing.T) {
+func TestRequestEncoding(t *testing.T) {
 	is := is.New(t)
 	raw := string((&Request{Method: "POST", URI: "/a?b", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("xy")}).encode())
 	is.Equal(raw, "POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nX: 1\r\n\r\nxy")
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -21,13 +21,13 @@
 	DialTimeout time.Duration
 	// MaxIdle is the most idle connections kept for one target.
 	MaxIdle int
-	// IdleFor is how long an idle connection is kept where the target does
+	// IdleTimeout is how long an idle connection is kept where the target does
 	// not say how long it keeps it.
-	IdleFor time.Duration
-	// KeepAlive is the pause between probes of a silent connection; three
+	IdleTimeout time.Duration
+	// ProbeInterval is the pause between probes of a silent connection; three
 	// without an answer end it. A partition drops packets without a reset,
 	// so nothing else would tell.
-	KeepAlive time.Duration
+	ProbeInterval time.Duration
 }
 
 // DefaultOptions suit targets in the same region.
@@ -35,13 +35,13 @@
 	return Options{
 		DialTimeout: 500 * time.Millisecond, // a round trip and one lost packet's repeat
 		MaxIdle:     64,                     // one for each slot of a usual engine
-		IdleFor:     4 * time.Second,        // under the shortest idle limit of usual servers
-		KeepAlive:   time.Second,            // so a cut shows after about four seconds
+		IdleTimeout:     4 * time.Second,        // under the shortest idle limit of usual servers
+		ProbeInterval:   time.Second,            // so a cut shows after about four seconds
 	}
 }
 
-// keepAliveCount is the unanswered probes that end a connection.
-const keepAliveCount = 3
+// maxFailedProbes is the unanswered probes that end a connection.
+const maxFailedProbes = 3
 
 // Pool is the connections to all targets. It is safe for concurrent use.
 type Pool struct {
@@ -51,7 +51,7 @@
 
 	mu     sync.Mutex
 	idle   map[string][]*Conn
-	dialed int64
+	dialCount int64
 }
 
 // NewPool makes an empty pool that takes the time from now.
@@ -61,34 +61,34 @@
 		dialer: net.Dialer{
 			Timeout: o.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
-				Enable: true, Idle: o.KeepAlive, Interval: o.KeepAlive, Count: keepAliveCount,
+				Enable: true, Idle: o.ProbeInterval, Interval: o.ProbeInterval, Count: maxFailedProbes,
 			},
-			Control: boundUnacknowledged(keepAliveCount * o.KeepAlive),
+			Control: userTimeoutControl(maxFailedProbes * o.ProbeInterval),
 		},
 	}
 }
 
-// boundUnacknowledged ends a connection whose sent bytes are not acknowledged
+// userTimeoutControl ends a connection whose sent bytes are not acknowledged
 // in time. Keep-alive probes are not sent while bytes are outstanding.
-func boundUnacknowledged(after time.Duration) func(string, string, syscall.RawConn) error {
+func userTimeoutControl(timeout time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var set error
+		var optErr error
 		err := raw.Control(func(fd uintptr) {
-			set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after.Milliseconds()))
+			optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
-		return errors.CombineErrors(err, set)
+		return errors.CombineErrors(err, optErr)
 	}
 }
 
 // Get gives an idle connection to the address that was idle for less than
 // freshFor, or dials one. Its errors are marked ErrNotSent.
-func (p *Pool) Get(ctx context.Context, addr string, freshFor time.Duration) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, addr string, maxIdleTime time.Duration) (*Conn, error) {
 	for {
-		c := p.take(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if p.now()-c.idleSince < min(freshFor, c.keepFor) && c.quiet() {
+		if p.now()-c.idleSince < min(maxIdleTime, c.idleTimeout) && c.isReusable() {
 			c.reused = true
 			return c, nil
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// take removes the connection that was used last: the others may go idle long
+// popIdle removes the connection that was used last: the others may go idle long
 // enough to be closed.
-func (p *Pool) take(addr string) *Conn {
+func (p *Pool) popIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -111,15 +111,15 @@
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
-	raw, err := p.dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "dial target=%s", addr), ErrNotSent)
 	}
 	p.mu.Lock()
-	p.dialed++
+	p.dialCount++
 	p.mu.Unlock()
-	limited := &limitedReader{r: raw}
-	return &Conn{addr: addr, raw: raw, limited: limited, r: bufio.NewReaderSize(limited, readBufferBytes), keepFor: p.options.IdleFor}, nil
+	limited := &limitedReader{r: netConn}
+	return &Conn{addr: addr, netConn: netConn, limited: limited, r: bufio.NewReaderSize(limited, readBufferBytes), idleTimeout: p.options.IdleTimeout}, nil
 }
 
 // Put keeps a connection for another exchange, or closes it.
@@ -142,15 +142,15 @@
 	}
 }
 
-// Dialed counts the connections made.
-func (p *Pool) Dialed() int64 {
+// DialCount counts the connections made.
+func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialed
+	return p.dialCount
 }
 
-// Forget closes the idle connections to an address, as when its target ended.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to an address, as when its target ended.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -160,18 +160,18 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that were idle for too long.
+func (p *Pool) CloseExpired() {
 	now := p.now()
-	var old []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now-c.idleSince < c.keepFor {
+			if now-c.idleSince < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(kept) == 0 {
@@ -181,7 +181,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
 }
