--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// readBufferBytes holds the head of an answer and a few events.
+	// readBufferBytes is enough for the head of a response and a few events.
 	readBufferBytes = 4 << 10
-	// maxHeadBytes bounds the head of an answer: a faulty target may send a
-	// line without an end.
+	// maxHeadBytes limits the head of a response: a faulty target may send a
+	// line that never ends.
 	maxHeadBytes = 64 << 10
-	// maxInlineWriteBytes is the request size up to which the write cannot block:
-	// it fits the socket's buffer. A longer one is written beside the read,
-	// since a target may answer before it has read the body.
+	// maxInlineWriteBytes is the request size up to which a write cannot block,
+	// because it fits into the socket's send buffer. A larger request is
+	// written by a goroutine while the response is read, since a target may
+	// respond before it has read the body.
 	maxInlineWriteBytes = 8 << 10
-	// maxStaleResponses bounds the answers to earlier requests that are
-	// passed over before the one that is waited for.
+	// maxStaleResponses limits the responses to earlier requests that are
+	// skipped before the expected one.
 	maxStaleResponses = 2
-	// keepAliveMargin is taken off the time for which a target says it keeps an
-	// idle connection, for the way there and a late timer.
+	// keepAliveMargin is subtracted from the idle timeout that a target
+	// announces. It covers network latency and late timers.
 	keepAliveMargin = time.Second
 )
 
-// ErrMalformed is an answer that is not in the protocol.
-var ErrMalformed = errors.New("target: malformed answer")
+// ErrMalformed marks a response that violates the protocol.
+var ErrMalformed = errors.New("target: malformed response")
 
 // Conn is one connection to a target.
 type Conn struct {
 	addr    string
-	netConn     net.Conn
+	netConn net.Conn
 	limited *limitedReader
 	r       *bufio.Reader
 
-	idleSince time.Duration
-	idleTimeout   time.Duration
-	reused    bool
-	broken    bool
-	writeDone   chan error // of a write beside the read; nil when it was inline
+	idleSince   time.Duration
+	idleTimeout time.Duration
+	reused      bool
+	broken      bool
+	writeDone   chan error // receives the result of a concurrent write; nil after an inline write
 }
 
-// limitedReader fails once left bytes were read, while bounded is set.
+// limitedReader fails after remaining bytes if bounded is set.
 type limitedReader struct {
-	r       io.Reader
-	remaining    int
-	bounded bool
+	r         io.Reader
+	remaining int
+	bounded   bool
 }
 
 func (l *limitedReader) Read(b []byte) (int, error) {
@@ -63,17 +64,17 @@
 		return l.r.Read(b)
 	}
 	if l.remaining <= 0 {
-		return 0, errors.Wrapf(ErrMalformed, "head over %d bytes", maxHeadBytes)
+		return 0, errors.Wrapf(ErrMalformed, "response head exceeds %d bytes", maxHeadBytes)
 	}
 	n, err := l.r.Read(b[:min(len(b), l.remaining)])
 	l.remaining -= n
 	return n, err
 }
 
-// Request is what is sent to a target.
+// Request is a request to a target, with its whole body.
 type Request struct {
 	Method string
-	// URI is the path and query as the caller sent them.
+	// URI is the path and query as received from the caller.
 	URI    string
 	Host   string
 	Header http.Header
@@ -87,18 +88,18 @@
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	_ = r.Header.Write(&b) // a bytes.Buffer takes every write
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	b.WriteString("\r\n")
 	b.Write(r.Body)
 	return b.Bytes()
 }
 
-// Reused says that the connection had served an earlier exchange.
+// Reused reports whether the connection was taken from the pool.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Send writes the request and reads the head of its answer. Answers for which
-// mine is false belong to an earlier request on this connection and are passed
-// over. The context bounds the exchange up to the end of the body.
+// Send writes the request and reads the head of its response. It skips responses
+// for which matches returns false: they belong to earlier requests on this
+// connection. Send does not observe the context; Close cancels the exchange.
 func (c *Conn) Send(ctx context.Context, r *Request, matches func(*http.Response) bool) (*http.Response, error) {
 	if err := c.write(r.encode()); err != nil {
 		return nil, err
@@ -107,7 +108,7 @@
 		resp, err := c.readHead(r.Method)
 		if err != nil {
 			c.broken = true
-			return nil, errors.Wrapf(err, "read answer target=%s", c.addr)
+			return nil, errors.Wrapf(err, "read response target=%s", c.addr)
 		}
 		if matches(resp) {
 			c.updateKeepAlive(resp)
@@ -115,14 +116,15 @@
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			c.broken = true
-			return nil, errors.Wrapf(err, "pass over an earlier answer target=%s", c.addr)
+			return nil, errors.Wrapf(err, "skip response to an earlier request target=%s", c.addr)
 		}
 	}
 	c.broken = true
-	return nil, errors.Wrapf(ErrMalformed, "answers of other requests only target=%s", c.addr)
+	return nil, errors.Wrapf(ErrMalformed, "no response matches the request target=%s", c.addr)
 }
 
-// write sends the request. After an error some bytes may have arrived.
+// write sends an encoded request. After an error, the target may have received
+// a part of it.
 func (c *Conn) write(raw []byte) error {
 	c.writeDone = nil
 	if len(raw) <= maxInlineWriteBytes {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// readHead reads the head of a final answer.
+// readHead reads the head of a response and skips informational (1xx) ones.
 func (c *Conn) readHead(method string) (*http.Response, error) {
 	for {
 		c.limited.bounded, c.limited.remaining = true, maxHeadBytes
@@ -155,7 +157,7 @@
 	}
 }
 
-// updateKeepAlive takes in how long the target keeps the connection.
+// updateKeepAlive applies what the response says about keeping the connection open.
 func (c *Conn) updateKeepAlive(resp *http.Response) {
 	if resp.Close {
 		c.broken = true
@@ -176,9 +178,9 @@
 	return 0, false
 }
 
-// FinishExchange is called once the body was read to its end. A request that was
-// answered before it was written whole leaves the connection unusable: what
-// the target reads next would be the rest of the body.
+// FinishExchange must be called after the response body was read to its end. If
+// the request has not been written completely by then, the connection can't be
+// reused: the target would read the rest of the body as the next request.
 func (c *Conn) FinishExchange() {
 	if c.writeDone == nil {
 		return
@@ -193,18 +195,18 @@
 	}
 }
 
-// MarkBroken marks the connection as unusable for another exchange.
+// MarkBroken prevents the connection from being reused.
 func (c *Conn) MarkBroken() { c.broken = true }
 
-// Close ends the connection; it may be called at any time.
+// Close closes the connection. It may be called at any time, also during an exchange.
 func (c *Conn) Close() {
-	// The other side learns from it; there is nothing to do about an error.
+	// An error would change nothing: the connection isn't used any more.
 	_ = c.netConn.Close()
 }
 
-// isReusable says that an idle connection is open and has nothing to read. A closed
-// one would lose the next request without telling whether it ran; bytes that
-// nobody asked for would be read as its answer.
+// isReusable reports whether an idle connection is open and has nothing to read.
+// On a closed connection the next request would be lost without any information
+// whether it was executed. Unexpected bytes would be read as its response.
 func (c *Conn) isReusable() bool {
 	sys, ok := c.netConn.(syscall.Conn)
 	if !ok {
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -16,13 +16,13 @@
 	"github.com/matryer/is"
 )
 
-// scriptedTarget is a target that answers the requests of each connection with the
-// given bytes, one after the other, and then closes it.
+// scriptedTarget is a target that responds to the requests on each connection with
+// the given byte strings in order and then closes the connection.
 type scriptedTarget struct {
 	listener net.Listener
 	requests atomic.Int64
-	bodies   sync.Map // request number to body
-	conns    sync.Map // open connections, to close at the end
+	bodies   sync.Map // bodies by request number, from 1
+	conns    sync.Map // accepted connections, closed at the end of the test
 	wg       sync.WaitGroup
 }
 
@@ -89,7 +89,7 @@
 	return f
 }
 
-// exchange sends one request with the id and gives its answer's body.
+// exchange sends one request and returns the body of the response with the id.
 func (f *fixture) exchange(addr, id, body string) (string, *Conn, error) {
 	c, err := f.pool.Get(context.Background(), addr, time.Minute)
 	if err != nil {
@@ -119,8 +119,9 @@
 	f.Equal(f.pool.DialCount(), int64(1))
 }
 
-// A target answers an earlier request a second time, late. The caller of the
-// next request on the connection must get its own answer, not that one.
+// Guards against a caller that gets another caller's response. A target responds
+// late and a second time to an earlier request; the next request on the connection
+// must get its own response.
 func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, okResponse("0", "late")+okResponse("1", "mine"))
@@ -129,8 +130,8 @@
 	f.Equal(got, "mine")
 }
 
-// Bytes follow a whole answer. The connection must not be used again: they
-// would be read as the answer to the next request.
+// More bytes follow a complete response. The connection must not be reused, since
+// they would be read as the response to the next request.
 func TestConnectionWithSurplusBytesIsClosed(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, okResponse("1", "mine")+"junk", okResponse("2", "two"))
@@ -142,8 +143,8 @@
 	f.True(!c.Reused())
 }
 
-// The target closes an idle connection. The next request must not be lost on
-// it: nothing would tell whether it ran.
+// The target closes an idle connection. The next request must not be sent on it:
+// it would be lost without any information whether it was executed.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, okResponse("1", "one"))
@@ -151,7 +152,7 @@
 	_, c, err := f.exchange(addr, "1", "")
 	f.NoErr(err)
 	f.pool.Put(c)
-	for c.isReusable() { // until the close has arrived
+	for c.isReusable() { // until the target's close is visible
 		time.Sleep(time.Millisecond)
 	}
 	got, c, err := f.exchange(addr, "1", "")
@@ -161,8 +162,8 @@
 	f.Equal(s.requests.Load(), int64(2))
 }
 
-// The connection breaks before the answer. The request is sent once: a second
-// send would be a second run.
+// The connection breaks before the response is complete. The request must not be
+// sent again, since the target could execute it twice.
 func TestFailedExchangeIsNotRetried(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le")
@@ -182,9 +183,9 @@
 	f.True(errors.Is(err, ErrNotSent))
 }
 
-// A target answers a long request before it has read all of it. The answer
-// counts, but what the target reads next is the rest of the body: another
-// request on the connection would run with wrong bytes.
+// A target responds to a large request before it has read all of it. The response
+// is valid, but the connection must not be reused: the target would read the rest
+// of the body as the next request.
 func TestEarlyResponseMarksConnectionBroken(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -211,8 +212,8 @@
 	c.Close()
 }
 
-// A target sends a head without an end. Reading stops at the bound instead of
-// filling the memory.
+// A target sends a response head that never ends. Reading stops at maxHeadBytes, so
+// that it can't exhaust the memory.
 func TestResponseHeadSizeIsLimited(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", maxHeadBytes))
@@ -220,8 +221,8 @@
 	f.True(errors.Is(err, ErrMalformed))
 }
 
-// A target says how long it keeps an idle connection. A request sent later
-// would meet its close.
+// A target announces its idle timeout in a Keep-Alive header. A request sent later
+// than that could arrive on a connection that the target has closed.
 func TestKeepAliveTimeoutOfTargetIsHonored(t *testing.T) {
 	f := newFixture(t)
 	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", okResponse("1", "two"))
--- a/internal/targetconn/doc.go
+++ b/internal/targetconn/doc.go
@@ -1,9 +1,9 @@
-// Package targetconn keeps connections to targets and exchanges one request
-// and its answer at a time on them.
+// Package targetconn implements an HTTP/1.1 client with pooled connections to
+// targets. A connection carries one request and its response at a time.
 //
-// It takes the place of http.Transport, which sends a request again by itself
-// when a kept connection turns out to be closed. That second send would be a
-// second run that no retry budget counted, and for a booking a second booking.
-// Here an exchange writes once, and its error says whether any byte of the
-// request can have reached the target.
+// It replaces http.Transport, which retries a request by itself if a pooled
+// connection turns out to be closed. The target could then execute the request
+// twice: no retry budget would count the second execution, and a booking would
+// be made twice. This package writes a request once, and its errors tell whether
+// any byte of the request may have reached the target.
 package targetconn
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -12,49 +12,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNotSent marks an exchange of which no byte has reached the target.
-var ErrNotSent = errors.New("target: nothing was sent")
+// ErrNotSent marks errors of exchanges of which no byte has reached the target.
+var ErrNotSent = errors.New("target: request not sent")
 
-// Options bound a Pool.
+// Options configure a Pool.
 type Options struct {
-	// DialTimeout bounds the time to a new connection.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// MaxIdle is the most idle connections kept for one target.
+	// MaxIdle is the maximum number of idle connections per target.
 	MaxIdle int
-	// IdleTimeout is how long an idle connection is kept where the target does
-	// not say how long it keeps it.
+	// IdleTimeout is how long an idle connection is kept if the target does not
+	// announce its own timeout in a Keep-Alive header.
 	IdleTimeout time.Duration
-	// ProbeInterval is the pause between probes of a silent connection; three
-	// without an answer end it. A partition drops packets without a reset,
-	// so nothing else would tell.
+	// ProbeInterval is the interval between TCP keep-alive probes of a silent
+	// connection, which is closed after three unanswered ones. A partition drops
+	// packets without a reset, so the loss would not be detected otherwise.
 	ProbeInterval time.Duration
 }
 
-// DefaultOptions suit targets in the same region.
+// DefaultOptions returns options for targets in the same region.
 func DefaultOptions() Options {
 	return Options{
-		DialTimeout: 500 * time.Millisecond, // a round trip and one lost packet's repeat
-		MaxIdle:     64,                     // one for each slot of a usual engine
-		IdleTimeout:     4 * time.Second,        // under the shortest idle limit of usual servers
-		ProbeInterval:   time.Second,            // so a cut shows after about four seconds
+		DialTimeout:   500 * time.Millisecond, // a round trip and one retransmission
+		MaxIdle:       64,                     // one for each slot of a typical engine
+		IdleTimeout:   4 * time.Second,        // below the shortest idle timeout of common servers
+		ProbeInterval: time.Second,            // a lost connection is detected after about 4 s
 	}
 }
 
-// maxFailedProbes is the unanswered probes that end a connection.
+// maxFailedProbes is the number of unanswered keep-alive probes after which a
+// connection is closed.
 const maxFailedProbes = 3
 
-// Pool is the connections to all targets. It is safe for concurrent use.
+// Pool holds the connections to all targets. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 	now     func() time.Duration
 
-	mu     sync.Mutex
-	idle   map[string][]*Conn
+	mu        sync.Mutex
+	idle      map[string][]*Conn
 	dialCount int64
 }
 
-// NewPool makes an empty pool that takes the time from now.
+// NewPool returns an empty pool that uses now as its clock.
 func NewPool(o Options, now func() time.Duration) *Pool {
 	return &Pool{
 		options: o, now: now, idle: map[string][]*Conn{},
@@ -68,8 +69,10 @@
 	}
 }
 
-// userTimeoutControl ends a connection whose sent bytes are not acknowledged
-// in time. Keep-alive probes are not sent while bytes are outstanding.
+// userTimeoutControl returns a net.Dialer.Control function that sets
+// TCP_USER_TIMEOUT: the kernel closes a connection whose sent bytes are not
+// acknowledged in time. It sends no keep-alive probes while bytes are
+// unacknowledged.
 func userTimeoutControl(timeout time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optErr error
@@ -80,8 +83,8 @@
 	}
 }
 
-// Get gives an idle connection to the address that was idle for less than
-// freshFor, or dials one. Its errors are marked ErrNotSent.
+// Get returns a connection to the address that was idle for less than
+// maxIdleTime, or dials one. Its errors are marked with ErrNotSent.
 func (p *Pool) Get(ctx context.Context, addr string, maxIdleTime time.Duration) (*Conn, error) {
 	for {
 		c := p.popIdle(addr)
@@ -96,8 +99,8 @@
 	}
 }
 
-// popIdle removes the connection that was used last: the others may go idle long
-// enough to be closed.
+// popIdle removes and returns the most recently used idle connection, so that
+// surplus connections stay unused and expire. It returns nil if there is none.
 func (p *Pool) popIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +125,7 @@
 	return &Conn{addr: addr, netConn: netConn, limited: limited, r: bufio.NewReaderSize(limited, readBufferBytes), idleTimeout: p.options.IdleTimeout}, nil
 }
 
-// Put keeps a connection for another exchange, or closes it.
+// Put returns a connection to the pool, or closes it if it can't be reused.
 func (p *Pool) Put(c *Conn) {
 	if c.broken || c.r.Buffered() > 0 {
 		c.Close()
@@ -142,14 +145,15 @@
 	}
 }
 
-// DialCount counts the connections made.
+// DialCount returns the number of connections established.
 func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialCount
 }
 
-// CloseIdle closes the idle connections to an address, as when its target ended.
+// CloseIdle closes the idle connections to an address, for example after its
+// target has stopped.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -160,7 +164,7 @@
 	}
 }
 
-// CloseExpired closes connections that were idle for too long.
+// CloseExpired closes the connections whose idle timeout has passed.
 func (p *Pool) CloseExpired() {
 	now := p.now()
 	var expired []*Conn
