--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -36,7 +36,7 @@
 		DialTimeout:   500 * time.Millisecond, // a round trip and one retransmission
 		MaxIdle:       64,                     // one for each slot of a typical engine
 		IdleTimeout:   4 * time.Second,        // below the shortest idle timeout of common servers
-		ProbeInterval: time.Second,            // a lost connection is detected after about 4 s
+		ProbeInterval: time.Second,            // a lost connection is detected after about four seconds
 	}
 }
 
