--- a/internal/gateway/announce_test.go
+++ b/internal/gateway/announce_test.go
@@ -70,8 +70,8 @@
 
 // Guards against two halves of a partitioned fleet that each spend the whole rate of
 // each account. Both reach the store. The first-ranked instance of the other half
-// announces which peers it hears; this instance keeps them in its count and announces
-// its own half in turn.
+// announces the peers whose updates it receives; this instance keeps them in its count and
+// announces its own half in turn.
 func TestPartitionedPeersAreKeptByAnnouncements(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("a")
@@ -89,9 +89,10 @@
 }
 
 // Guards against store calls by instances that needn't search for silent peers. The
-// second-ranked instance hears the first-ranked one, which searches the store for the
-// silent third; it makes no calls and applies the reports. Once the first-ranked
-// instance hears the third again, the second has to announce itself.
+// second-ranked instance receives updates of the first-ranked one, which searches the
+// store for the silent third; it makes no calls and applies the reports. Once the
+// first-ranked instance receives updates of the third again, the second has to
+// announce itself.
 func TestOnlyFirstRankedSearchesForSilentPeers(t *testing.T) {
 	is := is.New(t)
 	p := newTestPeers("b")
--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -195,7 +195,7 @@
 // shouldSave reports whether a target should save a prompt to a store that has the first
 // held of its shared pieces. A target saves everything that it prefills, including the
 // unshared part of the prompt, which is never requested again and evicts pieces that other
-// requests need. Once new weights are named, every shared prefix is saved anew, and the
+// requests need. Once new weights are named, every shared prefix is saved again, and the
 // unshared parts alone would fill a store. A prompt is therefore saved only if its unshared
 // part is not too large compared to the missing shared pieces. A later prompt with the same
 // prefix may have a smaller unshared part.
@@ -216,8 +216,8 @@
 // shared tokens that the store is missing.
 const maxUnsharedSaveRatio = 2
 
-// recordSave records that a target has prefilled pieces that this instance or a peer told
-// it to save.
+// recordSave records that a target has prefilled pieces that this instance or a peer
+// ordered it to save.
 func (s *cacheStores) recordSave(scope string, pieces []prefix.Hash) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
--- a/internal/gateway/cachestore_test.go
+++ b/internal/gateway/cachestore_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Once new weights are named, every shared prefix is prefilled and saved anew. Most are
+// Once new weights are named, every shared prefix is prefilled and saved again. Most are
 // followed by an unshared part, and some of these are ten times as long as the others.
 // Saved along with the prefixes, they would evict prefixes before these are requested
 // again, and targets would compute those a second time.
--- a/internal/gateway/configtransfer_test.go
+++ b/internal/gateway/configtransfer_test.go
@@ -23,7 +23,7 @@
 	return p
 }
 
-// matchRequest looks up the route of a request and returns the reason and status of a
+// matchRequest matches a request to a route and returns the reason and status of a
 // refusal.
 func (p *testGateway) matchRequest(host, path string) (string, int) {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// checkSilentTargets looks for targets that stopped responding and drops their idle
+// checkSilentTargets detects targets that have stopped responding and closes their idle
 // connections, so that a probe has to dial a new one.
 func (g *Gateway) checkSilentTargets() {
 	for _, service := range g.listEngineServices() {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -162,8 +162,8 @@
 	// unobservedAfterFraction is the time without contact with the store, as a fraction
 	// of the configuration bound, after which a version no longer counts as observed.
 	// By then all instances read the store themselves. Only a suspension of the process
-	// makes a version older by the whole time: during an outage of the store nobody can
-	// name a version, and if its age included the outage, all instances would exclude
+	// makes a version older by the whole time: during an outage of the store no version
+	// can be named, and if its age included the outage, all instances would exclude
 	// all targets when the store returns.
 	unobservedAfterFraction = 0.5
 )
--- a/internal/gateway/operators_test.go
+++ b/internal/gateway/operators_test.go
@@ -10,7 +10,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// Guards against a bound on old weights that starts anew when all instances are killed
+// Guards against a bound on old weights that restarts when all instances are killed
 // late in a rollout: none knows when the version was named, and a target that was left
 // behind would serve older weights past the bound. If most targets serve the version,
 // the others get no requests.
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -109,8 +109,8 @@
 	return a, nil
 }
 
-// recordPrefill records that a target has prefilled the prompt and, if it was told to,
-// saves its pieces to a store.
+// recordPrefill records that a target has prefilled the prompt and, if the request
+// ordered it to, saves its pieces to a store.
 func (g *Gateway) recordPrefill(c *call, a *targetAttempt, pl *enginePlacement) {
 	if !a.savesToStore {
 		g.peers.publishPrompt(pl, "", nil)
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -22,7 +22,7 @@
 // power during a rollout. No target served version 3, few served 4 and most still 2.
 // The store gave the new processes version 4 as the newest but neither its naming time
 // nor version 3. Each process assumed that 4 was 3 s old, the bound on old weights
-// started anew, and no target was excluded.
+// restarted, and no target was excluded.
 func TestRestartedFleetExcludesReplacedWeights(t *testing.T) {
 	for name, afterRestart := range map[string]func(p *testGateway){
 		"nothing more is named":    func(*testGateway) {},
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -180,7 +180,7 @@
 
 // unknownRefusal returns the refusal of a request for something that the active
 // configuration doesn't contain. A newer configuration may contain it; if there may be
-// one, the caller is told to retry.
+// one, the refusal asks the caller to retry.
 func (g *Gateway) unknownRefusal(status int, reason string) *Refusal {
 	if g.configs.isOutdated() || g.contactAge() > g.settings.ConfigBound {
 		return unavailableRefusal("config_pending", configRetryAfter)
