--- a/internal/claim/events.go
+++ b/internal/claim/events.go
@@ -48,8 +48,8 @@
 
 // BeginDispatch must be called after the answer Run, right before the first byte is
 // sent to a target. After an error the request must not be sent: if the process was
-// suspended since Run, the deadline may have passed and the caller been told that the
-// request did not run.
+// suspended since Run, the deadline may have passed and the caller may already have
+// received the answer that the request did not run.
 func (m *Machine) BeginDispatch(now time.Duration, id string) error {
 	m.now = now
 	r := m.byID[id]
--- a/internal/claim/fleet_test.go
+++ b/internal/claim/fleet_test.go
@@ -31,7 +31,7 @@
 	// targetResponses holds each key concatenated with each response body that a
 	// target gave to it.
 	targetResponses map[string]bool
-	// notRun holds the requests whose callers were told that they did not run.
+	// notRun holds the requests that were reported to their callers as not run.
 	notRun     map[string]bool
 	keyOf      map[string]string
 	violations []string
@@ -226,7 +226,7 @@
 		}
 		for _, id := range ids {
 			if f.notRun[id] {
-				return fmt.Sprintf("%s was told not_run and ran", id)
+				return fmt.Sprintf("%s was reported as not_run and ran", id)
 			}
 		}
 	}
--- a/internal/claim/search_test.go
+++ b/internal/claim/search_test.go
@@ -25,9 +25,9 @@
 
 type searchState struct {
 	*fleet
-	callsBegun int
-	faults     int
-	told       map[string]bool
+	callsBegun     int
+	faults         int
+	reportedNotRun map[string]bool
 }
 
 // callers lists the node that each call with the key arrives at.
@@ -35,7 +35,7 @@
 
 func newSearchState() *searchState {
 	cfg := Config{MaxBatchAge: 1, RetryDelay: 1}
-	return &searchState{fleet: newFleet(2, cfg), told: map[string]bool{}}
+	return &searchState{fleet: newFleet(2, cfg), reportedNotRun: map[string]bool{}}
 }
 
 // actions lists what can happen next. The name of an action is used in reports; a faulty
