--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -18,9 +18,10 @@
 	// once in this many times. After a long partition neither side has recent
 	// records, and one exchange between the two sides is enough.
 	fullBucketOneIn = 64
-	// newcomerDeficit: a peer with more than this number of records less than this
-	// instance has just started.
-	newcomerDeficit = 16
+	// newPeerRecordDeficit: a peer that lacks more than this number of records,
+	// compared to this instance, has just started and gets all differing buckets
+	// whole.
+	newPeerRecordDeficit = 16
 )
 
 // sendDifferingBuckets sends records of the buckets whose digests differ. It adds
@@ -30,7 +31,7 @@
 	if len(b.Digests) != wire.DigestBuckets {
 		return
 	}
-	newcomer := b.RecordCount+newcomerDeficit < len(v.members)+len(v.targets)
+	peerIsNew := b.RecordCount+newPeerRecordDeficit < len(v.members)+len(v.targets)
 	body := wire.MemberUpdates{AntiEntropy: true}
 	first := v.rng.IntN(wire.DigestBuckets)
 	for i := range wire.DigestBuckets {
@@ -38,7 +39,7 @@
 		if b.Digests[k] == v.digests[k] || len(body.Members)+len(body.Targets) >= maxRecords {
 			continue
 		}
-		v.appendBucket(now, &v.buckets[k], newcomer, &body)
+		v.appendBucket(now, &v.buckets[k], peerIsNew, &body)
 	}
 	if len(body.Members)+len(body.Targets) > 0 {
 		v.send(b.From.Identity.Address, wire.KindMemberUpdates, body)
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -73,7 +73,7 @@
 // The process is paused while a target leaves. Requests right after the pause must
 // wait for a response to a request made after it. Only if there is none within a
 // second does the instance serve by its old view, as stale.
-func TestThawedInstanceRefreshesFirst(t *testing.T) {
+func TestResumedInstanceRefreshesBeforeServing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5, 1)
 	f.run(3 * time.Second)
@@ -132,7 +132,7 @@
 
 // A peer reads an older list than this instance. That must neither make a leaving
 // target live again nor a returned one leaving.
-func TestOlderListChangesNothing(t *testing.T) {
+func TestOlderListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	v := New(Config{Self: wire.Identity{Instance: "a"}}, rand.New(rand.NewPCG(1, 1)))
 	handleList := func(ms int64, state platform.InstanceState) {
@@ -153,7 +153,7 @@
 
 // The platform replaces a paused instance by a new process under the same name. When
 // the paused process resumes, it must learn that it was replaced and not claim the name.
-func TestReplacedInstanceKnows(t *testing.T) {
+func TestReplacedInstanceDetectsReplacement(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 1, 1)
 	f.run(20 * time.Second)
