--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -16,7 +16,7 @@
 	AffinityPieces int
 	// HomeCachedFraction is the fraction of a prompt's full pieces that the home
 	// target is assumed to have cached when fewer are known to be. It keeps a prefix
-	// at the target where other instances, and this one after a restart, look for
+	// at the target where other instances, and this one after a restart, expect
 	// it. With a higher value, a new prefix waits longer for a busy home target.
 	HomeCachedFraction float64
 	// UnobservedHomeCachedFraction replaces HomeCachedFraction until
