--- a/internal/feedturn/feedturn_test.go
+++ b/internal/feedturn/feedturn_test.go
@@ -192,7 +192,7 @@
 // A key is withdrawn in normal operation, while readers die, or while the store
 // refuses readers. Instances that get the feed only from peers must still learn of it
 // in time: no copy may be staler than half the bound plus one exchange and one read.
-func TestKnowledgeOfAFleetStaysYoung(t *testing.T) {
+func TestFleetStalenessIsBounded(t *testing.T) {
 	const limit = bound/2 + simExchangeInterval + 2*simStep
 	noFailures := func(int, time.Duration) bool { return false }
 	t.Run("no faults", func(t *testing.T) {
--- a/internal/keys/authorize_test.go
+++ b/internal/keys/authorize_test.go
@@ -61,7 +61,7 @@
 // account's key-cutoff its instances refuse requests as not run, although they still
 // reach each other. Otherwise a withdrawn key would work there for as long as the
 // partition lasts.
-func TestDomainCutOffAsAWholeStopsAfterCutoff(t *testing.T) {
+func TestPartitionedDomainRefusesAfterCutoff(t *testing.T) {
 	is := is.New(t)
 	intent := intentWithKey("k", false)
 	c := NewContactTracker("nord")
--- a/internal/keys/contact.go
+++ b/internal/keys/contact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Contact holds the times at which this instance last heard from a source of key
+// Contact holds the times of this instance's last contact with each source of key
 // withdrawals: the log, or a peer that may have read more of it. The times are on a
 // monotonic clock with an arbitrary origin.
 type Contact struct {
--- a/internal/wire/update_test.go
+++ b/internal/wire/update_test.go
@@ -68,7 +68,7 @@
 
 // Guards against updates that can be encoded but not decoded: the instance that
 // publishes one would count as silent until its state changes.
-func TestEveryUpdateIsReadAsItWasWritten(t *testing.T) {
+func TestRandomUpdatesRoundTrip(t *testing.T) {
 	word := rapid.StringN(0, 40, 300)
 	words := rapid.SliceOfN(word, 0, 40)
 	numbers := rapid.SliceOfN(rapid.Uint64(), 0, 40)
