--- a/internal/hubs/hubs_test.go
+++ b/internal/hubs/hubs_test.go
@@ -164,7 +164,7 @@
 }
 
 // Guards against an instance that knows only a few peers of a large fleet and
-// calls them as in a mesh, where nobody forwards updates.
+// calls them as in a mesh, where no instance forwards updates.
 func TestReportedFleetSizeRulesOutMesh(t *testing.T) {
 	is := is.New(t)
 	self, peers := newFleet(5, 2)
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -1,7 +1,7 @@
 // Package orderlease ensures that only one instance at a time sends orders to
 // targets. The lease is a record in the platform's store.
 //
-// The lease is held only while there is work. Nobody renews it otherwise, and
+// The lease is held only while there is work. It is not renewed otherwise, and
 // the last holder may continue at once when there is work again. The record is
 // written by compare-and-set: a write succeeds only if nothing was written
 // since the record was read. So of two competing writers one fails, even if
@@ -139,7 +139,7 @@
 func (l *Lease) ValidUntil() time.Duration { return l.validUntil }
 
 // IsLastHolder reports whether this instance wrote the current record, as far
-// as is known: nobody else has sent orders since.
+// as is known. No other instance has sent orders since then.
 func (l *Lease) IsLastHolder() bool { return l.recordKnown && l.record.Holder == l.self }
 
 // WasLastKnownHolder reports whether this instance wrote the last record that
--- a/internal/poison/crash.go
+++ b/internal/poison/crash.go
@@ -10,8 +10,8 @@
 // TargetCrashed records the loss of a target incarnation: another incarnation
 // answers, or the target reset connections and is unreachable. lost lists the
 // requests whose connections broke with it. It must not include requests already
-// sent to the next incarnation, which would be blamed for a crash that came
-// before them.
+// sent to the next incarnation, because they would be counted as causes of a crash
+// that came before them.
 //
 // Each lost request gets a Decision, Retry or Quarantined, once the peers have
 // acknowledged the crash or AckTimeout has passed. With an earlier answer the
--- a/internal/weights/planner.go
+++ b/internal/weights/planner.go
@@ -68,7 +68,7 @@
 	ParallelDivisor int
 	// LeadTime is how long a target is announced as about to load before it is
 	// ordered. It is a little more than one exchange between instances:
-	// requests sent to the target by instances that have not heard of the load
+	// requests sent to the target by instances that do not yet know of the load
 	// would be refused.
 	LeadTime time.Duration
 	// PollInterval is the time between queries to a target that loads.
