--- a/internal/gateway/cachestore.go
+++ b/internal/gateway/cachestore.go
@@ -217,7 +217,7 @@
 const maxUnsharedSaveRatio = 2
 
 // recordSave records that a target has prefilled pieces that this instance or a peer
-// ordered it to save.
+// instructed it to save.
 func (s *cacheStores) recordSave(scope string, pieces []prefix.Hash) {
 	now := s.g.clock.Now()
 	s.mu.Lock()
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -110,7 +110,7 @@
 }
 
 // recordPrefill records that a target has prefilled the prompt and, if the request
-// ordered it to, saves its pieces to a store.
+// instructed it to, saves its pieces to a store.
 func (g *Gateway) recordPrefill(c *call, a *targetAttempt, pl *enginePlacement) {
 	if !a.savesToStore {
 		g.peers.publishPrompt(pl, "", nil)
--- a/internal/orderlease/lease.go
+++ b/internal/orderlease/lease.go
@@ -139,7 +139,7 @@
 func (l *Lease) ValidUntil() time.Duration { return l.validUntil }
 
 // IsLastHolder reports whether this instance wrote the current record, as far
-// as is known. No other instance has sent orders since then.
+// as is known. If so, no other instance has sent orders since.
 func (l *Lease) IsLastHolder() bool { return l.recordKnown && l.record.Holder == l.self }
 
 // WasLastKnownHolder reports whether this instance wrote the last record that
