--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,18 +28,18 @@
 // Gateway is the process of one instance.
 type Gateway struct {
 	settings Settings
-	clock    clock.Clock
-	self     wire.Identity
-	dialect  Dialect
-	store    Store
-	control  TargetControl
-	targets  *targetconn.Pool
-	metrics  *gatewayMetrics
+	clock clock.Clock
+	self wire.Identity
+	dialect Dialect
+	store Store
+	control TargetControl
+	targets *targetconn.Pool
+	metrics *gatewayMetrics
 
 	// table is the active configuration, or nil before the first one.
 	table atomic.Pointer[routing.Table]
 
-	mu       sync.Mutex
+	mu sync.Mutex
 	contacts *keys.ContactTracker
 	// operatorsOffset is the offset at which to continue reading the operator feed, or
 	// unreadOffset before the first read.
@@ -49,30 +49,30 @@
 	versions map[string]*namedVersions
 	// oldestServing is the oldest weights version that may serve, by service and model.
 	oldestServing map[string]int64
-	quota         *ratecount.Limiter
-	directory     *directory.Directory
+	quota *ratecount.Limiter
+	directory *directory.Directory
 	registrations registrationState
-	engines       map[string]*enginePool
-	services      map[string]*servicePool
-	retryBudgets  map[string]*overload.SharedRetryBudget
-	crashes       crashCounts
+	engineServices map[string]*engineService
+	plainServices map[string]*plainService
+	retryBudgets map[string]*overload.SharedRetryBudget
+	crashes crashCounts
 
 	feeds feedReachability
 	peers *peers
 	// configs transfers configurations to and from peers.
 	configs *configTransfer
-	cache   *cacheStores
+	cache *cacheStores
 	// limits holds the request rate limits that targets state.
 	limits *targetLimits
-	lease  *sharedLease
+	lease *sharedLease
 	// leaseStore reads and writes the order lease in the store.
 	leaseStore *leaseStore
-	planner    *weights.Planner
+	planner *weights.Planner
 	// orderedTargets are the targets that are loading weights on this instance's
 	// orders.
 	orderedTargets []string
-	versionRecord  versionRecord
-	suspension     suspensionDetector
+	versionRecord versionRecord
+	suspension suspensionDetector
 	// wallClock returns the time of day.
 	wallClock func() time.Time
 	// leaseHeldByPeerAt is the time at which a peer last reported that it holds the
@@ -85,7 +85,7 @@
 	loadingTargets map[string]bool
 
 	draining atomic.Bool
-	callers  *callerServer
+	callers *callerServer
 }
 
 // unknownFleetSize is the assumed size of the fleet until the announcements have been
@@ -101,20 +101,20 @@
 		self: wire.Identity{
 			Instance: s.Instance, Incarnation: uuid.Must(uuid.NewV7()).String(), Address: s.PeerListen, Domain: s.Domain,
 		},
-		targets:          targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
-		metrics:          newGatewayMetrics(),
-		contacts:         keys.NewContactTracker(s.Domain),
-		versions:         map[string]*namedVersions{},
-		oldestServing:    map[string]int64{},
-		quota:            ratecount.New(),
-		directory:        directory.New(),
-		operatorsOffset:  unreadOffset,
-		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
-		engines:          map[string]*enginePool{},
-		services:         map[string]*servicePool{},
-		retryBudgets:     map[string]*overload.SharedRetryBudget{},
-		crashes:          newCrashCounts(),
-		planner:          weights.New(weights.DefaultSettings()),
+		targets: targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
+		metrics: newGatewayMetrics(),
+		contacts: keys.NewContactTracker(s.Domain),
+		versions: map[string]*namedVersions{},
+		oldestServing: map[string]int64{},
+		quota: ratecount.New(),
+		directory: directory.New(),
+		operatorsOffset: unreadOffset,
+		registrations: registrationState{nextOffset: unreadOffset, knownUpTo: never},
+		engineServices: map[string]*engineService{},
+		plainServices: map[string]*plainService{},
+		retryBudgets: map[string]*overload.SharedRetryBudget{},
+		crashes: newCrashCounts(),
+		planner: weights.New(weights.DefaultSettings()),
 		rolloutIdleSince: never,
 	}
 	g.quota.SetFleetSize(0, unknownFleetSize, ratecount.PeerTimeout)
@@ -211,18 +211,18 @@
 		g.mu.Lock()
 		g.updateVersionBounds() // bounds also pass while no peer reports
 		g.mu.Unlock()
-		g.targets.Sweep()
+		g.targets.CloseExpired()
 		g.callers.closeIdle()
 		g.checkSilentTargets()
 	}
 }
 
-// checkSilentTargets looks for targets that stopped responding and drops their idle
+// checkSilentTargets detects targets that have stopped responding and closes their idle
 // connections, so that a probe has to dial a new one.
 func (g *Gateway) checkSilentTargets() {
-	for _, pool := range g.enginePools() {
-		for _, address := range pool.checkStalled() {
-			g.targets.Forget(address)
+	for _, service := range g.listEngineServices() {
+		for _, address := range service.checkStalled() {
+			g.targets.CloseIdle(address)
 		}
 	}
 }
@@ -251,34 +251,34 @@
 	}
 }
 
-// enginePoolFor returns the pool of a service of model servers and creates it if
+// engineServiceFor returns the state of a service of model servers and creates it if
 // needed. The caller holds g.mu.
-func (g *Gateway) enginePoolFor(name string) *enginePool {
-	p := g.engines[name]
-	if p == nil {
-		p = newEnginePool(g.clock.Now, g.settings.Domain, g.settings.PrefillTokensPerSecond, g.limits)
-		g.engines[name] = p
+func (g *Gateway) engineServiceFor(name string) *engineService {
+	s := g.engineServices[name]
+	if s == nil {
+		s = newEngineService(g.clock.Now, g.settings.Domain, g.settings.PrefillTokensPerSecond, g.limits)
+		g.engineServices[name] = s
 	}
-	return p
+	return s
 }
 
-// enginePools returns the pools of all services of model servers, for calls that are
-// made without g.mu.
-func (g *Gateway) enginePools() []*enginePool {
+// listEngineServices returns all services of model servers, for calls that are made without
+// g.mu.
+func (g *Gateway) listEngineServices() []*engineService {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Collect(maps.Values(g.engines))
+	return slices.Collect(maps.Values(g.engineServices))
 }
 
-// servicePoolFor returns the pool of a plain service and creates it if needed. The
-// caller holds g.mu.
-func (g *Gateway) servicePoolFor(name string) *servicePool {
-	p := g.services[name]
-	if p == nil {
-		p = newServicePool(g.clock.Now, g.settings.Domain, g.limits)
-		g.services[name] = p
+// plainServiceFor returns the state of a plain service and creates it if needed. The caller
+// holds g.mu.
+func (g *Gateway) plainServiceFor(name string) *plainService {
+	s := g.plainServices[name]
+	if s == nil {
+		s = newPlainService(g.clock.Now, g.settings.Domain, g.limits)
+		g.plainServices[name] = s
 	}
-	return p
+	return s
 }
 
 var _ http.Handler = (*Gateway)(nil)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -162,8 +162,8 @@
 	// unobservedAfterFraction is the time without contact with the store, as a fraction
 	// of the configuration bound, after which a version no longer counts as observed.
 	// By then all instances read the store themselves. Only a suspension of the process
-	// makes a version older by the whole time: during an outage of the store nobody can
-	// name a version, and if its age included the outage, all instances would exclude
+	// makes a version older by the whole time: during an outage of the store no version
+	// can be named, and if its age included the outage, all instances would exclude
 	// all targets when the store returns.
 	unobservedAfterFraction = 0.5
 )
@@ -207,7 +207,7 @@
 		g.recordStoreContact(contact)
 	}
 	g.quota.SetLimits(now, accountLimits(c))
-	g.updatePools()
+	g.updateServiceTargets()
 	logline.Info("config_in_force", "version", c.Version, "from", from, "routes", len(c.Routes),
 		"services", len(c.Services), "accounts", len(c.Accounts))
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -22,7 +22,7 @@
 // power during a rollout. No target served version 3, few served 4 and most still 2.
 // The store gave the new processes version 4 as the newest but neither its naming time
 // nor version 3. Each process assumed that 4 was 3 s old, the bound on old weights
-// started anew, and no target was excluded.
+// restarted, and no target was excluded.
 func TestRestartedFleetExcludesReplacedWeights(t *testing.T) {
 	for name, afterRestart := range map[string]func(p *testGateway){
 		"nothing more is named":    func(*testGateway) {},
@@ -218,10 +218,10 @@
 	const trueAge = 10 * time.Second
 	store.versionRecord = weights.VersionRecord{NextOffset: 1, Versions: []weights.NamedVersion{{Model: "m", Version: 3, NamedAt: time.Now().Add(3*time.Second - trueAge)}}}
 	p := startTestGateway(store, "a")
-	pl, refusal := p.enginePoolFor("engines").acquire(t.Context(), &engineRequest{Account: "acc"})
+	pl, refusal := p.engineServiceFor("engines").acquire(t.Context(), &engineRequest{Account: "acc"})
 	is.True(refusal == nil)
 	cut := false
-	p.enginePoolFor("engines").startAttempt(pl, func() { cut = true }, cancelPolicy{})
+	p.engineServiceFor("engines").startAttempt(pl, func() { cut = true }, cancelPolicy{})
 	p.versionRecordStep(t.Context())
 	is.True(cut)
 }
@@ -287,12 +287,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateVersionBounds()
-	pool := p.enginePoolFor("engines")
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
+	service := p.engineServiceFor("engines")
+	service.mu.Lock()
+	defer service.mu.Unlock()
 	var versions []int64
 	for _, r := range p.targets {
-		if hasOlderWeights(&r, pool.bounds.minToSend) {
+		if hasOlderWeights(&r, service.bounds.minToSend) {
 			versions = append(versions, r.Versions["m"])
 		}
 	}
--- a/internal/targetconn/conn_test.go
+++ b/internal/targetconn/conn_test.go
@@ -16,25 +16,25 @@
 	"github.com/matryer/is"
 )
 
-// script is a target that answers the requests of each connection with the
-// given bytes, one after the other, and then closes it.
-type script struct {
+// scriptedTarget is a target that responds to the requests on each connection with
+// the given byte strings in order and then closes the connection.
+type scriptedTarget struct {
 	listener net.Listener
 	requests atomic.Int64
-	bodies   sync.Map // request number to body
-	conns    sync.Map // open connections, to close at the end
+	bodies   sync.Map // bodies by request number, from 1
+	conns    sync.Map // accepted connections, closed at the end of the test
 	wg       sync.WaitGroup
 }
 
-func newScript(t *testing.T, answers ...string) *script {
+func newScriptedTarget(t *testing.T, responses ...string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{listener: l}
+	s := &scriptedTarget{listener: l}
 	s.wg.Add(1)
-	go s.run(answers)
+	go s.run(responses)
 	t.Cleanup(func() {
 		l.Close()
 		s.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
@@ -43,7 +43,7 @@
 	return s
 }
 
-func (s *script) run(answers []string) {
+func (s *scriptedTarget) run(responses []string) {
 	defer s.wg.Done()
 	for {
 		c, err := s.listener.Accept()
@@ -56,14 +56,14 @@
 			defer s.wg.Done()
 			defer c.Close()
 			r := bufio.NewReader(c)
-			for _, answer := range answers {
+			for _, response := range responses {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
 				body, _ := io.ReadAll(req.Body)
 				s.bodies.Store(s.requests.Add(1), string(body))
-				if _, err := io.WriteString(c, answer); err != nil {
+				if _, err := io.WriteString(c, response); err != nil {
 					return
 				}
 			}
@@ -71,7 +71,7 @@
 	}
 }
 
-func answer(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -89,7 +89,7 @@
 	return f
 }
 
-// exchange sends one request with the id and gives its answer's body.
+// exchange sends one request and returns the body of the response with the id.
 func (f *fixture) exchange(addr, id, body string) (string, *Conn, error) {
 	c, err := f.pool.Get(context.Background(), addr, time.Minute)
 	if err != nil {
@@ -102,13 +102,13 @@
 		return "", c, err
 	}
 	raw, err := io.ReadAll(resp.Body)
-	c.Finished()
+	c.FinishExchange()
 	return string(raw), c, err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"), answer("2", "two"))
+	s := newScriptedTarget(t, okResponse("1", "one"), okResponse("2", "two"))
 	for i, want := range []string{"one", "two"} {
 		got, c, err := f.exchange(s.listener.Addr().String(), itoa(i+1), "b")
 		f.NoErr(err)
@@ -116,24 +116,25 @@
 		f.Equal(c.Reused(), i == 1)
 		f.pool.Put(c)
 	}
-	f.Equal(f.pool.Dialed(), int64(1))
+	f.Equal(f.pool.DialCount(), int64(1))
 }
 
-// A target answers an earlier request a second time, late. The caller of the
-// next request on the connection must get its own answer, not that one.
-func TestEarlierAnswerIsPassedOver(t *testing.T) {
+// Guards against a caller that gets another caller's response. A target responds
+// late and a second time to an earlier request; the next request on the connection
+// must get its own response.
+func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("0", "late")+answer("1", "mine"))
+	s := newScriptedTarget(t, okResponse("0", "late")+okResponse("1", "mine"))
 	got, _, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.NoErr(err)
 	f.Equal(got, "mine")
 }
 
-// Bytes follow a whole answer. The connection must not be used again: they
-// would be read as the answer to the next request.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+// More bytes follow a complete response. The connection must not be reused, since
+// they would be read as the response to the next request.
+func TestConnectionWithSurplusBytesIsClosed(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "mine")+"junk", answer("2", "two"))
+	s := newScriptedTarget(t, okResponse("1", "mine")+"junk", okResponse("2", "two"))
 	_, c, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.NoErr(err)
 	f.pool.Put(c)
@@ -142,16 +143,16 @@
 	f.True(!c.Reused())
 }
 
-// The target closes an idle connection. The next request must not be lost on
-// it: nothing would tell whether it ran.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// The target closes an idle connection. The next request must not be sent on it:
+// it would be lost without any information whether it was executed.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"))
+	s := newScriptedTarget(t, okResponse("1", "one"))
 	addr := s.listener.Addr().String()
 	_, c, err := f.exchange(addr, "1", "")
 	f.NoErr(err)
 	f.pool.Put(c)
-	for c.quiet() { // until the close has arrived
+	for c.isReusable() { // until the target's close is visible
 		time.Sleep(time.Millisecond)
 	}
 	got, c, err := f.exchange(addr, "1", "")
@@ -161,18 +162,18 @@
 	f.Equal(s.requests.Load(), int64(2))
 }
 
-// The connection breaks before the answer. The request is sent once: a second
-// send would be a second run.
-func TestBrokenExchangeIsNotSentAgain(t *testing.T) {
+// The connection breaks before the response is complete. The request must not be
+// sent again, since the target could execute it twice.
+func TestFailedExchangeIsNotRetried(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le")
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Le")
 	_, _, err := f.exchange(s.listener.Addr().String(), "1", "b")
 	f.True(err != nil)
 	f.True(!errors.Is(err, ErrNotSent))
 	f.Equal(s.requests.Load(), int64(1))
 }
 
-func TestRefusedDialIsKnownNotSent(t *testing.T) {
+func TestRefusedDialReturnsErrNotSent(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	f.NoErr(err)
@@ -182,10 +183,10 @@
 	f.True(errors.Is(err, ErrNotSent))
 }
 
-// A target answers a long request before it has read all of it. The answer
-// counts, but what the target reads next is the rest of the body: another
-// request on the connection would run with wrong bytes.
-func TestAnswerBeforeTheBodyWasReadEndsTheConnection(t *testing.T) {
+// A target responds to a large request before it has read all of it. The response
+// is valid, but the connection must not be reused: the target would read the rest
+// of the body as the next request.
+func TestEarlyResponseMarksConnectionBroken(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	f.NoErr(err)
@@ -200,7 +201,7 @@
 		if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer("1", "early"))
+		_, _ = io.WriteString(c, okResponse("1", "early"))
 		<-release
 	}()
 	got, c, err := f.exchange(l.Addr().String(), "1", strings.Repeat("x", 16<<20))
@@ -211,20 +212,20 @@
 	c.Close()
 }
 
-// A target sends a head without an end. Reading stops at the bound instead of
-// filling the memory.
-func TestEndlessHeadIsCut(t *testing.T) {
+// A target sends a response head that never ends. Reading stops at maxHeadBytes, so
+// that it can't exhaust the memory.
+func TestResponseHeadSizeIsLimited(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", maxHeadBytes))
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", maxHeadBytes))
 	_, _, err := f.exchange(s.listener.Addr().String(), "1", "")
 	f.True(errors.Is(err, ErrMalformed))
 }
 
-// A target says how long it keeps an idle connection. A request sent later
-// would meet its close.
-func TestKeepAliveOfTheTargetIsObeyed(t *testing.T) {
+// A target announces its idle timeout in a Keep-Alive header. A request sent later
+// than that could arrive on a connection that the target has closed.
+func TestKeepAliveTimeoutOfTargetIsHonored(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", answer("1", "two"))
+	s := newScriptedTarget(t, "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=3\r\nContent-Length: 0\r\n\r\n", okResponse("1", "two"))
 	addr := s.listener.Addr().String()
 	_, c, err := f.exchange(addr, "1", "")
 	f.NoErr(err)
@@ -235,23 +236,23 @@
 	f.True(!c.Reused())
 }
 
-func TestSweepAndForgetCloseIdleConnections(t *testing.T) {
+func TestIdleAndExpiredConnectionsAreClosed(t *testing.T) {
 	f := newFixture(t)
-	s := newScript(t, answer("1", "one"), answer("1", "two"))
+	s := newScriptedTarget(t, okResponse("1", "one"), okResponse("1", "two"))
 	addr := s.listener.Addr().String()
-	for _, drop := range []func(){
-		func() { f.pool.Forget(addr) },
-		func() { f.now.Store(int64(time.Hour)); f.pool.Sweep() },
+	for _, closeIdle := range []func(){
+		func() { f.pool.CloseIdle(addr) },
+		func() { f.now.Store(int64(time.Hour)); f.pool.CloseExpired() },
 	} {
 		_, c, err := f.exchange(addr, "1", "")
 		f.NoErr(err)
 		f.pool.Put(c)
-		drop()
+		closeIdle()
 		f.Equal(len(f.pool.idle[addr]), 0)
 	}
 }
 
-func TestRequestBytes(t *testing.T) {
+func TestRequestEncoding(t *testing.T) {
 	is := is.New(t)
 	raw := string((&Request{Method: "POST", URI: "/a?b", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("xy")}).encode())
 	is.Equal(raw, "POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nX: 1\r\n\r\nxy")
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -12,83 +12,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNotSent marks an exchange of which no byte has reached the target.
-var ErrNotSent = errors.New("target: nothing was sent")
+// ErrNotSent marks errors of exchanges of which no byte has reached the target.
+var ErrNotSent = errors.New("target: request not sent")
 
-// Options bound a Pool.
+// Options configure a Pool.
 type Options struct {
-	// DialTimeout bounds the time to a new connection.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// MaxIdle is the most idle connections kept for one target.
+	// MaxIdle is the maximum number of idle connections per target.
 	MaxIdle int
-	// IdleFor is how long an idle connection is kept where the target does
-	// not say how long it keeps it.
-	IdleFor time.Duration
-	// KeepAlive is the pause between probes of a silent connection; three
-	// without an answer end it. A partition drops packets without a reset,
-	// so nothing else would tell.
-	KeepAlive time.Duration
+	// IdleTimeout is how long an idle connection is kept if the target does not
+	// announce its own timeout in a Keep-Alive header.
+	IdleTimeout time.Duration
+	// ProbeInterval is the interval between TCP keep-alive probes of a silent
+	// connection, which is closed after three unanswered ones. A partition drops
+	// packets without a reset, so the loss would not be detected otherwise.
+	ProbeInterval time.Duration
 }
 
-// DefaultOptions suit targets in the same region.
+// DefaultOptions returns options for targets in the same region.
 func DefaultOptions() Options {
 	return Options{
-		DialTimeout: 500 * time.Millisecond, // a round trip and one lost packet's repeat
-		MaxIdle:     64,                     // one for each slot of a usual engine
-		IdleFor:     4 * time.Second,        // under the shortest idle limit of usual servers
-		KeepAlive:   time.Second,            // so a cut shows after about four seconds
+		DialTimeout:   500 * time.Millisecond, // a round trip and one retransmission
+		MaxIdle:       64,                     // one for each slot of a typical engine
+		IdleTimeout:   4 * time.Second,        // below the shortest idle timeout of common servers
+		ProbeInterval: time.Second,            // a lost connection is detected after about four seconds
 	}
 }
 
-// keepAliveCount is the unanswered probes that end a connection.
-const keepAliveCount = 3
+// maxFailedProbes is the number of unanswered keep-alive probes after which a
+// connection is closed.
+const maxFailedProbes = 3
 
-// Pool is the connections to all targets. It is safe for concurrent use.
+// Pool holds the connections to all targets. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 	now     func() time.Duration
 
-	mu     sync.Mutex
-	idle   map[string][]*Conn
-	dialed int64
+	mu        sync.Mutex
+	idle      map[string][]*Conn
+	dialCount int64
 }
 
-// NewPool makes an empty pool that takes the time from now.
+// NewPool returns an empty pool that uses now as its clock.
 func NewPool(o Options, now func() time.Duration) *Pool {
 	return &Pool{
 		options: o, now: now, idle: map[string][]*Conn{},
 		dialer: net.Dialer{
 			Timeout: o.DialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{
-				Enable: true, Idle: o.KeepAlive, Interval: o.KeepAlive, Count: keepAliveCount,
+				Enable: true, Idle: o.ProbeInterval, Interval: o.ProbeInterval, Count: maxFailedProbes,
 			},
-			Control: boundUnacknowledged(keepAliveCount * o.KeepAlive),
+			Control: userTimeoutControl(maxFailedProbes * o.ProbeInterval),
 		},
 	}
 }
 
-// boundUnacknowledged ends a connection whose sent bytes are not acknowledged
-// in time. Keep-alive probes are not sent while bytes are outstanding.
-func boundUnacknowledged(after time.Duration) func(string, string, syscall.RawConn) error {
+// userTimeoutControl returns a net.Dialer.Control function that sets
+// TCP_USER_TIMEOUT: the kernel closes a connection whose sent bytes are not
+// acknowledged in time. It sends no keep-alive probes while bytes are
+// unacknowledged.
+func userTimeoutControl(timeout time.Duration) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var set error
+		var optErr error
 		err := raw.Control(func(fd uintptr) {
-			set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(after.Milliseconds()))
+			optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
-		return errors.CombineErrors(err, set)
+		return errors.CombineErrors(err, optErr)
 	}
 }
 
-// Get gives an idle connection to the address that was idle for less than
-// freshFor, or dials one. Its errors are marked ErrNotSent.
-func (p *Pool) Get(ctx context.Context, addr string, freshFor time.Duration) (*Conn, error) {
+// Get returns a connection to the address that was idle for less than
+// maxIdleTime, or dials one. Its errors are marked with ErrNotSent.
+func (p *Pool) Get(ctx context.Context, addr string, maxIdleTime time.Duration) (*Conn, error) {
 	for {
-		c := p.take(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if p.now()-c.idleSince < min(freshFor, c.keepFor) && c.quiet() {
+		if p.now()-c.idleSince < min(maxIdleTime, c.idleTimeout) && c.isReusable() {
 			c.reused = true
 			return c, nil
 		}
@@ -96,9 +99,9 @@
 	}
 }
 
-// take removes the connection that was used last: the others may go idle long
-// enough to be closed.
-func (p *Pool) take(addr string) *Conn {
+// popIdle removes and returns the most recently used idle connection, so that
+// surplus connections stay unused and expire. It returns nil if there is none.
+func (p *Pool) popIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -111,18 +114,18 @@
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
-	raw, err := p.dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := p.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "dial target=%s", addr), ErrNotSent)
 	}
 	p.mu.Lock()
-	p.dialed++
+	p.dialCount++
 	p.mu.Unlock()
-	limited := &limitedReader{r: raw}
-	return &Conn{addr: addr, raw: raw, limited: limited, r: bufio.NewReaderSize(limited, readBufferBytes), keepFor: p.options.IdleFor}, nil
+	limited := &limitedReader{r: netConn}
+	return &Conn{addr: addr, netConn: netConn, limited: limited, r: bufio.NewReaderSize(limited, readBufferBytes), idleTimeout: p.options.IdleTimeout}, nil
 }
 
-// Put keeps a connection for another exchange, or closes it.
+// Put returns a connection to the pool, or closes it if it can't be reused.
 func (p *Pool) Put(c *Conn) {
 	if c.broken || c.r.Buffered() > 0 {
 		c.Close()
@@ -142,15 +145,16 @@
 	}
 }
 
-// Dialed counts the connections made.
-func (p *Pool) Dialed() int64 {
+// DialCount returns the number of connections established.
+func (p *Pool) DialCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dialed
+	return p.dialCount
 }
 
-// Forget closes the idle connections to an address, as when its target ended.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to an address, for example after its
+// target has stopped.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -160,18 +164,18 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes the connections whose idle timeout has passed.
+func (p *Pool) CloseExpired() {
 	now := p.now()
-	var old []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now-c.idleSince < c.keepFor {
+			if now-c.idleSince < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(kept) == 0 {
@@ -181,7 +185,7 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
 }
