--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,18 +28,18 @@
 // Gateway is the process of one instance.
 type Gateway struct {
 	settings Settings
-	clock clock.Clock
-	self wire.Identity
-	dialect Dialect
-	store Store
-	control TargetControl
-	targets *targetconn.Pool
-	metrics *gatewayMetrics
+	clock    clock.Clock
+	self     wire.Identity
+	dialect  Dialect
+	store    Store
+	control  TargetControl
+	targets  *targetconn.Pool
+	metrics  *gatewayMetrics
 
 	// table is the active configuration, or nil before the first one.
 	table atomic.Pointer[routing.Table]
 
-	mu sync.Mutex
+	mu       sync.Mutex
 	contacts *keys.ContactTracker
 	// operatorsOffset is the offset at which to continue reading the operator feed, or
 	// unreadOffset before the first read.
@@ -48,31 +48,31 @@
 	// each was named.
 	versions map[string]*namedVersions
 	// oldestServing is the oldest weights version that may serve, by service and model.
-	oldestServing map[string]int64
-	quota *ratecount.Limiter
-	directory *directory.Directory
-	registrations registrationState
+	oldestServing  map[string]int64
+	quota          *ratecount.Limiter
+	directory      *directory.Directory
+	registrations  registrationState
 	engineServices map[string]*engineService
-	plainServices map[string]*plainService
-	retryBudgets map[string]*overload.SharedRetryBudget
-	crashes crashCounts
+	plainServices  map[string]*plainService
+	retryBudgets   map[string]*overload.SharedRetryBudget
+	crashes        crashCounts
 
 	feeds feedReachability
 	peers *peers
 	// configs transfers configurations to and from peers.
 	configs *configTransfer
-	cache *cacheStores
+	cache   *cacheStores
 	// limits holds the request rate limits that targets state.
 	limits *targetLimits
-	lease *sharedLease
+	lease  *sharedLease
 	// leaseStore reads and writes the order lease in the store.
 	leaseStore *leaseStore
-	planner *weights.Planner
+	planner    *weights.Planner
 	// orderedTargets are the targets that are loading weights on this instance's
 	// orders.
 	orderedTargets []string
-	versionRecord versionRecord
-	suspension suspensionDetector
+	versionRecord  versionRecord
+	suspension     suspensionDetector
 	// wallClock returns the time of day.
 	wallClock func() time.Time
 	// leaseHeldByPeerAt is the time at which a peer last reported that it holds the
@@ -85,7 +85,7 @@
 	loadingTargets map[string]bool
 
 	draining atomic.Bool
-	callers *callerServer
+	callers  *callerServer
 }
 
 // unknownFleetSize is the assumed size of the fleet until the announcements have been
@@ -101,20 +101,20 @@
 		self: wire.Identity{
 			Instance: s.Instance, Incarnation: uuid.Must(uuid.NewV7()).String(), Address: s.PeerListen, Domain: s.Domain,
 		},
-		targets: targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
-		metrics: newGatewayMetrics(),
-		contacts: keys.NewContactTracker(s.Domain),
-		versions: map[string]*namedVersions{},
-		oldestServing: map[string]int64{},
-		quota: ratecount.New(),
-		directory: directory.New(),
-		operatorsOffset: unreadOffset,
-		registrations: registrationState{nextOffset: unreadOffset, knownUpTo: never},
-		engineServices: map[string]*engineService{},
-		plainServices: map[string]*plainService{},
-		retryBudgets: map[string]*overload.SharedRetryBudget{},
-		crashes: newCrashCounts(),
-		planner: weights.New(weights.DefaultSettings()),
+		targets:          targetconn.NewPool(targetconn.DefaultOptions(), c.Now),
+		metrics:          newGatewayMetrics(),
+		contacts:         keys.NewContactTracker(s.Domain),
+		versions:         map[string]*namedVersions{},
+		oldestServing:    map[string]int64{},
+		quota:            ratecount.New(),
+		directory:        directory.New(),
+		operatorsOffset:  unreadOffset,
+		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
+		engineServices:   map[string]*engineService{},
+		plainServices:    map[string]*plainService{},
+		retryBudgets:     map[string]*overload.SharedRetryBudget{},
+		crashes:          newCrashCounts(),
+		planner:          weights.New(weights.DefaultSettings()),
 		rolloutIdleSince: never,
 	}
 	g.quota.SetFleetSize(0, unknownFleetSize, ratecount.PeerTimeout)
