--- a/internal/capacity/design.go
+++ b/internal/capacity/design.go
@@ -18,9 +18,9 @@
 	// into an index of at most CacheIndexBytes.
 	ReadCacheEvents bool
 	CacheIndexBytes float64
-	// MintSlotsPerDomain is the number of mint leases in a domain; 0 means one
-	// for each node. Each lease is renewed every RenewIntervalSeconds.
-	MintSlotsPerDomain, RenewIntervalSeconds float64
+	// RateSlotsPerDomain is the number of leased rate slots in a domain; 0 means
+	// one for each node. Each lease is renewed every RenewIntervalSeconds.
+	RateSlotsPerDomain, RenewIntervalSeconds float64
 	// RelayFanOut is the number of nodes that a node forwards log records to.
 	RelayFanOut float64
 	// RateAskIntervalSeconds, if not 0, is how far ahead a node requests tokens
@@ -52,7 +52,7 @@
 func CurrentDesign() Design {
 	return Design{
 		Name: "as built", HeartbeatIntervalSeconds: 0.3, HintsPerHeartbeat: 64, LoadPollIntervalSeconds: 0.25, RenewIntervalSeconds: 3,
-		ListIntervalSeconds: 0.5, ListBytesPerSecond: 12 << 10, MintSlotsPerDomain: 2,
+		ListIntervalSeconds: 0.5, ListBytesPerSecond: 12 << 10, RateSlotsPerDomain: 2,
 		ReadCacheEvents: true, CacheIndexBytes: 16 << 20, RateMessagesPerRequest: poissonMessagesPerRequest,
 		ClaimStreams: 1, ClaimRetentionSeconds: secondsPerDay, MaxClaimKeys: 32768,
 	}
@@ -63,7 +63,7 @@
 func PlannedDesign() Design {
 	return Design{
 		Name: "by design", HeartbeatPeers: 4, HeartbeatIntervalSeconds: 2, HintsPerHeartbeat: 8,
-		ListIntervalSeconds: 0.5, ListBytesPerSecond: 4 << 10, LoadPollIntervalSeconds: 2, DigestFanOut: 2, SharedLoadPolling: true, MintSlotsPerDomain: 2, RenewIntervalSeconds: 3, RelayFanOut: 2, RateAskIntervalSeconds: 4,
+		ListIntervalSeconds: 0.5, ListBytesPerSecond: 4 << 10, LoadPollIntervalSeconds: 2, DigestFanOut: 2, SharedLoadPolling: true, RateSlotsPerDomain: 2, RenewIntervalSeconds: 3, RelayFanOut: 2, RateAskIntervalSeconds: 4,
 		ClaimStreams: 64, ClaimBatchesPerSecond: 5, ClaimReplicas: 3, ClaimRetentionSeconds: secondsPerDay / 2, MaxClaimKeys: 65536,
 	}
 }
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -149,8 +149,8 @@
 
 func (f Fleet) renewalsPerSecond(d Design) float64 {
 	holders := f.Nodes
-	if d.MintSlotsPerDomain > 0 {
-		holders = math.Min(f.Nodes, f.Domains*d.MintSlotsPerDomain)
+	if d.RateSlotsPerDomain > 0 {
+		holders = math.Min(f.Nodes, f.Domains*d.RateSlotsPerDomain)
 	}
 	return holders / d.RenewIntervalSeconds
 }
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// updateAllocations passes the allocations of the held mint slots to the limiter.
+// updateAllocations passes the allocations of the held rate slots to the limiter.
 // The caller holds mu.
 func (d *rateDriver) updateAllocations() {
 	now := d.clock.now()
--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -19,12 +19,12 @@
 	appendTimeout      = 3 * time.Second
 	rateRequestTimeout = 200 * time.Millisecond
 	promiseTimeout     = time.Second
-	// floorFraction is the fraction of a mint slot that its last holder may go
+	// floorFraction is the fraction of a rate slot that its last holder may go
 	// on issuing while it is partitioned and cannot renew the lease.
 	floorFraction = 0.25
 )
 
-// fleetLayout is the division of the rates into mint slots. All instances must have
+// fleetLayout is the division of the rates into rate slots. All instances must have
 // the same, or the shares would not add up to the accounts' rates.
 type fleetLayout struct {
 	domains        []string
@@ -47,7 +47,7 @@
 	waiters        map[ratelease.Ticket]chan ratelease.Outcome
 	accounts       map[string]bool // those that the limiter has
 	peers          []wire.Identity
-	peerShares     map[string]float64       // by address: the share that the peer reports to mint
+	peerShares     map[string]float64       // by address: the share of all rates that the peer reports to issue
 	heartbeatAt    map[string]time.Duration // by address: arrival of the last heartbeat
 	recordHandlers []func(platform.Offset, logrec.Envelope)
 	wake           wakeSignal
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// updatePeers passes to the limiter the share of all rates that each peer mints:
+// updatePeers passes to the limiter the share of all rates that each peer issues:
 // the one in the log or the one that the peer itself reports, whichever is larger.
 // With the log alone, an instance that starts during an outage of the log would
 // know no peer to ask. The caller holds mu.
@@ -120,8 +120,8 @@
 	}
 }
 
-// mintedShare returns the share of all rates that this instance mints now.
-func (d *rateDriver) mintedShare() float64 {
+// issuedShare returns the share of all rates that this instance issues now.
+func (d *rateDriver) issuedShare() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.limiter.Share(d.clock.now())
--- a/internal/entry/snapshotter_test.go
+++ b/internal/entry/snapshotter_test.go
@@ -10,7 +10,7 @@
 )
 
 // A starting instance must find a checkpoint in the log, however short the
-// retention is. Without one it takes no mint slot until the next checkpoint is
+// retention is. Without one it takes no rate slot until the next checkpoint is
 // written, and its share of every account's rate is missing.
 func TestCheckpointRenewedBeforeLogTrim(t *testing.T) {
 	for _, x := range []struct {
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -80,7 +80,7 @@
 func (e *Entry) view(ready bool) stateView {
 	v := stateView{
 		Instance: e.settings.InstanceID, Incarnation: e.node.Self().Incarnation, Domain: e.settings.Domain,
-		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.mintedShare(),
+		Ready: ready, Revision: -1, LogAgeMS: e.config.logAgeMillis(), RateShare: e.rates.issuedShare(),
 		Peers: e.members.peerViews(), Leases: e.rates.leaseViews(), Targets: e.pools.targetViews(), Claims: e.claims.view(), Poison: e.poison.view(),
 	}
 	intent := e.config.intent()
--- a/internal/wholepath/control_test.go
+++ b/internal/wholepath/control_test.go
@@ -84,7 +84,7 @@
 		after, _ := f.readAdminState(e)
 		is.True(after.Revision >= before.Revision)
 	}
-	f.waitFor("the fleet mints its whole rate", func() bool { return f.totalRateShare(f.entries) > 0.99 })
+	f.waitFor("the fleet issues its whole rate", func() bool { return f.totalRateShare(f.entries) > 0.99 })
 	f.checkStreams(12, 5, func() {})
 }
 
--- a/internal/wholepath/fault_test.go
+++ b/internal/wholepath/fault_test.go
@@ -54,9 +54,9 @@
 }
 
 // The log retains only 12 records, so the first lease and configuration records are
-// trimmed before instances are restarted: first those that don't mint, then one that
-// does. They restore the configuration from a snapshot or a peer, and none acquires
-// a mint slot that another instance holds, although the record of its acquisition is
+// trimmed before instances are restarted: first those that issue no tokens, then one
+// that does. They restore the configuration from a snapshot or a peer, and none acquires
+// a rate slot that another instance holds, although the record of its acquisition is
 // gone.
 func TestRestartAfterLogTrimKeepsState(t *testing.T) {
 	is := is.New(t)
@@ -64,10 +64,10 @@
 	f.runTool("keys", "create", "--as", "tester", "--account", "office", "second-key")
 	f.waitForLogTrim(t)
 	before, _ := f.readAdminState("entry0")
-	minting, nonMinting := f.findMinter()
-	nonMinting = slices.DeleteFunc(nonMinting, func(e string) bool { s, _ := f.readAdminState(e); return s.RateShare > 0 })
-	is.True(len(nonMinting) > 0)
-	for _, e := range append(nonMinting, minting) {
+	issuer, nonIssuers := f.findIssuer()
+	nonIssuers = slices.DeleteFunc(nonIssuers, func(e string) bool { s, _ := f.readAdminState(e); return s.RateShare > 0 })
+	is.True(len(nonIssuers) > 0)
+	for _, e := range append(nonIssuers, issuer) {
 		f.procs[e].kill()
 		f.procs[e].start()
 		f.waitFor(e+" is ready", func() bool { return f.isReady(e) })
@@ -75,18 +75,18 @@
 		is.True(after.Revision >= before.Revision) // the configuration was reverted
 	}
 	f.waitForLogTrim(t)
-	f.checkMintingUntil(0.99)
+	f.waitForRateShare(0.99)
 	f.checkStreams(12, 5, func() {})
 }
 
 // waitForLogTrim waits until all records now in the control stream are trimmed. It
-// fails if two instances mint for the same slot in the meantime.
+// fails if two instances issue the share of the same slot in the meantime.
 func (f *fleet) waitForLogTrim(t *testing.T) {
 	t.Helper()
 	before := f.oldestLogOffset("control")
 	f.waitFor("the lease records are trimmed", func() bool {
-		if f.mintsTooMuch() {
-			t.Fatal("the instances mint more than the whole rate together")
+		if f.exceedsWholeRate() {
+			t.Fatal("the instances issue more than the whole rate together")
 		}
 		return f.oldestLogOffset("control") > before+12
 	})
@@ -132,7 +132,7 @@
 		after, _ := f.readAdminState(e)
 		is.True(after.Revision >= before.Revision)
 	}
-	f.checkMintingUntil(0.99)
+	f.waitForRateShare(0.99)
 	f.waitFor("the retry is answered", func() bool { return f.repeatsConfirmation("entry1", 0, booked.body) })
 	is.Equal(f.runCounts(2)[bookingKey(0)], 1)
 	f.checkStreams(6, 5, func() {})
--- a/internal/wholepath/fleet_test.go
+++ b/internal/wholepath/fleet_test.go
@@ -106,7 +106,7 @@
 	for _, name := range f.entries {
 		f.waitFor(name+" is ready", func() bool { return f.isReady(name) })
 	}
-	f.waitFor("all mint slots are held", func() bool { return f.totalRateShare(f.entries) > 0.99 })
+	f.waitFor("all rate slots are held", func() bool { return f.totalRateShare(f.entries) > 0.99 })
 	return f
 }
 
@@ -295,7 +295,8 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s) == nil
 }
 
-// totalRateShare returns the fraction of all rates that the entries mint together.
+// totalRateShare returns the fraction of all rates that the entries issue
+// together.
 func (f *fleet) totalRateShare(entries []string) float64 {
 	total := 0.0
 	for _, e := range entries {
--- a/internal/wholepath/rate_test.go
+++ b/internal/wholepath/rate_test.go
@@ -20,7 +20,7 @@
 }
 
 // callersPerEntry is the number of concurrent requests at an instance. Each caller
-// uses a single instance, so that a paused instance blocks only its own callers.
+// uses a single instance, so that a suspended instance blocks only its own callers.
 const callersPerEntry = 4
 
 func (f *fleet) startOverload(account string, services int) *overload {
@@ -81,7 +81,7 @@
 	const rate, burst = 40, 30
 	f := newFleet(t, fleetSpec{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
 	load := f.startOverload("office", 2)
-	f.waitFor("tokens are minted", func() bool { return load.admittedCount() > burst })
+	f.waitFor("tokens are issued", func() bool { return load.admittedCount() > burst })
 	f.procs["entry3"].kill()
 	f.procs["entry3"].start()
 	f.injectFault("log", `{"kind":"outage"}`)
@@ -91,28 +91,28 @@
 	load.stopAndCheckRate(rate, burst)
 }
 
-// An instance that mints a third of the rate is paused while the account overloads
-// the fleet. Another instance of its domain takes over the mint slot, then the first
-// one resumes with its old token balance and pending requests. The two together must
-// not exceed the rate.
-func TestRateHoldsWhileMintingInstanceIsPaused(t *testing.T) {
+// An instance that issues a third of the rate is suspended while the account
+// overloads the fleet. Another instance of its domain takes over the rate slot, then
+// the first one resumes with its old token balance and pending requests. The two
+// together must not exceed the rate.
+func TestRateHoldsWhileIssuingInstanceIsSuspended(t *testing.T) {
 	const rate, burst = 40, 30
 	f := newFleet(t, fleetSpec{entries: 6, engines: 1, services: 2, accounts: map[string][2]int{"office": {rate, burst}}})
 	load := f.startOverload("office", 2)
-	f.waitFor("tokens are minted", func() bool { return load.admittedCount() > burst })
+	f.waitFor("tokens are issued", func() bool { return load.admittedCount() > burst })
 	// Only members that joined before the holder's last record can take over its
 	// lease. Admitting tokens for three renewal periods ensures that the holder has
 	// written a record since all members joined.
 	load.waitForAdmitted(9 * rate)
-	paused, others := f.findMinter()
-	slot := f.mintLease(paused)
-	f.procs[paused].signal(syscall.SIGSTOP)
-	t.Cleanup(func() { f.procs[paused].signal(syscall.SIGCONT) })
+	suspended, others := f.findIssuer()
+	slot := f.heldRateSlot(suspended)
+	f.procs[suspended].signal(syscall.SIGSTOP)
+	t.Cleanup(func() { f.procs[suspended].signal(syscall.SIGCONT) })
 	f.waitFor("another instance holds the slot", func() bool {
 		return f.anyHolds(others, slot)
 	})
 	resumedAt, admittedBefore := time.Now(), load.admittedCount()
-	f.procs[paused].signal(syscall.SIGCONT)
+	f.procs[suspended].signal(syscall.SIGCONT)
 	load.waitForAdmitted(3 * rate)
 	window := time.Since(resumedAt).Seconds()
 	// Requests that were in flight to a service at the start of the window are
@@ -122,29 +122,29 @@
 		t.Errorf("admitted %d after the instance resumed, allowed %.0f", n, allowed)
 	}
 	load.stopAndCheckRate(rate, burst)
-	f.checkMintingUntil(0.9)
+	f.waitForRateShare(0.9)
 }
 
-// findMinter returns the first instance that mints, and all others.
-func (f *fleet) findMinter() (minting string, others []string) {
+// findIssuer returns the first instance that issues tokens, and all others.
+func (f *fleet) findIssuer() (issuer string, others []string) {
 	for _, e := range f.entries {
-		if s, _ := f.readAdminState(e); minting == "" && s.RateShare > 0 {
-			minting = e
+		if s, _ := f.readAdminState(e); issuer == "" && s.RateShare > 0 {
+			issuer = e
 			continue
 		}
 		others = append(others, e)
 	}
-	return minting, others
+	return issuer, others
 }
 
-// mintLease returns the mint lease that an instance holds.
-func (f *fleet) mintLease(entry string) string {
+// heldRateSlot returns the lease of the rate slot that an instance holds.
+func (f *fleet) heldRateSlot(entry string) string {
 	for _, lease := range strings.Fields(f.heldLeases(entry)) {
 		if strings.HasPrefix(lease, `"mint/`) {
 			return lease
 		}
 	}
-	f.t.Fatalf("%s holds no mint lease", entry)
+	f.t.Fatalf("%s holds no rate slot", entry)
 	return ""
 }
 
@@ -158,11 +158,11 @@
 	return false
 }
 
-// mintsTooMuch reports whether the instances together mint more than the whole rate.
-// A slot that changes its holder while the instances are queried may be counted
+// exceedsWholeRate reports whether the instances together issue more than the whole
+// rate. A slot that changes its holder while the instances are queried may be counted
 // twice, so several consecutive queries must agree: a slot that two instances hold is
 // counted twice each time.
-func (f *fleet) mintsTooMuch() bool {
+func (f *fleet) exceedsWholeRate() bool {
 	const attempts = 4
 	for range attempts {
 		if f.totalRateShare(f.entries) < 1.01 {
@@ -172,27 +172,27 @@
 	return true
 }
 
-// checkMintingUntil waits until the fleet mints more than the given fraction of its
-// rate, and fails if it ever mints more than the whole rate.
-func (f *fleet) checkMintingUntil(minShare float64) {
+// waitForRateShare waits until the fleet issues more than the given fraction of its
+// rate, and fails if it ever issues more than the whole rate.
+func (f *fleet) waitForRateShare(minShare float64) {
 	f.t.Helper()
-	f.waitFor("the fleet mints its rate", func() bool {
-		if f.mintsTooMuch() {
-			f.t.Fatal("the instances mint more than the whole rate together")
+	f.waitFor("the fleet issues its rate", func() bool {
+		if f.exceedsWholeRate() {
+			f.t.Fatal("the instances issue more than the whole rate together")
 		}
 		return f.totalRateShare(f.entries) > minShare
 	})
 }
 
-// An instance that mints a third of the rate gets SIGTERM. It releases its mint slot
+// An instance that issues a third of the rate gets SIGTERM. It releases its rate slot
 // when it exits, and another instance of its domain acquires it. Two instances never
-// mint for the slot at the same time, and the fleet mints the whole rate again.
-func TestDrainedInstanceHandsItsMintSlotOver(t *testing.T) {
+// issue the slot's share at the same time, and the fleet issues the whole rate again.
+func TestDrainedInstanceHandsOverRateSlot(t *testing.T) {
 	f := newFleet(t, fleetSpec{entries: 6, engines: 2})
-	drained, others := f.findMinter()
+	drained, others := f.findIssuer()
 	f.procs[drained].signal(syscall.SIGTERM)
 	f.entries = others
-	f.checkMintingUntil(0.99)
+	f.waitForRateShare(0.99)
 	f.must(f.procs[drained].cmd.Wait())
 	f.checkStreams(10, 5, func() {})
 }
--- a/internal/wholepath/tls_test.go
+++ b/internal/wholepath/tls_test.go
@@ -55,8 +55,8 @@
 	return ca, cert, key
 }
 
-// With TLS for callers and peers, the instances find each other and mint the whole
-// rate. A caller that trusts the authority gets an answer, one that uses plain HTTP
+// With TLS for callers and peers, the instances find each other and issue the
+// whole rate. A caller that trusts the authority gets an answer, one that uses plain HTTP
 // doesn't.
 func TestCallersAndPeersOverTLS(t *testing.T) {
 	is := is.New(t)
