--- a/internal/entry/breakers_test.go
+++ b/internal/entry/breakers_test.go
@@ -99,16 +99,16 @@
 	is.NoErr(err)
 }
 
-// A process is paused, so that it does not answer load queries, and then
-// continues as the same incarnation. It must be available from its next load
+// A process is suspended, so that it does not answer load queries, and then
+// resumes as the same incarnation. It must be available from its next load
 // report on, even if no request has probed it.
 func TestUnresponsiveTargetIsAvailableAfterNextLoadReport(t *testing.T) {
 	is := is.New(t)
-	p := newBreakerTestPool("frozen")
-	p.markUnresponsive("frozen")
+	p := newBreakerTestPool("suspended")
+	p.markUnresponsive("suspended")
 	is.Equal(len(p.availableTargets("")), 0)
-	reportLoad(p, "frozen", "first")
-	is.Equal(p.availableTargets(""), []string{"frozen"})
+	reportLoad(p, "suspended", "first")
+	is.Equal(p.availableTargets(""), []string{"suspended"})
 }
 
 // A plain service that answers every request with a server error must receive no
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -44,7 +44,7 @@
 func newPoisonDriver(c clock, node *peer.Node) *poisonDriver {
 	d := &poisonDriver{
 		clock: c, node: node,
-		registry:     poison.New(poison.Config{Self: node.Self().Incarnation, AskTimeout: permitTimeout}),
+		registry:     poison.New(poison.Config{Self: node.Self().Incarnation, PermitRequestTimeout: permitTimeout}),
 		waiting:      make(map[string]chan poison.Decision),
 		crashBatches: make(map[poison.CrashID][]string),
 		addresses:    make(map[string]string),
--- a/internal/gateway/fleetstate.go
+++ b/internal/gateway/fleetstate.go
@@ -27,7 +27,7 @@
 		}
 		state.SilentTargets = append(state.SilentTargets, service.recentlyStalled()...)
 	}
-	return state, g.quota.ReportSpent()
+	return state, g.accountLimiter.ReportSpent()
 }
 
 // heldLeaseRecord returns the record of the order lease, or nil unless this instance
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	g.quota.ApplyReports(now, reports...)
+	g.accountLimiter.ApplyReports(now, reports...)
 	g.mu.Unlock()
 	services := g.listEngineServices()
 	for i := range changes {
@@ -185,7 +185,7 @@
 func (g *Gateway) applyFleetState(now time.Duration, fleetSize int, updateMaxAge, updateDelay time.Duration, loads map[string]targetLoad, loading map[string]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.quota.SetFleetSize(now, fleetSize, updateMaxAge)
+	g.accountLimiter.SetFleetSize(now, fleetSize, updateMaxAge)
 	g.updateRetryReserves(fleetSize)
 	for _, f := range g.crashes.unreported {
 		g.peers.publishCrash(f)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,7 +49,7 @@
 	versions map[string]*namedVersions
 	// oldestServing is the oldest weights version that may serve, by service and model.
 	oldestServing  map[string]int64
-	quota          *ratecount.Limiter
+	accountLimiter *ratecount.Limiter
 	directory      *directory.Directory
 	registrations  registrationState
 	engineServices map[string]*engineService
@@ -106,7 +106,7 @@
 		contacts:         keys.NewContactTracker(s.Domain),
 		versions:         map[string]*namedVersions{},
 		oldestServing:    map[string]int64{},
-		quota:            ratecount.New(),
+		accountLimiter:   ratecount.New(),
 		directory:        directory.New(),
 		operatorsOffset:  unreadOffset,
 		registrations:    registrationState{nextOffset: unreadOffset, knownUpTo: never},
@@ -117,7 +117,7 @@
 		planner:          weights.New(weights.DefaultSettings()),
 		rolloutIdleSince: never,
 	}
-	g.quota.SetFleetSize(0, unknownFleetSize, ratecount.PeerTimeout)
+	g.accountLimiter.SetFleetSize(0, unknownFleetSize, ratecount.PeerTimeout)
 	leaseSettings := orderlease.DefaultSettings()
 	leaseSettings.HandoverGap = s.LeaseGap
 	g.lease = &sharedLease{lease: orderlease.New(g.self.Incarnation, leaseSettings).WithInstance(g.self.Instance)}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -206,7 +206,7 @@
 	for _, contact := range g.configs.setCurrent(prepared.snapshot) {
 		g.recordStoreContact(contact)
 	}
-	g.quota.SetLimits(now, accountLimits(c))
+	g.accountLimiter.SetLimits(now, accountLimits(c))
 	g.updateServiceTargets()
 	logline.Info("config_in_force", "version", c.Version, "from", from, "routes", len(c.Routes),
 		"services", len(c.Services), "accounts", len(c.Accounts))
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -283,7 +283,7 @@
 		}
 	}
 	c.requestedTokens = c.chargedTokens
-	wait, ok := g.quota.Admit(g.clock.Now(), c.account.Name, c.chargedTokens)
+	wait, ok := g.accountLimiter.Admit(g.clock.Now(), c.account.Name, c.chargedTokens)
 	if !ok {
 		c.chargedTokens = 0
 		return &Refusal{Status: http.StatusTooManyRequests, Reason: "over_rate", RetryAfter: max(wait, minRateRetryAfter), NotRun: true}, true
@@ -305,7 +305,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.quota.Refund(g.clock.Now(), c.account.Name, c.chargedTokens)
+	g.accountLimiter.Refund(g.clock.Now(), c.account.Name, c.chargedTokens)
 	g.mu.Unlock()
 	c.chargedTokens = 0
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -16,7 +16,7 @@
 )
 
 // suspensionDetector detects that this process was suspended, for example because its
-// machine was frozen. What the process receives right after that may be as old as the
+// whole machine was. What the process receives right after that may be as old as the
 // suspension.
 type suspensionDetector struct {
 	mu       sync.Mutex
--- a/internal/hubs/hubs_test.go
+++ b/internal/hubs/hubs_test.go
@@ -95,7 +95,7 @@
 	is.True(!PlanCalls(self, peers, 50, 0).Hub)
 }
 
-// Guards against a follower that waits for a frozen hub, and against one that
+// Guards against a follower that waits for a suspended hub, and against one that
 // tries the survivors of a large loss one at a time.
 func TestLateCallsAreDuplicated(t *testing.T) {
 	is := is.New(t)
--- a/internal/lease/records.go
+++ b/internal/lease/records.go
@@ -72,10 +72,10 @@
 	// BasisSuccessor: the holder is an earlier incarnation at the writer's
 	// address.
 	BasisSuccessor Basis = "successor"
-	// BasisExpired: the holder has not renewed for longer than the TTL.
+	// BasisExpired: the holder has not renewed for longer than the TTL. Valid only
+	// if the holder had applied the writer's join when it wrote its last record.
 	BasisExpired Basis = "lapsed"
-	// BasisHoldExpired: the holder has not renewed for longer than the hold
-	// time.
+	// BasisHoldExpired: the holder has not renewed for longer than the hold time.
 	BasisHoldExpired Basis = "hold"
 )
 
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -19,10 +19,10 @@
 )
 
 type node struct {
-	view   *View
-	id     wire.Identity
-	up     bool
-	frozen bool
+	view      *View
+	id        wire.Identity
+	up        bool
+	suspended bool
 	// listUnavailable makes reads of the platform's list fail.
 	listUnavailable bool
 	// group is its side of a network partition.
@@ -99,7 +99,7 @@
 			f.deliver(p)
 		}
 		for i, n := range f.nodes {
-			if n.up && !n.frozen {
+			if n.up && !n.suspended {
 				n.view.Tick(f.now)
 				f.collectReady(i)
 			}
@@ -109,7 +109,7 @@
 
 func (f *fleet) deliver(p packet) {
 	to, from := f.nodes[f.indexByAddress[p.To]], f.nodes[p.from]
-	if !to.up || to.frozen || to.group != from.group || f.rng.Float64() < f.lossRate {
+	if !to.up || to.suspended || to.group != from.group || f.rng.Float64() < f.lossRate {
 		return
 	}
 	to.view.Receive(f.now, p.Kind, p.Body)
@@ -152,12 +152,12 @@
 // exactly the running instances of its group.
 func (f *fleet) checkAgreement() error {
 	for i, n := range f.nodes {
-		if !n.up || n.frozen {
+		if !n.up || n.suspended {
 			continue
 		}
 		want := 0
 		for _, o := range f.nodes {
-			if o.up && !o.frozen && o.group == n.group {
+			if o.up && !o.suspended && o.group == n.group {
 				want++
 			}
 		}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -34,9 +34,9 @@
 	})
 }
 
-// Instances are killed, restarted with clocks that were set back, frozen and resumed,
-// and partitioned. After that, all must agree on the running instances, and none may
-// take an earlier process for the current one.
+// Instances are killed, restarted with clocks that were set back, suspended and
+// resumed, and partitioned. After that, all must agree on the running instances, and
+// none may take an earlier process for the current one.
 func TestFleetAgreesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 16).Draw(rt, "instances")
@@ -51,7 +51,7 @@
 			case 1:
 				f.start(i, rapid.Int64Range(1, 2000).Draw(rt, "clock"))
 			case 2:
-				o.frozen = !o.frozen
+				o.suspended = !o.suspended
 			case 3:
 				o.group = 1 - o.group
 			case 4:
@@ -61,7 +61,7 @@
 		}
 		f.lossRate = 0
 		for _, o := range f.nodes {
-			o.frozen, o.group = false, 0
+			o.suspended, o.group = false, 0
 		}
 		f.run(20 * time.Second)
 		if err := f.checkAgreement(); err != nil {
@@ -78,21 +78,21 @@
 	f := newFleet(3, 5, 1)
 	f.run(3 * time.Second)
 	o := f.nodes[2]
-	o.frozen = true
+	o.suspended = true
 	f.markLeaving("t1")
 	f.run(5 * time.Second)
 	o.view.Tick(f.now)
 	is.Equal(o.view.Freshness(f.now), Waiting)
 	is.True(!o.view.Draining("t1"))
 	is.Equal(len(o.view.Members()), 3) // peers are not marked silent for the pause
-	o.frozen = false
+	o.suspended = false
 	f.run(10 * tickInterval)
 	is.Equal(o.view.Freshness(f.now), Fresh)
 	is.True(o.view.Draining("t1"))
 
-	o.frozen = true
+	o.suspended = true
 	f.run(5 * time.Second)
-	o.frozen, o.group, o.listUnavailable = false, 1, true
+	o.suspended, o.group, o.listUnavailable = false, 1, true
 	f.run(tickInterval)
 	is.Equal(o.view.Freshness(f.now), Waiting)
 	f.run(time.Second)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,7 +12,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// writeTimeout bounds one write. A frozen peer, which does not read, would
+// writeTimeout bounds one write. A suspended peer, which does not read, would
 // otherwise block every sender that shares the connection.
 const writeTimeout = 2 * time.Second
 
--- a/internal/poison/config.go
+++ b/internal/poison/config.go
@@ -18,11 +18,11 @@
 	// AckTimeout bounds how long the requests of a crashed target are held until
 	// the peers have acknowledged the crash.
 	AckTimeout time.Duration
-	// PermitTTL is how long a permit stays valid without a hold message. Holders
-	// send one every third of it.
+	// PermitTTL is how long a permit stays valid without a PoisonPermitRenewal.
+	// Holders send one every third of it.
 	PermitTTL time.Duration
-	// AskTimeout bounds the wait for a permit.
-	AskTimeout time.Duration
+	// PermitRequestTimeout bounds the wait for a permit.
+	PermitRequestTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -32,7 +32,7 @@
 	setDefault(&c.MaxSuspects, 8192)
 	setDefault(&c.AckTimeout, 300*time.Millisecond)
 	setDefault(&c.PermitTTL, 3*time.Second)
-	setDefault(&c.AskTimeout, 5*time.Second)
+	setDefault(&c.PermitRequestTimeout, 5*time.Second)
 	return c
 }
 
--- a/internal/poison/crash.go
+++ b/internal/poison/crash.go
@@ -37,7 +37,7 @@
 		r.releasePermit(now, q, &body)
 	}
 	r.attributeToOrphans(now)
-	r.home.answerAsks(now, r)
+	r.home.answerPermitRequests(now, r)
 	r.releaseHeld(now)
 }
 
--- a/internal/poison/home.go
+++ b/internal/poison/home.go
@@ -16,10 +16,10 @@
 type home struct {
 	cfg     Config
 	permits map[Fingerprint]*permit
-	queue   []ask
-	// grantsFrom is when the holds of all permits must have arrived after a change
-	// of peers. A home that grants earlier could let a fingerprint run twice at
-	// once.
+	queue   []permitRequest
+	// grantsFrom is the earliest time for a new permit after a change of peers.
+	// By then, the holders of permits from the previous home have renewed them
+	// here. A home that grants earlier could let a fingerprint run twice at once.
 	grantsFrom time.Duration
 }
 
@@ -29,17 +29,17 @@
 	expiresAt time.Duration
 }
 
-type ask struct {
-	from      string
-	request   string
-	fp        Fingerprint
-	targets   []string
-	askedAt   time.Duration
-	expiresAt time.Duration
+type permitRequest struct {
+	from       string
+	request    string
+	fp         Fingerprint
+	targets    []string
+	receivedAt time.Duration
+	expiresAt  time.Duration
 }
 
-// maxQueuedAsks bounds the asks that wait for a permit.
-const maxQueuedAsks = 4096
+// maxQueuedPermitRequests bounds the requests that wait for a permit.
+const maxQueuedPermitRequests = 4096
 
 func newHome(cfg Config) *home {
 	return &home{cfg: cfg, permits: map[Fingerprint]*permit{}}
@@ -60,16 +60,16 @@
 
 func (h *home) enqueue(now time.Duration, from string, b wire.PoisonPermitRequest) {
 	fp, ok := parseFingerprint(b.Fingerprint)
-	if !ok || len(h.queue) >= maxQueuedAsks {
+	if !ok || len(h.queue) >= maxQueuedPermitRequests {
 		return
 	}
-	a := ask{from: from, request: b.Request, fp: fp, targets: b.Targets, askedAt: now, expiresAt: now + h.cfg.AskTimeout}
-	i := slices.IndexFunc(h.queue, func(o ask) bool { return o.from == from && o.request == b.Request })
+	req := permitRequest{from: from, request: b.Request, fp: fp, targets: b.Targets, receivedAt: now, expiresAt: now + h.cfg.PermitRequestTimeout}
+	i := slices.IndexFunc(h.queue, func(o permitRequest) bool { return o.from == from && o.request == b.Request })
 	if i >= 0 {
-		h.queue[i] = a
+		h.queue[i] = req
 		return
 	}
-	h.queue = append(h.queue, a)
+	h.queue = append(h.queue, req)
 }
 
 // renewPermit extends a permit, including one that another home granted.
@@ -84,14 +84,15 @@
 	h.permits[fp] = &permit{holder: from, target: b.Target, expiresAt: now + h.cfg.PermitTTL}
 }
 
-// endPermit ends a permit, or removes the ask of a request that no longer waits.
+// endPermit ends a permit, or removes the permit request of a request that no
+// longer waits.
 func (h *home) endPermit(from string, b wire.PoisonPermitRelease) {
 	fp, ok := parseFingerprint(b.Fingerprint)
 	if !ok {
 		return
 	}
 	if b.Target == "" {
-		h.queue = slices.DeleteFunc(h.queue, func(a ask) bool { return a.from == from && a.request == b.Request })
+		h.queue = slices.DeleteFunc(h.queue, func(req permitRequest) bool { return req.from == from && req.request == b.Request })
 		return
 	}
 	if p := h.permits[fp]; p != nil && p.holder == from && p.target == b.Target {
@@ -100,13 +101,14 @@
 }
 
 // removeCrashedTarget removes a target that crashed at the given time from the
-// asks received before. An ask lists the targets that were up when it was sent.
-// No suspect runs on the crashed target any more, so without this the next ask
-// would get it at once and its stream would end with a refused connection.
+// permit requests received before. A permit request lists the targets that were up
+// when it was sent. No suspect runs on the crashed target any more, so without this
+// the next permit request would get it at once and its stream would end with a
+// refused connection.
 func (h *home) removeCrashedTarget(target string, at time.Duration) {
-	for i, a := range h.queue {
-		if a.askedAt <= at && slices.Contains(a.targets, target) {
-			h.queue[i].targets = slices.DeleteFunc(slices.Clone(a.targets), func(t string) bool { return t == target })
+	for i, req := range h.queue {
+		if req.receivedAt <= at && slices.Contains(req.targets, target) {
+			h.queue[i].targets = slices.DeleteFunc(slices.Clone(req.targets), func(t string) bool { return t == target })
 		}
 	}
 }
@@ -140,40 +142,41 @@
 			delete(h.permits, fp)
 		}
 	}
-	h.queue = slices.DeleteFunc(h.queue, func(a ask) bool { return now >= a.expiresAt })
+	h.queue = slices.DeleteFunc(h.queue, func(req permitRequest) bool { return now >= req.expiresAt })
 }
 
-// answerAsks answers all asks that can be decided now, the oldest first.
-func (h *home) answerAsks(now time.Duration, r *Registry) {
+// answerPermitRequests answers all permit requests that can be decided now, the
+// oldest first.
+func (h *home) answerPermitRequests(now time.Duration, r *Registry) {
 	queue := h.queue
 	h.queue = nil
-	for _, a := range queue {
-		g := wire.PoisonPermitResponse{Request: a.request, Fingerprint: a.fp[:]}
+	for _, req := range queue {
+		resp := wire.PoisonPermitResponse{Request: req.request, Fingerprint: req.fp[:]}
 		switch {
-		case r.ledger.quarantined(now, a.fp):
-			g.Quarantined = true
-		case r.ledger.openCrashCount(a.fp) == 0:
+		case r.ledger.quarantined(now, req.fp):
+			resp.Quarantined = true
+		case r.ledger.openCrashCount(req.fp) == 0:
 		default:
 			if now >= h.grantsFrom {
-				g.Target = h.freeTarget(a)
+				resp.Target = h.freeTarget(req)
 			}
-			if g.Target == "" {
-				h.queue = append(h.queue, a)
+			if resp.Target == "" {
+				h.queue = append(h.queue, req)
 				continue
 			}
-			h.permits[a.fp] = &permit{holder: a.from, target: g.Target, expiresAt: now + h.cfg.PermitTTL}
+			h.permits[req.fp] = &permit{holder: req.from, target: resp.Target, expiresAt: now + h.cfg.PermitTTL}
 		}
-		r.send(now, a.from, wire.KindPoisonPermitResponse, g)
+		r.send(now, req.from, wire.KindPoisonPermitResponse, resp)
 	}
 }
 
 // freeTarget returns a target without a suspect, or "" if there is none or the
 // fingerprint is already running.
-func (h *home) freeTarget(a ask) string {
-	if h.permits[a.fp] != nil {
+func (h *home) freeTarget(req permitRequest) string {
+	if h.permits[req.fp] != nil {
 		return ""
 	}
-	for _, t := range a.targets {
+	for _, t := range req.targets {
 		if !h.hasSuspect(t) {
 			return t
 		}
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -31,8 +31,8 @@
 // quarantined.
 const quarantineThreshold = 2
 
-// ledger records crashes, suspects and quarantines. Merging crashes and clears is
-// idempotent and independent of their order; whether they lead to a quarantine
+// ledger records crashes, suspects and quarantines. Merging crashes and exonerations
+// is idempotent and independent of their order; whether they lead to a quarantine
 // can depend on the order, see spreadQuarantine.
 type ledger struct {
 	cfg      Config
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -53,7 +53,7 @@
 		}
 		r.releaseHeld(now)
 	case wire.PoisonPermitResponse:
-		r.handleGrant(now, from, b)
+		r.handlePermitResponse(now, from, b)
 	case wire.PoisonPermitRequest:
 		r.home.enqueue(now, from, b)
 	case wire.PoisonPermitRenewal:
@@ -64,7 +64,7 @@
 		}
 		r.home.endPermit(from, b)
 	}
-	r.home.answerAsks(now, r)
+	r.home.answerPermitRequests(now, r)
 }
 
 // merge adds what a peer reports to the ledger.
@@ -107,7 +107,7 @@
 }
 
 // spreadQuarantine makes all instances quarantine a fingerprint that one of them
-// has quarantined. Crashes and clears that arrive in different orders can lead
+// has quarantined. Crashes and exonerations that arrive in different orders can lead
 // two instances to different results, and the request would be refused by one
 // and run by the other. One instance per fingerprint broadcasts the quarantine,
 // which keeps the number of messages linear in the size of the fleet.
@@ -121,7 +121,7 @@
 	r.send(now, to, wire.KindPoisonNotice, body)
 }
 
-func (r *Registry) handleGrant(now time.Duration, from string, b wire.PoisonPermitResponse) {
+func (r *Registry) handlePermitResponse(now time.Duration, from string, b wire.PoisonPermitResponse) {
 	q := r.requests[b.Request]
 	if q == nil || q.home != from || q.hasPermit {
 		if b.Target != "" && (q == nil || q.target != b.Target) {
--- a/internal/poison/registry.go
+++ b/internal/poison/registry.go
@@ -58,10 +58,10 @@
 	target string
 	pool   string
 	// home is set while the request waits for or holds a permit.
-	home        string
-	hasPermit   bool
-	targets     []string
-	askDeadline time.Duration
+	home           string
+	hasPermit      bool
+	targets        []string
+	permitDeadline time.Duration
 	// awaitedNotice is the id of the notice whose acks the request waits for; 0 if
 	// none.
 	awaitedNotice uint64
@@ -143,10 +143,10 @@
 	r.releaseHeld(now)
 }
 
-// Admit asks whether a request may be dispatched to its pool. targets are those
+// Admit decides whether a request may be dispatched to its pool. targets are those
 // that could run it, in order of preference. After Run, call Started.
 func (r *Registry) Admit(now time.Duration, id string, fp Fingerprint, pool string, targets []string) Verdict {
-	q := &request{id: id, fp: fp, pool: pool, targets: targets, askDeadline: now + r.cfg.AskTimeout}
+	q := &request{id: id, fp: fp, pool: pool, targets: targets, permitDeadline: now + r.cfg.PermitRequestTimeout}
 	switch {
 	case r.ledger.quarantined(now, fp):
 		r.stats.Quarantined++
@@ -212,7 +212,7 @@
 	}
 }
 
-// releasePermit returns the permit of a request or withdraws its ask.
+// releasePermit returns the permit of a request or withdraws its permit request.
 func (r *Registry) releasePermit(now time.Duration, q *request, c *wire.PoisonCrash) {
 	if q.home == "" {
 		return
@@ -251,7 +251,7 @@
 	r.ledger.expire(now)
 	r.releaseHeld(now)
 	for _, q := range r.sortedRequests() {
-		if q.home != "" && !q.hasPermit && now >= q.askDeadline {
+		if q.home != "" && !q.hasPermit && now >= q.permitDeadline {
 			delete(r.requests, q.id)
 			r.releasePermit(now, q, nil)
 			r.decide(q, Refused, "")
@@ -262,11 +262,11 @@
 		r.keepAlive(now)
 	}
 	r.home.dropExpired(now)
-	r.home.answerAsks(now, r)
+	r.home.answerPermitRequests(now, r)
 }
 
-// keepAlive renews permits and repeats unanswered asks, since a new home knows
-// neither.
+// keepAlive renews permits and repeats unanswered permit requests, since a new home
+// knows neither.
 func (r *Registry) keepAlive(now time.Duration) {
 	for _, q := range r.sortedRequests() {
 		switch {
--- a/internal/poison/registry_test.go
+++ b/internal/poison/registry_test.go
@@ -35,8 +35,8 @@
 }
 
 // Guards against a new home that grants a permit before it has received the
-// holds of the existing ones: a fingerprint could run on two targets at a time.
-func TestNewHomeWaitsForHolds(t *testing.T) {
+// renewals of the existing ones: a fingerprint could run on two targets at a time.
+func TestNewHomeWaitsForRenewals(t *testing.T) {
 	is := is.New(t)
 	fp := testFingerprint(0)
 	r := newRegistryWithSuspect(Config{Self: "a", PermitTTL: 2 * time.Second})
@@ -48,7 +48,7 @@
 	is.Equal(len(r.Ready().Decisions), 0) // held by c
 }
 
-// As above, before any hold has arrived.
+// As above, before any renewal has arrived.
 func TestNewHomeWaitsBeforeGranting(t *testing.T) {
 	is := is.New(t)
 	r := newRegistryWithSuspect(Config{Self: "a", PermitTTL: 2 * time.Second})
@@ -60,10 +60,10 @@
 	is.Equal(len(r.Ready().Decisions), 1)
 }
 
-// A suspect waits for the only target in its ask, on which another suspect runs,
-// and that target crashes. It has no suspect then but is gone: a stream sent
-// there would end with a refused connection. The waiting suspect must wait until
-// it names other targets.
+// A suspect waits for the only target in its permit request, on which another
+// suspect runs, and that target crashes. It has no suspect then but is gone: a
+// stream sent there would end with a refused connection. The waiting suspect must
+// wait until it names other targets.
 func TestCrashedTargetIsNotGivenToTheNextSuspect(t *testing.T) {
 	is := is.New(t)
 	r := newRegistryWithSuspect(Config{Self: "a"})
@@ -188,10 +188,10 @@
 }
 
 // The home of the pool is unreachable. The suspect must be refused after
-// AskTimeout: it must neither run without a permit nor wait forever.
+// PermitRequestTimeout: it must neither run without a permit nor wait forever.
 func TestSuspectIsRefusedWithoutItsHome(t *testing.T) {
 	is := is.New(t)
-	r := newRegistryWithSuspect(Config{Self: "a", AskTimeout: 5 * time.Second})
+	r := newRegistryWithSuspect(Config{Self: "a", PermitRequestTimeout: 5 * time.Second})
 	r.SetPeers(0, []string{"b", "c", "d"})
 	pool := "pool"
 	for homeOf(pool, "a", r.peers) == "a" {
