--- a/internal/entry/ratedriver.go
+++ b/internal/entry/ratedriver.go
@@ -204,8 +204,8 @@
 		d.deliver(o)
 	}
 	d.mu.Unlock()
-	for _, ask := range ready.Asks {
-		go d.requestTokens(ctx, ask)
+	for _, req := range ready.TokenRequests {
+		go d.requestTokens(ctx, req)
 	}
 	for _, r := range ready.Returns {
 		go d.returnTokens(ctx, r)
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -58,10 +58,10 @@
 	now := d.clock.now() + time.Second
 	o := d.limiter.Admit(now, "acc", 100, time.Hour)
 	is.True(o.Waiting)
-	asks := d.limiter.Tick(now).Asks
-	is.Equal(len(asks), 1)
-	is.Equal(asks[0].Peer, newHolder.Address)
-	is.Equal(asks[0].Body.Items[0].Tokens, 101.0) // the cost plus one token against rounding
+	requests := d.limiter.Tick(now).TokenRequests
+	is.Equal(len(requests), 1)
+	is.Equal(requests[0].Peer, newHolder.Address)
+	is.Equal(requests[0].Body.Items[0].Tokens, 101.0) // the cost plus one token against rounding
 }
 
 // Instances regularly restart with other addresses. The share reported from an
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -7,7 +7,7 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// setPeers replaces the peers that can be asked for tokens.
+// setPeers replaces the peers from which tokens can be requested.
 func (d *rateDriver) setPeers(peers []wire.Identity) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,15 +53,15 @@
 	d.limiter.SetPeers(list)
 }
 
-// requestTokens asks a peer for tokens.
-func (d *rateDriver) requestTokens(ctx context.Context, req ratelease.Ask) {
+// requestTokens requests tokens from a peer and passes the grant to the limiter.
+func (d *rateDriver) requestTokens(ctx context.Context, req ratelease.TokenRequest) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
 	var grant wire.RateGrant
 	_, err := d.node.Call(ctx, req.Peer, wire.KindRateRequest, req.Body, &grant)
 	d.mu.Lock()
 	if err != nil {
-		d.limiter.AskFailed(d.clock.now(), req.ID)
+		d.limiter.TokenRequestFailed(d.clock.now(), req.ID)
 	} else {
 		d.limiter.HandleGrant(d.clock.now(), req.Peer, req.ID, grant)
 	}
@@ -69,7 +69,8 @@
 	d.wake.notify()
 }
 
-// returnTokens tells a peer what became of the tokens that it granted.
+// returnTokens reports to a peer which of the tokens that it granted were spent,
+// which come back unspent and which were refunded.
 func (d *rateDriver) returnTokens(ctx context.Context, r ratelease.Return) {
 	ctx, cancel := context.WithTimeout(ctx, rateRequestTimeout)
 	defer cancel()
@@ -83,7 +84,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.limiter.HandleAsk(d.clock.now(), req), nil
+	return d.limiter.HandleTokenRequest(d.clock.now(), req), nil
 }
 
 func (d *rateDriver) handleTokenReturn(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
--- a/internal/ratelease/allocations.go
+++ b/internal/ratelease/allocations.go
@@ -102,7 +102,7 @@
 }
 
 // ShareOf returns the fraction of all rates that a peer issues according to the
-// log. It is only used to choose which peers to ask.
+// log. It is only used to choose the peers to request tokens from.
 func ShareOf(f *lease.Table, peer string, slots int) float64 {
 	n := 0
 	f.EachHeld(func(r lease.Resource, s lease.State) {
--- a/internal/ratelease/bench_test.go
+++ b/internal/ratelease/bench_test.go
@@ -40,13 +40,13 @@
 	}
 }
 
-func BenchmarkHandleAsk(b *testing.B) {
+func BenchmarkHandleTokenRequest(b *testing.B) {
 	l, now := benchLimiter(440, 5), time.Second
-	ask := wire.RateRequest{From: "i1", Items: []wire.RateItem{{Account: "account-007", Tokens: 1}}}
+	req := wire.RateRequest{From: "i1", Items: []wire.RateItem{{Account: "account-007", Tokens: 1}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		now += time.Millisecond
-		l.HandleAsk(now, ask)
+		l.HandleTokenRequest(now, req)
 	}
 }
 
@@ -98,23 +98,23 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMessageBytes reports the encoded size of one exchange (ask, grant,
-// return) by the number of accounts in it.
+// BenchmarkMessageBytes reports the encoded size of one exchange (request,
+// grant, return) by the number of accounts in it.
 func BenchmarkMessageBytes(b *testing.B) {
 	for _, accounts := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
 			const id = "01a23935-8cec-7b06-907d-5eec2ad2e5c2"
-			ask, grant, ret := wire.RateRequest{From: id}, wire.RateGrant{From: id, DebitedAtNanos: 1 << 50}, wire.RateReturn{To: id}
+			req, grant, ret := wire.RateRequest{From: id}, wire.RateGrant{From: id, DebitedAtNanos: 1 << 50}, wire.RateReturn{To: id}
 			for i := range accounts {
 				name := fmt.Sprintf("account-%03d", i)
-				ask.Items = append(ask.Items, wire.RateItem{Account: name, Tokens: 1234.5, WaitedMicros: 1500})
+				req.Items = append(req.Items, wire.RateItem{Account: name, Tokens: 1234.5, WaitedMicros: 1500})
 				grant.Items = append(grant.Items, wire.RateGrantItem{Account: name, Tokens: 1234.5, Remaining: 987.6})
 				ret.Items = append(ret.Items, wire.RateReturnItem{Account: name, DebitedAtNanos: 1 << 50, Spent: 1234.5})
 			}
 			sum := 0
 			for b.Loop() {
 				sum = 0
-				for _, m := range []any{ask, grant, ret} {
+				for _, m := range []any{req, grant, ret} {
 					raw, err := msgpack.Marshal(m)
 					if err != nil {
 						b.Fatal(err)
--- a/internal/ratelease/exchange.go
+++ b/internal/ratelease/exchange.go
@@ -10,8 +10,8 @@
 // hintMaxAge is the age up to which a peer's balance counts as current.
 const hintMaxAge = 50 * time.Millisecond
 
-// unresponsivePeerBackoff is how long a peer is not asked after it failed to
-// answer.
+// unresponsivePeerBackoff is how long a peer gets no token requests after it
+// failed to answer one.
 const unresponsivePeerBackoff = time.Second
 
 // Peer is another instance that may have tokens.
@@ -37,8 +37,8 @@
 	return p.Share
 }
 
-// Ask is a call to make to a peer.
-type Ask struct {
+// TokenRequest is a request for tokens to send to a peer.
+type TokenRequest struct {
 	ID   uint64
 	Peer string
 	Body wire.RateRequest
@@ -50,18 +50,18 @@
 	Body wire.RateReturn
 }
 
-// pendingAsk is an ask that is not answered yet.
-type pendingAsk struct {
-	peer     string
-	askedAt  time.Duration
-	accounts []string
+// pendingTokenRequest is a token request that is not answered yet.
+type pendingTokenRequest struct {
+	peer      string
+	createdAt time.Duration
+	accounts  []string
 }
 
-// SetPeers replaces the peers to ask for tokens, nearest first. Peers that issue
-// nothing are left out, since they have nothing to grant. If no share is known,
-// as on an instance that starts while the log is down, all peers are assumed to
-// have equal shares; otherwise nobody would be asked and every request would be
-// refused.
+// SetPeers replaces the peers to request tokens from, nearest first. Peers that
+// issue nothing are left out, since they have nothing to grant. If no share is
+// known, as on an instance that starts while the log is down, all peers are
+// assumed to have equal shares; otherwise no token requests would be sent and
+// every request would be refused.
 func (l *Limiter) SetPeers(peers []Peer) {
 	old := l.peers
 	l.peers = slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return p.Share <= 0 })
@@ -80,23 +80,24 @@
 	}
 }
 
-// HandleAsk grants what it can of an ask and debits the granted tokens here.
-func (l *Limiter) HandleAsk(now time.Duration, ask wire.RateRequest) wire.RateGrant {
+// HandleTokenRequest grants what it can of a peer's token request and debits the
+// granted tokens here.
+func (l *Limiter) HandleTokenRequest(now time.Duration, req wire.RateRequest) wire.RateGrant {
 	l.advanceShare(now)
 	g := wire.RateGrant{From: l.settings.Self, DebitedAtNanos: int64(now)}
-	for i, item := range ask.Items {
+	for i, item := range req.Items {
 		a := l.accounts[item.Account]
 		if a == nil || i >= wire.MaxRateItems {
 			continue
 		}
 		l.advance(a, now)
-		tokens := l.lendable(a, now, ask.From, item)
-		a.unmetAsk.record(now, ask.From, item, tokens)
+		tokens := l.lendable(a, now, req.From, item)
+		a.unmetTokenRequest.record(now, req.From, item, tokens)
 		if tokens > 0 {
 			a.bucket.lend(now, l.settings.GrantLifetime, tokens)
 		}
 		item.Tokens = a.bucket.balance
-		left := l.lendable(a, now, ask.From, item) // still available to this asker
+		left := l.lendable(a, now, req.From, item) // still available to this peer
 		g.Items = append(g.Items, wire.RateGrantItem{Account: item.Account, Tokens: tokens, Remaining: left})
 	}
 	return g
@@ -107,14 +108,14 @@
 // otherwise each would keep a part until both requests time out. Credits from
 // other peers are never passed on, since their lifetime is tracked by their
 // granter.
-func (l *Limiter) lendable(a *account, now time.Duration, from string, ask wire.RateItem) float64 {
-	if !(ask.Tokens > 0) || a.unmetAsk.blocks(now, from, ask) {
+func (l *Limiter) lendable(a *account, now time.Duration, from string, item wire.RateItem) float64 {
+	if !(item.Tokens > 0) || a.unmetTokenRequest.blocks(now, from, item) {
 		return 0
 	}
-	if len(a.waiters) > 0 && a.waiters[0].waited(now).Microseconds() >= ask.WaitedMicros {
+	if len(a.waiters) > 0 && a.waiters[0].waited(now).Microseconds() >= item.WaitedMicros {
 		return 0
 	}
-	return max(0, min(ask.Tokens, a.bucket.balance))
+	return max(0, min(item.Tokens, a.bucket.balance))
 }
 
 // idleBalance returns the balance, or 0 if requests are waiting here.
@@ -125,15 +126,15 @@
 	return max(0, a.bucket.balance)
 }
 
-// HandleGrant handles a peer's answer to an ask. Tokens that arrive too late are
-// returned.
+// HandleGrant handles a peer's answer to a token request. Tokens that arrive too
+// late are returned.
 func (l *Limiter) HandleGrant(now time.Duration, peer string, id uint64, g wire.RateGrant) {
 	l.advanceShare(now)
 	until := now
-	p, asked := l.pending[id]
-	if asked && p.peer == peer {
-		l.dropPendingAsk(id, p)
-		until = p.askedAt + l.settings.creditLifetime()
+	p, ok := l.pending[id]
+	if ok && p.peer == peer {
+		l.dropPendingTokenRequest(id, p)
+		until = p.createdAt + l.settings.creditLifetime()
 	}
 	for i, item := range g.Items {
 		a := l.accounts[item.Account]
@@ -160,14 +161,14 @@
 	l.activate(a)
 }
 
-// AskFailed records that an ask got no answer. Tokens that the peer may have
-// debited are lost.
-func (l *Limiter) AskFailed(now time.Duration, id uint64) {
+// TokenRequestFailed records that a token request got no answer. Tokens that the
+// peer may have debited are lost.
+func (l *Limiter) TokenRequestFailed(now time.Duration, id uint64) {
 	p, ok := l.pending[id]
 	if !ok {
 		return
 	}
-	l.dropPendingAsk(id, p)
+	l.dropPendingTokenRequest(id, p)
 	for i := range l.peers {
 		if l.peers[i].ID == p.peer {
 			l.peers[i].backoffUntil = now + unresponsivePeerBackoff
@@ -222,21 +223,22 @@
 	l.returns = append(l.returns, Return{Peer: c.peer, Body: body})
 }
 
-// dropPendingAsk removes a pending ask.
-func (l *Limiter) dropPendingAsk(id uint64, p pendingAsk) {
+// dropPendingTokenRequest removes a pending token request.
+func (l *Limiter) dropPendingTokenRequest(id uint64, p pendingTokenRequest) {
 	delete(l.pending, id)
 	for _, name := range p.accounts {
-		if a := l.accounts[name]; a != nil && a.pendingAsks > 0 {
-			a.pendingAsks--
+		if a := l.accounts[name]; a != nil && a.pendingTokenRequests > 0 {
+			a.pendingTokenRequests--
 		}
 	}
 }
 
-// expireAsks gives up asks whose tokens would have expired by now.
-func (l *Limiter) expireAsks(now time.Duration) {
+// expireTokenRequests gives up token requests whose tokens would have expired by
+// now.
+func (l *Limiter) expireTokenRequests(now time.Duration) {
 	for id, p := range l.pending {
-		if now >= p.askedAt+l.settings.creditLifetime() {
-			l.AskFailed(now, id)
+		if now >= p.createdAt+l.settings.creditLifetime() {
+			l.TokenRequestFailed(now, id)
 		}
 	}
 }
--- a/internal/ratelease/fleet_test.go
+++ b/internal/ratelease/fleet_test.go
@@ -212,8 +212,8 @@
 	for _, rec := range work.Records {
 		f.append(p, rec)
 	}
-	for _, ask := range work.PromiseRequests {
-		f.askPromise(p, ask)
+	for _, req := range work.PromiseRequests {
+		f.requestPromise(p, req)
 	}
 	slots := testSlotsPerDomain * len(f.domains())
 	p.limiter.SetAllocations(now, AllocationsOf(p.leases.Grants(now), slots, testFloorFraction))
--- a/internal/ratelease/limiter.go
+++ b/internal/ratelease/limiter.go
@@ -59,38 +59,38 @@
 // Limiter decides on the requests that arrive at one instance. It is not safe
 // for concurrent use.
 type Limiter struct {
-	settings          Settings
-	allocations       []Allocation
-	initialBurstGiven map[string]bool    // by name: allocations that have received their initial burst
-	share             float64            // sum of the allocations in effect
-	settledUntil      time.Duration      // share is up to date until here
-	nextShareChange   time.Duration      // when the share changes next
-	factors           map[string]float64 // see SetFactors
-	accounts          map[string]*account
-	active            []*account // accounts that Tick has to process
-	peers             []Peer
-	pending           map[uint64]pendingAsk
-	lastAskID         uint64
-	lastTicket        Ticket
-	returns           []Return
-	hints             wire.RateHints
-	hintsAt           time.Duration
+	settings           Settings
+	allocations        []Allocation
+	initialBurstGiven  map[string]bool    // by name: allocations that have received their initial burst
+	share              float64            // sum of the allocations in effect
+	settledUntil       time.Duration      // share is up to date until here
+	nextShareChange    time.Duration      // when the share changes next
+	factors            map[string]float64 // see SetFactors
+	accounts           map[string]*account
+	active             []*account // accounts that Tick has to process
+	peers              []Peer
+	pending            map[uint64]pendingTokenRequest
+	lastTokenRequestID uint64
+	lastTicket         Ticket
+	returns            []Return
+	hints              wire.RateHints
+	hintsAt            time.Duration
 }
 
 // account is the state of one client account on this instance.
 type account struct {
-	name          string
-	active        bool // is on the active list
-	bucket        bucket
-	factor        shareFactor
-	demand        demandAverage
-	unmetAsk      unmetAsk
-	waiters       []waiter
-	pendingAsks   int           // asks that are not answered yet
-	lastRoundAt   time.Duration // of the last round of asks
-	lastRequestAt time.Duration // of the last request
-	typicalCost   float64       // moving average of the cost of a request
-	peerHints     map[string]hint
+	name                 string
+	active               bool // is on the active list
+	bucket               bucket
+	factor               shareFactor
+	demand               demandAverage
+	unmetTokenRequest    unmetTokenRequest
+	waiters              []waiter
+	pendingTokenRequests int           // not answered yet
+	lastRoundAt          time.Duration // of the last round of token requests
+	lastRequestAt        time.Duration // of the last request by a caller
+	typicalCost          float64       // moving average of the cost of a request
+	peerHints            map[string]hint
 }
 
 // New returns a Limiter without allocations or accounts.
@@ -100,7 +100,7 @@
 		nextShareChange:   never,
 		accounts:          map[string]*account{},
 		initialBurstGiven: map[string]bool{},
-		pending:           map[uint64]pendingAsk{},
+		pending:           map[uint64]pendingTokenRequest{},
 	}
 }
 
@@ -110,7 +110,7 @@
 	l.advanceShare(now)
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{name: name, peerHints: map[string]hint{}, lastRoundAt: -l.settings.AskInterval}
+		a = &account{name: name, peerHints: map[string]hint{}, lastRoundAt: -l.settings.TokenRequestInterval}
 		a.factor.nextAt = never
 		a.bucket.updatedAt = now
 		a.factor.value = l.factorOf(name)
--- a/internal/ratelease/limiter_test.go
+++ b/internal/ratelease/limiter_test.go
@@ -80,9 +80,9 @@
 	b.SetPeers([]Peer{{ID: "a", Share: 1}})
 	now := 10 * time.Second
 	is.True(b.Admit(now, "acct", 3000, now+time.Second).Waiting)
-	asks := b.Tick(now).Asks
-	is.Equal(len(asks), 1)
-	b.HandleGrant(now, "a", asks[0].ID, a.HandleAsk(now, asks[0].Body))
+	requests := b.Tick(now).TokenRequests
+	is.Equal(len(requests), 1)
+	b.HandleGrant(now, "a", requests[0].ID, a.HandleTokenRequest(now, requests[0].Body))
 	is.Equal(balance(), 2000-minTransferTokens)
 	work := b.Tick(now)
 	is.Equal(len(work.Done), 1)
@@ -110,7 +110,7 @@
 	l := newFullShareLimiter("i1")
 	now := 10 * time.Second
 	b := &l.accounts["acct"].bucket
-	g := l.HandleAsk(now, wire.RateRequest{Items: []wire.RateItem{{Account: "acct", Tokens: 1000}}})
+	g := l.HandleTokenRequest(now, wire.RateRequest{Items: []wire.RateItem{{Account: "acct", Tokens: 1000}}})
 	report := func(item wire.RateReturnItem) {
 		now += time.Millisecond
 		item.Account, item.DebitedAtNanos = "acct", g.DebitedAtNanos
@@ -169,15 +169,15 @@
 }
 
 // An instance that starts while the log is down has no lease and does not know
-// its peers' shares. It must ask all peers, so that its callers are served from
-// what they issue.
-func TestInstanceStartedDuringLogOutageAsksAllPeers(t *testing.T) {
+// its peers' shares. It must request tokens from all peers, so that its callers
+// are served from what they issue.
+func TestInstanceStartedDuringLogOutageRequestsTokensFromAllPeers(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultSettings("i3"))
 	l.SetAccount(0, "acct", 1000, 5000)
 	l.SetPeers([]Peer{{ID: "i1"}, {ID: "i2"}})
 	l.Admit(time.Second, "acct", 10, 2*time.Second)
-	is.Equal(len(l.Tick(time.Second).Asks), 2)
+	is.Equal(len(l.Tick(time.Second).TokenRequests), 2)
 }
 
 // A domain loses a fraction of an account while its grants are still in flight.
@@ -221,14 +221,14 @@
 func TestLongerWaitingRequestGoesFirst(t *testing.T) {
 	is := is.New(t)
 	a, now := newFullShareLimiter("a"), 10*time.Second
-	ask := func(from string, tokens float64, waited time.Duration) float64 {
+	request := func(from string, tokens float64, waited time.Duration) float64 {
 		item := wire.RateItem{Account: "acct", Tokens: tokens, WaitedMicros: waited.Microseconds()}
-		return a.HandleAsk(now, wire.RateRequest{From: from, Items: []wire.RateItem{item}}).Items[0].Tokens
+		return a.HandleTokenRequest(now, wire.RateRequest{From: from, Items: []wire.RateItem{item}}).Items[0].Tokens
 	}
-	is.Equal(ask("b", 5100, 100*time.Millisecond), 5000.0)
+	is.Equal(request("b", 5100, 100*time.Millisecond), 5000.0)
 	a.HandleReturn(now, wire.RateReturn{To: "a", Items: []wire.RateReturnItem{{Account: "acct", DebitedAtNanos: int64(now), Spent: 5000}}})
 	now += 40 * time.Millisecond
-	is.Equal(ask("c", 30, 20*time.Millisecond), 0.0)
-	is.True(ask("b", 30, 140*time.Millisecond) == 30) // b has all it needs
-	is.True(ask("c", 5, 20*time.Millisecond) == 5)
+	is.Equal(request("c", 30, 20*time.Millisecond), 0.0)
+	is.True(request("b", 30, 140*time.Millisecond) == 30) // b has all it needs
+	is.True(request("c", 5, 20*time.Millisecond) == 5)
 }
--- a/internal/ratelease/links_test.go
+++ b/internal/ratelease/links_test.go
@@ -55,20 +55,20 @@
 	})
 }
 
-func (f *fleet) askPromise(p *process, ask lease.PromiseRequest) {
-	f.call(p, ask.Member.Address, func(to *process) func() {
-		a := to.leases.HandlePromiseRequest(f.clock(to), ask.Body)
-		return func() { p.leases.HandlePromiseAnswer(ask.ID, a) }
+func (f *fleet) requestPromise(p *process, req lease.PromiseRequest) {
+	f.call(p, req.Member.Address, func(to *process) func() {
+		a := to.leases.HandlePromiseRequest(f.clock(to), req.Body)
+		return func() { p.leases.HandlePromiseAnswer(req.ID, a) }
 	})
 }
 
 func (f *fleet) tick(p *process) {
 	r := p.limiter.Tick(f.clock(p))
-	for _, ask := range r.Asks {
-		f.call(p, ask.Peer, func(to *process) func() {
-			g := to.limiter.HandleAsk(f.clock(to), ask.Body)
+	for _, req := range r.TokenRequests {
+		f.call(p, req.Peer, func(to *process) func() {
+			g := to.limiter.HandleTokenRequest(f.clock(to), req.Body)
 			return func() {
-				p.limiter.HandleGrant(f.clock(p), to.addr, ask.ID, g)
+				p.limiter.HandleGrant(f.clock(p), to.addr, req.ID, g)
 				f.tick(p)
 			}
 		})
--- a/internal/ratelease/settings.go
+++ b/internal/ratelease/settings.go
@@ -14,10 +14,10 @@
 	MaxClockDrift float64
 	// MaxWait bounds how long a request waits for tokens.
 	MaxWait time.Duration
-	// AskInterval is the least time between two rounds of asks for one account
-	// while a request waits.
-	AskInterval time.Duration
-	// FanOut is the largest number of peers asked in one round.
+	// TokenRequestInterval is the least time between two rounds of token requests
+	// for one account while a request waits.
+	TokenRequestInterval time.Duration
+	// FanOut is the largest number of peers that get a token request in one round.
 	FanOut int
 	// MaxDispatchDelay is how long after its debit a request may be sent to a
 	// target.
@@ -27,18 +27,19 @@
 // DefaultSettings returns the default settings for an instance.
 func DefaultSettings(self string) Settings {
 	return Settings{
-		Self:             self,
-		GrantLifetime:    200 * time.Millisecond,
-		MaxClockDrift:    0.001,
-		MaxWait:          300 * time.Millisecond,
-		AskInterval:      20 * time.Millisecond,
-		FanOut:           5,
-		MaxDispatchDelay: 100 * time.Millisecond,
+		Self:                 self,
+		GrantLifetime:        200 * time.Millisecond,
+		MaxClockDrift:        0.001,
+		MaxWait:              300 * time.Millisecond,
+		TokenRequestInterval: 20 * time.Millisecond,
+		FanOut:               5,
+		MaxDispatchDelay:     100 * time.Millisecond,
 	}
 }
 
 // creditLifetime is how long a receiver may spend a grant, counted by its own
-// clock from before it asked. The two clocks may drift in opposite directions.
+// clock from before it sent the token request. The two clocks may drift in
+// opposite directions.
 func (s Settings) creditLifetime() time.Duration {
 	return time.Duration(float64(s.GrantLifetime) * (1 - 2*s.MaxClockDrift))
 }
--- a/internal/ratelease/askplan.go
+++ b/internal/ratelease/tokenrequests.go
@@ -18,20 +18,20 @@
 // minTransferTokens is the least number of tokens worth a message.
 const minTransferTokens = 1
 
-// askBatch collects the items for each peer, so that a round sends each peer one
-// message.
-type askBatch struct {
+// tokenRequestBatch collects the items for each peer, so that a round sends each
+// peer one message.
+type tokenRequestBatch struct {
 	peers []string
 	items map[string][]wire.RateItem
 }
 
-func newAskBatch() *askBatch {
-	return &askBatch{items: map[string][]wire.RateItem{}}
+func newTokenRequestBatch() *tokenRequestBatch {
+	return &tokenRequestBatch{items: map[string][]wire.RateItem{}}
 }
 
 // add appends an item to the message to a peer; it returns false if that is
 // full.
-func (b *askBatch) add(peer string, item wire.RateItem) bool {
+func (b *tokenRequestBatch) add(peer string, item wire.RateItem) bool {
 	if len(b.items[peer]) >= wire.MaxRateItems {
 		return false
 	}
@@ -58,9 +58,9 @@
 	return s.tokens / s.limit
 }
 
-// planAsks plans the next round of asks for an account.
-func (l *Limiter) planAsks(a *account, now time.Duration, batch *askBatch) {
-	if a.pendingAsks > 0 || now-a.lastRoundAt < l.settings.AskInterval {
+// planTokenRequests plans the next round of token requests for an account.
+func (l *Limiter) planTokenRequests(a *account, now time.Duration, batch *tokenRequestBatch) {
+	if a.pendingTokenRequests > 0 || now-a.lastRoundAt < l.settings.TokenRequestInterval {
 		return
 	}
 	need := float64(minTransferTokens) // covers rounding errors
@@ -76,9 +76,9 @@
 		waited = a.waiters[0].waited(now).Microseconds()
 	}
 	own := tokenSource{tokens: a.bucket.available(), limit: a.bucket.share * a.bucket.burst}
-	for _, s := range equalizeFill(l.askCandidates(a, now), own, need) {
+	for _, s := range equalizeFill(l.candidatePeers(a, now), own, need) {
 		if batch.add(s.peer, wire.RateItem{Account: a.name, Tokens: s.tokens, WaitedMicros: waited}) {
-			a.pendingAsks++
+			a.pendingTokenRequests++
 		}
 	}
 }
@@ -96,9 +96,9 @@
 		l.estimateFleetBalance(a, now) > a.bucket.burst/2
 }
 
-// askCandidates returns the peers to ask, at most FanOut, ordered by fill ratio;
-// among equals those in this instance's failure domain come first.
-func (l *Limiter) askCandidates(a *account, now time.Duration) []tokenSource {
+// candidatePeers returns the peers to request tokens from, at most FanOut, ordered
+// by fill ratio; among equals those in this instance's failure domain come first.
+func (l *Limiter) candidatePeers(a *account, now time.Duration) []tokenSource {
 	var candidates []tokenSource
 	for _, p := range l.peers {
 		if p.backoffUntil > now {
@@ -130,9 +130,9 @@
 
 // equalizeFill distributes the need over the sources and the own balance such
 // that all end up with the same fill ratio: a source that stays full loses its
-// refill. If all of them together have too little, each is also asked for a part
-// of the shortfall, which may have been refilled there since its hint. sources
-// is ordered by descending fill ratio.
+// refill. If all of them together have too little, a part of the shortfall, which
+// may have been refilled since the hint, is also requested from each. sources is
+// ordered by descending fill ratio.
 func equalizeFill(sources []tokenSource, own tokenSource, need float64) []tokenSource {
 	tokens, limits, n := own.tokens-need, own.limit, 0
 	for n < len(sources) && (limits <= 0 || tokens < limits*sources[n].fillRatio()) {
@@ -144,35 +144,36 @@
 		return nil
 	}
 	fill, shortfall := max(0, tokens/limits), max(0, -tokens)
-	var asks []tokenSource
+	var requests []tokenSource
 	for _, s := range sources[:n] {
 		want := s.tokens - fill*s.limit + shortfall*s.limit/limits
 		if want >= minTransferTokens {
-			asks = append(asks, tokenSource{peer: s.peer, tokens: want})
+			requests = append(requests, tokenSource{peer: s.peer, tokens: want})
 		}
 	}
-	return asks
+	return requests
 }
 
-// buildAsks turns the batch into calls and registers them as pending.
-func (l *Limiter) buildAsks(now time.Duration, batch *askBatch) []Ask {
-	var asks []Ask
+// buildTokenRequests turns the batch into token requests and registers them as
+// pending.
+func (l *Limiter) buildTokenRequests(now time.Duration, batch *tokenRequestBatch) []TokenRequest {
+	var requests []TokenRequest
 	for _, peer := range batch.peers {
-		l.lastAskID++
-		p := pendingAsk{peer: peer, askedAt: now}
+		l.lastTokenRequestID++
+		p := pendingTokenRequest{peer: peer, createdAt: now}
 		for _, item := range batch.items[peer] {
 			p.accounts = append(p.accounts, item.Account)
 		}
-		l.pending[l.lastAskID] = p
+		l.pending[l.lastTokenRequestID] = p
 		body := wire.RateRequest{From: l.settings.Self, Items: batch.items[peer]}
-		asks = append(asks, Ask{ID: l.lastAskID, Peer: peer, Body: body})
+		requests = append(requests, TokenRequest{ID: l.lastTokenRequestID, Peer: peer, Body: body})
 	}
-	return asks
+	return requests
 }
 
 // hintsFresh reports whether there is a recent hint of every responsive peer.
 func (l *Limiter) hintsFresh(a *account, now time.Duration) bool {
-	if a.pendingAsks > 0 {
+	if a.pendingTokenRequests > 0 {
 		return false
 	}
 	for _, p := range l.peers {
--- a/internal/ratelease/waiter.go
+++ b/internal/ratelease/waiter.go
@@ -17,8 +17,8 @@
 
 // Ready is the result of a Tick.
 type Ready struct {
-	// Asks are calls to make now.
-	Asks []Ask
+	// TokenRequests are token requests to send now.
+	TokenRequests []TokenRequest
 	// Returns are one-way messages to send now.
 	Returns []Return
 	// Done are the decisions on waiting requests.
@@ -28,19 +28,19 @@
 	NextTick time.Duration
 }
 
-// Tick decides on waiting requests and asks peers for missing tokens. Call it
+// Tick decides on waiting requests and requests missing tokens from peers. Call it
 // after Admit returned Waiting, after each grant, and at Ready.NextTick.
 func (l *Limiter) Tick(now time.Duration) Ready {
 	l.advanceShare(now)
-	l.expireAsks(now)
+	l.expireTokenRequests(now)
 	r := Ready{}
-	batch := newAskBatch()
+	batch := newTokenRequestBatch()
 	for _, a := range l.active {
 		l.advance(a, now)
 		r.Done = l.decideWaiters(a, now, r.Done)
-		l.planAsks(a, now, batch)
+		l.planTokenRequests(a, now, batch)
 		if len(a.waiters) > 0 {
-			next := now + l.settings.AskInterval
+			next := now + l.settings.TokenRequestInterval
 			next = min(next, a.waiters[0].until)
 			if r.NextTick == 0 || next < r.NextTick {
 				r.NextTick = next
@@ -48,7 +48,7 @@
 		}
 	}
 	l.deactivateIdle(now)
-	r.Asks = l.buildAsks(now, batch)
+	r.TokenRequests = l.buildTokenRequests(now, batch)
 	r.Returns, l.returns = l.returns, nil
 	return r
 }
