--- a/internal/entry/callerserver.go
+++ b/internal/entry/callerserver.go
@@ -50,7 +50,7 @@
 // overConnectionLimit reports whether more than the maximum number of
 // connections are open. Excess connections are accepted and their requests
 // refused with an error response, so that the caller learns the reason; a reset
-// connection would not tell it.
+// connection would not show it.
 func (c *callerServer) overConnectionLimit() bool { return c.openConns.Load() > c.maxConns }
 
 func (c *callerServer) serve(l net.Listener) error {
--- a/internal/entry/engineclient.go
+++ b/internal/entry/engineclient.go
@@ -32,7 +32,7 @@
 	maxResponseBodyBytes  = 64 << 20
 )
 
-// sendError is a failed exchange with a target. outcome tells whether the
+// sendError is a failed exchange with a target. outcome states whether the
 // request may have run there.
 type sendError struct {
 	op      string
@@ -148,7 +148,8 @@
 	return resp, nil
 }
 
-// cancel tells the target to stop an attempt whose response is no longer needed.
+// cancel requests that the target stop an attempt whose response is no longer
+// needed.
 func (c *targetClient) cancel(ctx context.Context, address, attempt string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+attempt, nil)
 	if err != nil {
--- a/internal/entry/engineconnection.go
+++ b/internal/entry/engineconnection.go
@@ -157,7 +157,7 @@
 	return r.stream.ConnectionFailed(r.conn, cause)
 }
 
-// resume asks the same target to continue the stream.
+// resume requests the rest of the stream from the same target.
 func (r *engineRun) resume(act attempt.Action) attempt.Action {
 	r.openConnection()
 	r.conn = r.stream.BeginResume(r.server.clock.now())
@@ -175,7 +175,7 @@
 	return r.handleResponseHead(resp)
 }
 
-// cancelAttempt tells a target to stop an attempt.
+// cancelAttempt sends a target the request to cancel an attempt.
 func (r *engineRun) cancelAttempt(ref attempt.Ref) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelAttemptTimeout)
 	defer cancel()
--- a/internal/entry/enginecrash.go
+++ b/internal/entry/enginecrash.go
@@ -20,7 +20,7 @@
 	crashProbeInterval = 10 * time.Millisecond
 )
 
-// checkPoison asks the poison registry whether the request may be dispatched.
+// checkPoison checks with the poison registry whether the request may be dispatched.
 // It returns an error if the request is quarantined, or if it is a suspect and
 // got no permit to run on a target in time.
 func (r *engineRun) checkPoison() error {
--- a/internal/entry/enginerun.go
+++ b/internal/entry/enginerun.go
@@ -23,8 +23,8 @@
 // load queries.
 var errTargetUnresponsive = errors.New("target does not answer load queries")
 
-// engineRun carries out the attempts of one request. It performs the I/O that
-// the attempt state machine asks for.
+// engineRun carries out the attempts of one request. It performs the I/O for the
+// actions that the attempt state machine returns.
 type engineRun struct {
 	server *server
 	call   *engineCall
--- a/internal/entry/leasedriver.go
+++ b/internal/entry/leasedriver.go
@@ -11,8 +11,8 @@
 	"github.com/mastictray/mastictray/internal/wire"
 )
 
-// handlePromiseRequest answers a peer that asks this instance not to acquire some
-// leases for a while.
+// handlePromiseRequest answers a peer's request that this instance not acquire
+// some leases for a while.
 func (d *rateDriver) handlePromiseRequest(_ context.Context, _ wire.Identity, f wire.Frame) (any, error) {
 	var req wire.LeasePromiseRequest
 	if err := f.DecodeBody(&req); err != nil {
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -44,15 +44,15 @@
 	mu           sync.Mutex
 	view         *membership.View
 	incarnations map[string]string // by instance name
-	// lastHeard holds the arrival time of the last heartbeat, by peer address.
-	lastHeard map[string]time.Duration
+	// lastHeartbeat holds the arrival time of the last heartbeat, by peer address.
+	lastHeartbeat map[string]time.Duration
 }
 
 func newMembers(c clock, node *peer.Node, lister platform.InstanceLister, seeds []string) *members {
 	m := &members{
 		clock: c, node: node, lister: lister,
 		seeds:        slices.DeleteFunc(slices.Clone(seeds), func(a string) bool { return a == node.Self().Address }),
-		incarnations: make(map[string]string), lastHeard: make(map[string]time.Duration),
+		incarnations: make(map[string]string), lastHeartbeat: make(map[string]time.Duration),
 	}
 	cfg := membership.Config{Self: node.Self(), StartMillis: c.wallMillis(), Seeds: m.seeds}
 	m.view = membership.New(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
@@ -201,7 +201,7 @@
 	m.view.ObserveIncarnation(m.clock.now(), target, incarnation)
 }
 
-// announceLeave tells the peers that this instance is draining.
+// announceLeave announces to the peers that this instance is draining.
 func (m *members) announceLeave() {
 	m.mu.Lock()
 	m.view.Leave(m.clock.now())
@@ -214,7 +214,7 @@
 	peers := m.livePeers()
 	m.rates.setPeers(peers)
 	m.poison.setPeers(peers)
-	m.pruneLastHeard(peers)
+	m.pruneLastHeartbeats(peers)
 	for _, p := range peers {
 		go m.exchangeHeartbeat(ctx, p.Address)
 	}
@@ -225,14 +225,14 @@
 	})
 }
 
-// pruneLastHeard removes the addresses that no live peer has any more. Otherwise
-// the map would grow with each replaced instance.
-func (m *members) pruneLastHeard(peers []wire.Identity) {
+// pruneLastHeartbeats removes the addresses that no live peer has any more.
+// Otherwise the map would grow with each replaced instance.
+func (m *members) pruneLastHeartbeats(peers []wire.Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for addr := range m.lastHeard {
+	for addr := range m.lastHeartbeat {
 		if !slices.ContainsFunc(peers, func(p wire.Identity) bool { return p.Address == addr }) {
-			delete(m.lastHeard, addr)
+			delete(m.lastHeartbeat, addr)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 
 func (m *members) receiveHeartbeat(hb wire.Heartbeat) {
 	m.mu.Lock()
-	m.lastHeard[hb.From.Address] = m.clock.now()
+	m.lastHeartbeat[hb.From.Address] = m.clock.now()
 	m.mu.Unlock()
 	m.rates.handleHeartbeat(hb)
 }
--- a/internal/entry/poisondriver.go
+++ b/internal/entry/poisondriver.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// admit asks whether a request may be dispatched and waits for the verdict.
+// admit submits a request to the poison registry and waits for the verdict whether
+// it may be dispatched.
 func (d *poisonDriver) admit(ctx context.Context, id string, fp poison.Fingerprint, pool string, targets []string) poison.Decision {
 	d.mu.Lock()
 	v := d.registry.Admit(d.clock.now(), id, fp, pool, targets)
--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -39,7 +39,7 @@
 // An instance without a lease knows its peers before one of them acquires a rate
 // slot. Its next request is within the account's rate but needs that peer's
 // tokens. If the instance still assumed that all peers issue the same share, it would
-// ask each for a part of the tokens, get only one part and refuse the request.
+// request a part of the tokens from each, get only one part and refuse the request.
 func TestTokenRequestsGoToPeerThatTookLeaseLater(t *testing.T) {
 	is := is.New(t)
 	self := wire.Identity{Instance: "a", Incarnation: "a-1", Domain: "d", Address: "127.0.0.1:1"}
--- a/internal/entry/ratepeers.go
+++ b/internal/entry/ratepeers.go
@@ -35,7 +35,7 @@
 // updatePeers passes to the limiter the share of all rates that each peer issues:
 // the one in the log or the one that the peer itself reports, whichever is larger.
 // With the log alone, an instance that starts during an outage of the log would
-// know no peer to ask. The caller holds mu.
+// know no peer to request tokens from. The caller holds mu.
 func (d *rateDriver) updatePeers() {
 	list := make([]ratelease.Peer, 0, len(d.peers))
 	factors := make(map[string]map[string]float64, len(d.fleet.domains))
--- a/internal/entry/snapshotter.go
+++ b/internal/entry/snapshotter.go
@@ -99,8 +99,8 @@
 	}
 	// A log that retains less than checkpointInterval trims the newest
 	// checkpoint before the next one is written. An instance that starts in
-	// between cannot tell held slots from free ones and takes none, so that a
-	// part of every account's rate is missing for minutes. Therefore a
+	// between cannot distinguish held slots from free ones and acquires none, so
+	// that a part of every account's rate is missing for minutes. Therefore a
 	// checkpoint is also due when the last one falls into the older half of the
 	// retained records.
 	return logStart > 0 && s.checkpointNext-logStart < (next-logStart)/2
--- a/internal/entry/splitdriver.go
+++ b/internal/entry/splitdriver.go
@@ -54,15 +54,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, ownDomain := d.clock.now(), d.node.Self().Domain
-	domainOf, heardDomains := map[string]string{}, map[string]bool{ownDomain: true}
+	domainOf, domainsWithHeartbeat := map[string]string{}, map[string]bool{ownDomain: true}
 	for _, p := range d.peers {
 		domainOf[p.Address] = p.Domain
 		if at, ok := d.heartbeatAt[p.Address]; ok && now-at <= maxHeartbeatAge {
-			heardDomains[p.Domain] = true
+			domainsWithHeartbeat[p.Domain] = true
 		}
 	}
 	for _, domain := range d.fleet.domains {
-		if !heardDomains[domain] {
+		if !domainsWithHeartbeat[domain] {
 			return lease.Split{}
 		}
 	}
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -114,7 +114,7 @@
 		}
 		list = append(list, peerView{
 			Address: f.Identity.Address, Instance: f.Identity.Instance, Incarnation: f.Identity.Incarnation,
-			Domain: f.Identity.Domain, SilentMS: (now - m.lastHeard[f.Identity.Address]).Milliseconds(),
+			Domain: f.Identity.Domain, SilentMS: (now - m.lastHeartbeat[f.Identity.Address]).Milliseconds(),
 			Leaving: f.State == wire.MemberLeaving,
 		})
 	}
