--- a/internal/keys/authorize_test.go
+++ b/internal/keys/authorize_test.go
@@ -92,7 +92,7 @@
 // An instance is suspended for longer than the key-cutoff and resumes with an
 // outdated configuration. It refuses requests until it has had contact with the log
 // or a peer again.
-func TestThawedInstanceRefusesUntilContact(t *testing.T) {
+func TestResumedInstanceRefusesUntilContact(t *testing.T) {
 	is := is.New(t)
 	c := NewContactTracker("nord")
 	c.LogRead(0)
--- a/internal/ratecount/limiter_test.go
+++ b/internal/ratecount/limiter_test.go
@@ -92,9 +92,9 @@
 	is.True(f.maxInWindow(window) >= testRate*window.Seconds()*0.9)
 }
 
-// The fleet is partitioned into two halves that cannot talk. Each keeps serving
-// its fraction, and together they stay within the rate.
-func TestHalvesThatCannotTalkShareTheRate(t *testing.T) {
+// The fleet is partitioned into two halves. Each keeps serving its fraction, and
+// together they stay within the rate.
+func TestPartitionedHalvesStayWithinRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
 	sameSide := func(from, to int) bool { return (from < 2) == (to < 2) }
--- a/internal/ratecount/retry_test.go
+++ b/internal/ratecount/retry_test.go
@@ -96,7 +96,7 @@
 // has tokens in the bucket, receives the others' spending only with their next
 // report, and admits everyone. The account then gets far more than its rate and
 // burst within one window, and nothing for the next seconds.
-func TestCallersThatComeBackTogetherStayWithinTheRate(t *testing.T) {
+func TestSynchronizedRetriesStayWithinRate(t *testing.T) {
 	is := is.New(t)
 	f := newRetryFleet(largeFleet, largeFleetInterval, accountRate)
 	const normalLoad = 0.55 * accountRate
