--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -41,9 +41,9 @@
 	return s
 }
 
-// BenchmarkFoldChange applies a change of one account's file. The capacity page
+// BenchmarkApplyChange applies a change of one account's file. The capacity page
 // names this benchmark.
-func BenchmarkFoldChange(b *testing.B) {
+func BenchmarkApplyChange(b *testing.B) {
 	for _, size := range []struct{ accounts, targets int }{{5, 15}, {50, 150}, {150, 1000}, {440, 3000}, {440, 10000}} {
 		b.Run(fmt.Sprintf("accounts=%d/targets=%d", size.accounts, size.targets), func(b *testing.B) {
 			s := largeState(b, size.accounts, size.targets)
