--- a/internal/entry/ratedriver_test.go
+++ b/internal/entry/ratedriver_test.go
@@ -39,7 +39,7 @@
 // An instance without a lease knows its peers before one of them acquires a rate
 // slot. Its next request is within the account's rate but needs that peer's
 // tokens. If the instance still assumed that all peers issue the same share, it would
-// ask each for a part of the tokens, get only one part and refuse the request.
+// request a part of the tokens from each, get only one part and refuse the request.
 func TestTokenRequestsGoToPeerThatTookLeaseLater(t *testing.T) {
 	is := is.New(t)
 	self := wire.Identity{Instance: "a", Incarnation: "a-1", Domain: "d", Address: "127.0.0.1:1"}
@@ -58,10 +58,10 @@
 	now := d.clock.now() + time.Second
 	o := d.limiter.Admit(now, "acc", 100, time.Hour)
 	is.True(o.Waiting)
-	asks := d.limiter.Tick(now).Asks
-	is.Equal(len(asks), 1)
-	is.Equal(asks[0].Peer, newHolder.Address)
-	is.Equal(asks[0].Body.Items[0].Tokens, 101.0) // the cost plus one token against rounding
+	requests := d.limiter.Tick(now).TokenRequests
+	is.Equal(len(requests), 1)
+	is.Equal(requests[0].Peer, newHolder.Address)
+	is.Equal(requests[0].Body.Items[0].Tokens, 101.0) // the cost plus one token against rounding
 }
 
 // Instances regularly restart with other addresses. The share reported from an
