--- a/cmd/mastictray-bench/main.go
+++ b/cmd/mastictray-bench/main.go
@@ -33,10 +33,10 @@
 	Factor   *float64       `help:"Override the weight of a recomputed token relative to a waiting one."`
 	Backlog  *float64       `help:"Override what each second of an account's backlog adds to that weight."`
 	Grace    *time.Duration `help:"Override the backlog that adds nothing to that weight."`
-	Window   *time.Duration `help:"Override the time of work on a target above which its requests are held."`
+	Window   *time.Duration `help:"Override the time of work queued at a target from which further requests for it are held."`
 	NearTie  *time.Duration `help:"Override the difference in cost within which candidates count as equal."`
 	Anchor   *int           `help:"Override the number of leading pieces that the rendezvous key covers."`
-	Transfer *float64       `help:"Override the transfer rate from the KV store, in tokens per second."`
+	Transfer *float64       `help:"Override the rate at which cached pieces are transferred from one target to another, in tokens per second; 0 means no transfers."`
 }
 
 // tuning returns the default tuning with the overrides of the command line.
--- a/cmd/mastictray-gateway/settings.go
+++ b/cmd/mastictray-gateway/settings.go
@@ -25,14 +25,14 @@
 	StoreAddress string `required:"" help:"ip:port of the platform's store." group:"platform"`
 
 	CPUShare float64 `name:"cpu-share" default:"1" help:"CPU cores that the instance may use; may be a fraction." group:"limits"`
-	CPUSpeed float64 `name:"cpu-speed" default:"1" help:"Speed of a core relative to the platform's standard core." group:"limits"`
+	CPUSpeed float64 `name:"cpu-speed" default:"1" help:"Speed of a core as a multiple of a usual core's speed." group:"limits"`
 	LinkMbps float64 `name:"link-mbps" default:"1000" help:"Bandwidth of the instance's network link in Mbit/s." group:"limits"`
 
 	MemoryMB     int           `name:"memory-mb" help:"Memory of the instance in MB; 0 means no limit." group:"limits"`
 	KeyBound     time.Duration `default:"5s" help:"Longest time for which a withdrawn key may still be accepted." group:"limits"`
-	RetryRatio   float64       `default:"0.2" help:"Maximum retries per request of a service, over all instances." group:"limits"`
+	RetryRatio   float64       `default:"0.2" help:"Maximum ratio of retries to requests of a service, over all instances." group:"limits"`
 	RetryReserve float64       `default:"50" help:"Burst of retries allowed in addition, over all instances." group:"limits"`
-	WeightsBound time.Duration `default:"10s" help:"Longest time after a weights version is published for which requests may still start on an older one." group:"limits"`
+	WeightsBound time.Duration `default:"10s" help:"Longest time after a weights version is named for which requests may still start on an older one." group:"limits"`
 	ConfigBound  time.Duration `default:"2s" help:"Longest time until a new configuration is in force on all instances." group:"limits"`
 	DrainBound   time.Duration `default:"2s" help:"Longest time for which a draining target may still get new requests." group:"limits"`
 	LeaseGap     time.Duration `default:"3s" help:"Minimum time between orders of two different instances to the same target." group:"limits"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,7 +52,7 @@
 	ReadTimeout    time.Duration `default:"30s" env:"MASTICTRAY_READ_TIMEOUT" help:"Time limit for reading a whole request." group:"limits"`
 
 	BalancerLag  time.Duration `default:"3s" env:"MASTICTRAY_BALANCER_LAG" help:"How long requests are still accepted after SIGTERM, until the load balancer has noticed." group:"shutdown"`
-	DrainTimeout time.Duration `default:"10m" env:"MASTICTRAY_DRAIN_TIMEOUT" help:"How long to wait for running streams after that." group:"shutdown"`
+	DrainTimeout time.Duration `default:"10m" env:"MASTICTRAY_DRAIN_TIMEOUT" help:"Maximum time to wait for responses in progress after balancer-lag has passed." group:"shutdown"`
 }
 
 // Validate reports all invalid settings in one error.
