--- a/internal/placement/loadsim_test.go
+++ b/internal/placement/loadsim_test.go
@@ -56,7 +56,7 @@
 	return s
 }
 
-// run places prompts for herdDuration and returns the 95th percentile of their
+// run places prompts for loadSimDuration and returns the 95th percentile of their
 // queueing times. Instances exchange their outstanding work every updateInterval.
 func (s *loadSim) run(updateInterval time.Duration) time.Duration {
 	perStep := loadSimUtilization * loadSimTargets * loadSimPrefillRate / loadSimPromptTokens * loadSimStep.Seconds()
